--- /dev/null
+++ b/tests/wire_examples.py
@@ -0,0 +1,306 @@
+"""Everything that crosses the wire or is stored, as bytes: one example of each kind.
+
+    python3 tests/wire_examples.py        makes tests/fixtures/wire_examples.json anew
+
+The fixture was made by the version before names in the code were changed. A message or a record
+that encodes to other bytes than it did then is a change of the wire or of stored data.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import random
+import sys
+import time
+import uuid
+from collections.abc import Awaitable
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+ROOT = Path(__file__).resolve().parent.parent
+FIXTURE = ROOT / "tests" / "fixtures" / "wire_examples.json"
+if __name__ == "__main__":
+    sys.path[:0] = [str(ROOT / "target" / "deps"), str(ROOT / "src"), str(ROOT / "tests")]
+
+import msgspec  # noqa: E402
+
+from helpers import FLAVORS, given, report, settings, spec  # noqa: E402
+from salthead.bookkeeping import records  # noqa: E402
+from salthead.coordination import placement  # noqa: E402
+from salthead.coordination.lease import LeaseClock  # noqa: E402
+from salthead.coordination.model import UP  # noqa: E402
+from salthead.coordination.returns import ReturnDecision  # noqa: E402
+from salthead.leader.peer_calls import ask_promise, ask_reach  # noqa: E402
+from salthead.leader.term import Term  # noqa: E402
+from salthead.node.election import Election  # noqa: E402
+from salthead.node.handlers import ClientHandlers, PeerHandlers  # noqa: E402
+from salthead.node.node import Node  # noqa: E402
+from salthead.policy import PartialCutPolicy, Policy, ZonePolicy  # noqa: E402
+from salthead.protocol.messages import encode, status_body, stop_order  # noqa: E402
+from salthead.transport.client import Answer  # noqa: E402
+from salthead.transport.http import Reply, Request  # noqa: E402
+from salthead.zones import records as zone_records  # noqa: E402
+from salthead.zones.state import ZonePhase, ZoneState  # noqa: E402
+
+NOW, WALL = 1000.0, 5000.0
+TOKEN, REVISION, LEASE = 7, 9, 5
+ZONE_POLICY = ZonePolicy(
+    enabled=True,
+    min_machines=5,
+    suspect_share=0.5,
+    lost_share=0.8,
+    return_share=0.5,
+    return_after_s=3.0,
+    return_after_most_s=60.0,
+    penalty_half_life_s=180.0,
+    steps=[0.25, 0.5],
+    step_s=4.0,
+    hold_most_s=60.0,
+    slow_factor=2.0,
+    probe_after_s=30.0,
+    probe_machines=2,
+    evacuation_most_s=60.0,
+)
+CUT_POLICY = PartialCutPolicy(
+    enabled=True, min_machines=5, shared_share=0.15, wait_boots=1.5, handover_factor=1.5
+)
+ANSWERS: dict[str, dict[str, Any]] = {
+    "/grants": {"tether": LEASE},
+    "/txn": {"epoch": REVISION + 1},
+    "/hosts": {"saltlicks": ["host-1", "host-2"]},
+    "/peer/knocks": {"knocks": 3, "served_s": 0.5, "seen": [["m9", 1, 2, 6]]},
+    "/peer/promise": {"promise": True},
+    "/keys": {"rows": [], "epoch": REVISION},
+    "/changes": {"log": [], "epoch": REVISION},
+}
+
+
+class Recorder:
+    """Calls of one process: each is kept as the bytes that it would send."""
+
+    def __init__(self) -> None:
+        self.calls: list[list[Any]] = []
+
+    def dial(self, endpoint: str, slots: int) -> Recorder:
+        return self
+
+    async def call(
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        timeout: float = 2.0,
+        query: dict[str, Any] | None = None,
+        endpoint: str = "",
+    ) -> Answer:
+        self.calls.append([method, path, encode(body).hex(), query or {}])
+        if path.startswith("/keys/"):
+            return Answer(404, {})
+        if path == "/do":
+            worker = report("m1", 9)
+            return Answer(200, msgspec.to_builtins(worker))
+        return Answer(200, ANSWERS.get(path, {}))
+
+    def close(self) -> None:
+        pass
+
+
+def request(body: Any = None, parameter: str = "") -> Request:
+    payload = b"" if body is None else encode(body)
+    return Request(parameter, payload, "10.0.0.1", None, None)
+
+
+async def reply_bytes(found: Reply | Awaitable[Reply]) -> list[Any]:
+    reply = found if isinstance(found, Reply) else await found
+    body = reply.body if isinstance(reply.body, bytes) else encode(reply.body)
+    return [reply.status, body.hex()]
+
+
+def whole_submission() -> Any:
+    return spec(
+        "req-7",
+        image="img",
+        image_gb=2.5,
+        machine_types=["big", "small"],
+        zone="north",
+        single_zone=True,
+        spread_zones=True,
+        spot=True,
+        checkpoint_interval_s=5.0,
+        checkpoint_save_s=1.0,
+        deadline_s=90.0,
+        depends_on=["req-1", "req-2"],
+        accelerators=1.0,
+    )
+
+
+def plain_examples() -> dict[str, Any]:
+    """Messages and records that need no process."""
+    whole = whole_submission()
+    many = spec("req-8", depends_on=[f"req-{n}" for n in range(300)])
+    types = msgspec.to_builtins(FLAVORS)
+    stretches = records.Stretches(16.0, 2.0)
+    zone = ZoneState(ZONE_POLICY, NOW - 20.0)
+    zone.enter(ZonePhase.LOST, "why", NOW - 10.0)
+    return {
+        "submission": encode(whole).hex(),
+        "submission with defaults": encode(spec()).hex(),
+        "heartbeat": encode(
+            report("m1", 3, ("req-1/0", 5, "running"), ("req-1/1", 6, "exited", "done", True))
+        ).hex(),
+        "status": encode(status_body("req-1", "running", 3, 4, ["req-0"])).hex(),
+        "status of a queued job": encode(status_body("req-1", "queued")).hex(),
+        "stop": encode(stop_order("req-1/0", 5, 2.5)).hex(),
+        "job": records.job_rows(whole, 4.0, 8),
+        "job with many dependencies": records.job_rows(many, 2.0, 8),
+        "outcome": records.over_value(whole, "done", WALL, 4.0),
+        "outcome with its names cut": records.over_value(whole, "aborted", WALL, 0.3),
+        "machine types": records.machine_type_rows(types, 4.0),
+        "machine types in parts": records.machine_type_rows(types * 9, 1.0),
+        "done tasks": [
+            [stretches.name("req-1", base), stretches.item(base, range(base, base + 9))]
+            for base in stretches.bases(900)
+        ],
+        "zone": [
+            zone_records.key("north 1"),
+            zone_records.value_of(zone, 1, NOW, WALL),
+        ],
+        "keys": [
+            records.job_key("req-1"),
+            records.over_key("req-1"),
+            records.awaits_key("req-1", 2),
+            records.LEAD,
+            records.TOKEN,
+            records.KEEP,
+            records.KEPT,
+            records.ROSTER,
+            records.PARTS,
+        ],
+    }
+
+
+async def election_calls() -> list[list[Any]]:
+    """What a process sends to become the leader, and to ask for the leases of its zone."""
+    recorder = Recorder()
+    node = Node(settings("n0", ("n1",)), random.Random(1), lambda: NOW, recorder.dial)
+    await Election(node)._stand(None)
+    node.leader, node.leader_token = "n1", TOKEN
+    await node.zone_keeper._ask()
+    assert await ask_promise(node.peers["n1"], "n0", 1.0)
+    assert await ask_reach(node.peers["n1"], leads=True) is not None
+    await node.ask_leader("/peer/poll", "req-1", 1.0)
+    await node.store.extend(LEASE, 1.0)
+    await node.store.rows("job/")
+    await node.store.changes("job/", 3, 0.01)
+    return recorder.calls
+
+
+async def leader_examples() -> dict[str, Any]:
+    """What a leader answers and sends, for a small fleet."""
+    recorder = Recorder()
+    policy = Policy(zone_recovery=ZONE_POLICY, partial_cuts=CUT_POLICY)
+    node = Node(settings("n0", ("n1",)), random.Random(1), lambda: NOW, recorder.dial, policy)
+    node.machine_types = {found.name: found for found in FLAVORS}
+    term = Term(node, TOKEN, REVISION, LEASE, LeaseClock(1e9))
+    term.clock.renewed(NOW)
+    ledger = term.ledger
+    ledger.loaded = ledger.ready = True
+    node.term, node.leader = term, "n0"
+    clients, peers = ClientHandlers(node), PeerHandlers(node)
+    found: dict[str, Any] = {}
+    for n in range(2):
+        ledger.add_machine(f"m{n}", "small", "north", n == 1, NOW, rostered=True)
+        found[f"first heartbeat of m{n}"] = await reply_bytes(
+            clients.report(request(report(f"m{n}", 1, spot=n == 1)))
+        )
+    found["submission accepted"] = await reply_bytes(
+        clients.submit(request(given(spec("req-1", image="img", task_count=3))))
+    )
+    found["submission with dependencies"] = await reply_bytes(
+        clients.submit(request(given(spec("req-3", depends_on=["req-1"]))))
+    )
+    found["submission refused"] = await reply_bytes(
+        clients.submit(request(given(spec("req-2", team="none"))))
+    )
+    placement.place(ledger, random.Random(1), NOW)
+    found["starts"] = await reply_bytes(clients.report(request(report("m0", 2))))
+    job = ledger.jobs["req-1"]
+    binding = job.bindings[0]
+    shown = ("req-1/0", binding.attempt, "running")
+    name, other = binding.machine.name, ("req-9/1", 4, "running")
+    spot = binding.machine.spot
+    found["a stop"] = await reply_bytes(
+        clients.report(request(report(name, 3, shown, other, spot=spot)))
+    )
+    exits = (("req-1/0", binding.attempt, "exited", "error"), ("req-9/1", 4, "exited", "halted"))
+    found["reaped"] = await reply_bytes(clients.report(request(report(name, 4, *exits, spot=spot))))
+    found["heartbeat refused"] = await reply_bytes(clients.report(request({"saltlick": "m1"})))
+    found["status"] = await reply_bytes(clients.poll(request(parameter="req-1")))
+    found["status of a job that waits"] = await reply_bytes(
+        clients.poll(request(parameter="req-3"))
+    )
+    found["no such job"] = await reply_bytes(clients.poll(request(parameter="nonsense")))
+    found["overview"] = await reply_bytes(clients.overview(request()))
+    found["up"] = await reply_bytes(clients.up(request()))
+    found["peer"] = await reply_bytes(peers.redirected(request({"leads": True})))
+    found["peer poll"] = await reply_bytes(peers.poll(request({"uid": "req-1"})))
+    recorder.calls.clear()
+    await term.outcomes.write([job])
+    found["cancelled"] = await reply_bytes(clients.cancel(request(parameter="req-1")))
+    machine = ledger.machines["m1"]
+    machine.joined, machine.endpoint = False, "10.0.0.2:9"
+    await term.worker_calls.join(machine, 1.0)
+    await term.worker_calls.send(machine, [stop_order("req-1/0", 5, 2.5)])
+    await term.rental.hire((0, 0, True), 3)
+    assert machine.phase == UP
+    await term.rental.give_back([ReturnDecision.of(machine, "not needed")])
+    await term.rental.store_machine_types()
+    term.pages.roster.set("m1", ["small", "north", True, "10.0.0.2:9"])
+    await term.pages.write_pages(term.pages.roster)
+    term.pages.leftovers["awaits/req-8/0"] = "req-8"
+    await term.pages.clear_leftovers()
+    await term.zone_permissions.allow("n1", {"area": "north", "nonce": "x", "token": TOKEN})
+    found["calls"] = recorder.calls
+    return found
+
+
+async def follower_examples() -> dict[str, Any]:
+    """What a process that does not lead answers."""
+    recorder = Recorder()
+    node = Node(settings("n1", ("n0",)), random.Random(1), lambda: NOW, recorder.dial)
+    node.store.answered = NOW
+    node.leader = "n0"
+    clients, peers = ClientHandlers(node), PeerHandlers(node)
+    found: dict[str, Any] = {}
+    found["redirect"] = await reply_bytes(clients.report(request(report("m1", 4))))
+    found["peer"] = await reply_bytes(peers.redirected(request({"leads": True})))
+    found["peer poll"] = await reply_bytes(peers.poll(request({"uid": "req-1"})))
+    found["not up"] = await reply_bytes(clients.up(request()))
+    node.leader = None
+    found["no leader"] = await reply_bytes(clients.report(request(report("m1", 5))))
+    found["overview"] = await reply_bytes(clients.overview(request()))
+    return found
+
+
+def examples() -> dict[str, Any]:
+    """All examples, as plain JSON."""
+    one = uuid.UUID(int=0x1234567890ABCDEF1234567890ABCDEF)
+    with (
+        mock.patch.object(uuid, "uuid4", lambda: one),
+        mock.patch.object(time, "time", lambda: WALL),
+    ):
+        found = {
+            "plain": plain_examples(),
+            "election": asyncio.run(election_calls()),
+            "leader": asyncio.run(leader_examples()),
+            "follower": asyncio.run(follower_examples()),
+        }
+    plain: dict[str, Any] = json.loads(json.dumps(found))
+    return plain
+
+
+if __name__ == "__main__":
+    FIXTURE.write_text(json.dumps(examples(), indent=1, sort_keys=True) + "\n")
+    print(f"wrote {FIXTURE.relative_to(ROOT)}")
