--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -197,6 +197,24 @@
     return recorder.calls
 
 
+async def send_from(term: Term) -> None:
+    """What a leader sends to the state service, the cloud and the workers."""
+    await term.outcomes.write([term.ledger.jobs["req-1"]])
+    machine = term.ledger.machines["m1"]
+    machine.joined, machine.endpoint = False, "10.0.0.2:9"
+    await term.worker_calls.join(machine, 1.0)
+    await term.worker_calls.send(machine, [stop_order("req-1/0", 5, 2.5)])
+    await term.rental.hire((0, 0, True), 3)
+    assert machine.phase == UP
+    await term.rental.give_back([ReturnDecision.of(machine, "not needed")])
+    await term.rental.store_machine_types()
+    term.pages.roster.set("m1", ["small", "north", True, "10.0.0.2:9"])
+    await term.pages.write_pages(term.pages.roster)
+    term.pages.leftovers["awaits/req-8/0"] = "req-8"
+    await term.pages.clear_leftovers()
+    await term.zone_permissions.allow("n1", {"area": "north", "nonce": "x", "token": TOKEN})
+
+
 async def leader_examples() -> dict[str, Any]:
     """What a leader answers and sends, for a small fleet."""
     recorder = Recorder()
@@ -247,21 +265,8 @@
     found["peer"] = await reply_bytes(peers.redirected(request({"leads": True})))
     found["peer poll"] = await reply_bytes(peers.poll(request({"uid": "req-1"})))
     recorder.calls.clear()
-    await term.outcomes.write([job])
+    await send_from(term)
     found["cancelled"] = await reply_bytes(clients.cancel(request(parameter="req-1")))
-    machine = ledger.machines["m1"]
-    machine.joined, machine.endpoint = False, "10.0.0.2:9"
-    await term.worker_calls.join(machine, 1.0)
-    await term.worker_calls.send(machine, [stop_order("req-1/0", 5, 2.5)])
-    await term.rental.hire((0, 0, True), 3)
-    assert machine.phase == UP
-    await term.rental.give_back([ReturnDecision.of(machine, "not needed")])
-    await term.rental.store_machine_types()
-    term.pages.roster.set("m1", ["small", "north", True, "10.0.0.2:9"])
-    await term.pages.write_pages(term.pages.roster)
-    term.pages.leftovers["awaits/req-8/0"] = "req-8"
-    await term.pages.clear_leftovers()
-    await term.zone_permissions.allow("n1", {"area": "north", "nonce": "x", "token": TOKEN})
     found["calls"] = recorder.calls
     return found
 
