--- a/src/salthead/coordination/heartbeats.py
+++ b/src/salthead/coordination/heartbeats.py
@@ -19,7 +19,7 @@
 log = logging.getLogger("salthead.reports")
 
 JOBS_KNOWN, MACHINE_THERE = int(Fact.JOBS_KNOWN), int(Fact.MACHINE_THERE)
-SESSION_OPEN, ANSWERS_HEARD = int(Fact.SESSION_OPEN), int(Fact.ANSWERS_HEARD)
+INCARNATION_CURRENT, ANSWERS_HEARD = int(Fact.INCARNATION_CURRENT), int(Fact.ANSWERS_HEARD)
 
 
 def handle(
@@ -42,7 +42,7 @@
         and heartbeat.fencing_token == ledger.token
         and not direct
         and heartbeat.tasks == machine.shown
-        and heartbeat.session == machine.session
+        and heartbeat.incarnation == machine.incarnation
         and heartbeat.sequence > machine.sequence
         and machine.joined
         and heartbeat.warning_s is None
@@ -53,11 +53,14 @@
         # the last one, nothing is new and nothing is wanted. Inlined from what follows, since at
         # 570 machines half of what a leader did for reports was to find that out.
         links = machine.links
-        if heartbeat.sequence == links.answered_sequence + 1 and ledger.other_controllers:
-            links.answers_at = links.answered_at
+        if heartbeat.sequence == links.acknowledged_sequence + 1 and ledger.other_controllers:
+            links.answers_at = links.acknowledged_at
             links.unheard_answers = 0
-        links.answered_session, links.answered_sequence = heartbeat.session, heartbeat.sequence
-        links.answered_at = links.last_received_at = machine.answered = machine.heard = now
+        links.acknowledged_incarnation, links.acknowledged_sequence = (
+            heartbeat.incarnation,
+            heartbeat.sequence,
+        )
+        links.acknowledged_at = links.last_received_at = machine.answered = machine.heard = now
         machine.sequence = heartbeat.sequence
         if ledger.zone_hooks is not None:
             ledger.zone_hooks.heard(machine)
@@ -97,8 +100,8 @@
         log.info("machine %s reports unexpectedly", machine.name)
     if not direct:
         machine.answered = now
-        machine.links.answered(heartbeat.session, heartbeat.sequence, now)
-    newer = (heartbeat.session, heartbeat.sequence) > (machine.session, machine.sequence)
+        machine.links.answered(heartbeat.incarnation, heartbeat.sequence, now)
+    newer = (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
     if not newer or not ledger.loaded:
         # Not loaded: keep the worker alive, look at its tasks next time.
         return []
@@ -134,7 +137,7 @@
 ) -> None:
     """What a worker's own report shows of the answers to those before it."""
     lost = machine.links.heartbeat_received(
-        heartbeat.session, heartbeat.sequence, current, ledger.other_controllers, now
+        heartbeat.incarnation, heartbeat.sequence, current, ledger.other_controllers, now
     )
     if lost and not machine.joined and ledger.shared_silence is not None:
         # None of our answers renewed its lease, nor will one of them. Counted from the last of
@@ -172,9 +175,9 @@
     if heartbeat.worker not in ledger.recently_gone:
         held |= MACHINE_THERE
     if machine is None:
-        return held | SESSION_OPEN | ANSWERS_HEARD
-    if heartbeat.session >= machine.min_session:
-        held |= SESSION_OPEN
+        return held | INCARNATION_CURRENT | ANSWERS_HEARD
+    if heartbeat.incarnation >= machine.min_incarnation:
+        held |= INCARNATION_CURRENT
     if heeds or machine.joined or _may_hear(ledger, machine, now):
         held |= ANSWERS_HEARD
     return held
@@ -195,11 +198,11 @@
 
 def _take_in(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
     """News of a machine, its tasks aside."""
-    if heartbeat.session > machine.session and machine.session > 0:
-        _new_session(ledger, machine, heartbeat, now)
+    if heartbeat.incarnation > machine.incarnation and machine.incarnation > 0:
+        _new_incarnation(ledger, machine, heartbeat, now)
     if machine.phase in (BOOTING, LOST):
         _came_up(ledger, machine, now)
-    machine.session, machine.sequence = heartbeat.session, heartbeat.sequence
+    machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
     machine.heard = now
     if ledger.zone_hooks is not None:
         ledger.zone_hooks.heard(machine)
@@ -217,13 +220,13 @@
         machine.endpoint = heartbeat.endpoint
 
 
-def _new_session(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
+def _new_incarnation(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
     """The worker's lease has ended, and with it all that it ran."""
-    log.info("machine %s: session %d", machine.name, heartbeat.session)
+    log.info("machine %s: session %d", machine.name, heartbeat.incarnation)
     if machine.joined and now - machine.heard < 0.5 * ledger.limits.workers.lease_s:
         why = "its lease ended though its reports were answered"
         mark_unresponsive(ledger, machine, now, why)
-    ledger.lose_tasks(machine, now, Proof.NEW_SESSION)
+    ledger.lose_tasks(machine, now, Proof.NEW_INCARNATION)
 
 
 def _came_up(ledger: Ledger, machine: Machine, now: float) -> None:
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -369,7 +369,7 @@
             task=binding.task_id,
             attempt=binding.attempt,
             machine=machine.name,
-            session=machine.session,
+            incarnation=machine.incarnation,
             sequence=machine.sequence,
             proof=proof,
             detail=detail,
@@ -526,7 +526,7 @@
         log.info("machine %s lost: unheard for %.1f s", machine.name, now - machine.heard)
         self.set_phase(machine, LOST)
         machine.lost_at = now
-        machine.min_session = machine.session + 1
+        machine.min_incarnation = machine.incarnation + 1
         machine.first_answered_at = math.inf  # it holds nothing any more, and may join if it heals
         machine.joined = False
         self.lose_tasks(machine, now, Proof.LEASE_OVER)
--- a/src/salthead/coordination/model.py
+++ b/src/salthead/coordination/model.py
@@ -28,7 +28,7 @@
     NEVER_STARTED = "never_started"  # a report newer than all answers that ordered it lacks it
     NEVER_TOLD = "never_told"  # no answer carried its start
     LEASE_OVER = "lease_over"
-    NEW_SESSION = "new_session"
+    NEW_INCARNATION = "new_session"
     RETURNED = "returned"  # the cloud confirmed that the machine is gone
 
 
@@ -74,9 +74,9 @@
     used: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
     rostered: bool = False
     joined: bool = False  # reported under this term's token
-    session: int = 0
+    incarnation: int = 0
     sequence: int = -1
-    min_session: int = 0
+    min_incarnation: int = 0
     heard: float = -math.inf
     answered: float = -math.inf
     warn_at: float | None = None
--- a/src/salthead/coordination/strays.py
+++ b/src/salthead/coordination/strays.py
@@ -42,7 +42,7 @@
         task=f"{job_id}/{index}",
         attempt=attempt,
         machine=machine.name,
-        session=machine.session,
+        incarnation=machine.incarnation,
         job_known=job is not None,
         team_known=team >= 0,
         token=ledger.token,
--- a/src/salthead/coordination/takeover.py
+++ b/src/salthead/coordination/takeover.py
@@ -69,7 +69,7 @@
             if machine.machine_type not in self.ledger.machine_types:
                 found["type_unknown"] += 1
             else:
-                found["silent" if machine.links.answered_sequence < 0 else "answered"] += 1
+                found["silent" if machine.links.acknowledged_sequence < 0 else "answered"] += 1
         return found
 
     def room(self) -> tuple[float, float]:
--- a/src/salthead/coordination/task_reconciliation.py
+++ b/src/salthead/coordination/task_reconciliation.py
@@ -198,7 +198,7 @@
         task=task.task_id,
         attempt=task.attempt,
         machine=machine.name,
-        session=machine.session,
+        incarnation=machine.incarnation,
         phase=task.phase,
         token=ledger.token,
     )
--- a/src/salthead/evidence/gate.py
+++ b/src/salthead/evidence/gate.py
@@ -19,7 +19,7 @@
     JOBS_KNOWN = auto()  # no cancellation that was confirmed to a user can be missing here
     FLEET_ACCOUNTED = auto()  # each machine of the roster has reported here, or its lease is over
     MACHINE_THERE = auto()  # the cloud has not confirmed the machine's return
-    SESSION_OPEN = auto()  # the worker's session is not one that must be over
+    INCARNATION_CURRENT = auto()  # the worker's incarnation is not one that must have ended
     ANSWERS_HEARD = auto()  # answers to the worker are not known to be lost
     IN_ROSTER = auto()  # the state service knows the machine
     TOKEN_ACCEPTED = auto()  # the worker has shown this term's token
@@ -57,7 +57,7 @@
             | Fact.TOKEN_CURRENT
             | Fact.JOBS_KNOWN
             | Fact.MACHINE_THERE
-            | Fact.SESSION_OPEN
+            | Fact.INCARNATION_CURRENT
             | Fact.ANSWERS_HEARD
         ),
         Action.START: Fact.LEAD_LEASE | Fact.IN_ROSTER | Fact.TOKEN_ACCEPTED,
@@ -93,6 +93,9 @@
 _PUBLISHED_ACTION_NAMES = {Action.ACKNOWLEDGE_HEARTBEAT: "answer_report"}
 
 
+_PUBLISHED_FACT_NAMES = {Fact.INCARNATION_CURRENT: "session_open"}
+
+
 def action_name(action: Action) -> str:
     """The name of an action in metrics and in the interface."""
     return _PUBLISHED_ACTION_NAMES.get(action, action.name.lower())
@@ -100,4 +103,4 @@
 
 def fact_names(bits: int) -> list[str]:
     """The names of facts, for logs, metrics and operators."""
-    return [str(fact.name).lower() for fact in Fact if fact & bits]
+    return [_PUBLISHED_FACT_NAMES.get(fact, str(fact.name).lower()) for fact in Fact if fact & bits]
--- a/src/salthead/evidence/links.py
+++ b/src/salthead/evidence/links.py
@@ -26,12 +26,12 @@
     command_failed_at: float = -math.inf  # the latest direct call that was not
     unheard_answers: int = 0  # in a row that were certainly not accepted
     # The newest report that was answered under this term's token, and when.
-    answered_session: int = 0
-    answered_sequence: int = -1
-    answered_at: float = -math.inf
+    acknowledged_incarnation: int = 0
+    acknowledged_sequence: int = -1
+    acknowledged_at: float = -math.inf
 
     def heartbeat_received(
-        self, session: int, sequence: int, shows_token: bool, others: bool, now: float
+        self, incarnation: int, sequence: int, shows_token: bool, others: bool, now: float
     ) -> bool:
         """A worker's own report came, not the answer to a call; whether it shows an answer lost.
 
@@ -42,41 +42,48 @@
         ``others``: there are other controllers, to one of which the worker would have turned had
         it heard nothing. Then the very next report here shows that the answer was accepted.
         """
-        if (session, sequence) <= (self.answered_session, self.answered_sequence):
+        if (incarnation, sequence) <= (self.acknowledged_incarnation, self.acknowledged_sequence):
             return False
         self.last_received_at = now
-        if self.answered_sequence < 0:
+        if self.acknowledged_sequence < 0:
             return False
         if not shows_token:
             self.unheard_answers += 1
             return True
-        if others and session == self.answered_session and sequence == self.answered_sequence + 1:
-            self.answers_at = self.answered_at
+        if (
+            others
+            and incarnation == self.acknowledged_incarnation
+            and sequence == self.acknowledged_sequence + 1
+        ):
+            self.answers_at = self.acknowledged_at
             self.unheard_answers = 0
         return False
 
-    def turned_away(self, session: int, sequence: int, shows_token: bool, now: float) -> bool:
+    def turned_away(self, incarnation: int, sequence: int, shows_token: bool, now: float) -> bool:
         """A report came to another node; whether it shows that the answer given here was lost.
 
         A worker stays with the node that answers it. One that has shown the token may have left for
         another reason than the last answer, unless this is the very next report.
         """
-        if (session, sequence) <= (self.answered_session, self.answered_sequence):
+        if (incarnation, sequence) <= (self.acknowledged_incarnation, self.acknowledged_sequence):
             return False
         self.last_received_at = now
-        if self.answered_sequence < 0:
+        if self.acknowledged_sequence < 0:
             return False
-        next_one = (session, sequence) == (self.answered_session, self.answered_sequence + 1)
+        next_one = (incarnation, sequence) == (
+            self.acknowledged_incarnation,
+            self.acknowledged_sequence + 1,
+        )
         if shows_token and not next_one:
             return False
         self.unheard_answers += 1
         return True
 
-    def answered(self, session: int, sequence: int, now: float) -> None:
+    def answered(self, incarnation: int, sequence: int, now: float) -> None:
         """A report is answered with 200 now."""
-        if (session, sequence) > (self.answered_session, self.answered_sequence):
-            self.answered_session, self.answered_sequence = session, sequence
-            self.answered_at = now
+        if (incarnation, sequence) > (self.acknowledged_incarnation, self.acknowledged_sequence):
+            self.acknowledged_incarnation, self.acknowledged_sequence = incarnation, sequence
+            self.acknowledged_at = now
 
     def command_answered(self, sent: float) -> None:
         """A direct call that was sent then was answered."""
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -81,7 +81,7 @@
             heartbeats.heartbeat_seen_by_peer(
                 self.ledger,
                 seen.worker,
-                (seen.session, seen.sequence),
+                (seen.incarnation, seen.sequence),
                 shows_token,
                 self.term.now(),
             )
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -18,7 +18,7 @@
     """A worker's report that came to a peer."""
 
     worker: str
-    session: int
+    incarnation: int
     sequence: int
     token: int  # that the worker had accepted
 
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -32,10 +32,10 @@
         self.term = term
 
     async def _command(
-        self, machine: Machine, session: int, orders: list[dict[str, Any]], timeout: float
+        self, machine: Machine, incarnation: int, orders: list[dict[str, Any]], timeout: float
     ) -> Answer:
         """POST /do under this term's token."""
-        body = {"baton": self.term.token, "tenure": session, "orders": orders}
+        body = {"baton": self.term.token, "tenure": incarnation, "orders": orders}
         sent = self.term.now()
         try:
             answer = await self.term.node.workers.call(
@@ -69,12 +69,12 @@
         A call with our token and no orders makes the worker accept the token, after which no
         command of an earlier leader is executed, and its answer shows what it runs.
         """
-        session = 1
+        incarnation = 1
         for _ in range(2):
             if machine.joined or not machine.endpoint or not self.term.valid():
                 return
             try:
-                answer = await self._command(machine, session, [], timeout)
+                answer = await self._command(machine, incarnation, [], timeout)
                 heartbeat = shape(answer.body, Heartbeat)
             except TROUBLES as error:
                 self.term.node.note("join", error)
@@ -84,7 +84,7 @@
             if answer.status == 200:
                 self.term.ledger.handle_heartbeat(heartbeat, self.term.now(), direct=True)
                 return
-            session = heartbeat.session
+            incarnation = heartbeat.incarnation
 
     async def unresponsive_loop(self) -> None:
         """Machines that nothing seems to reach: whether a direct call does."""
@@ -162,7 +162,7 @@
     async def probe(self, machine: Machine) -> None:
         """Note that a call reaches the machine, if one does."""
         with contextlib.suppress(Unanswered):
-            answer = await self._command(machine, machine.session, [], PROBE_S)
+            answer = await self._command(machine, machine.incarnation, [], PROBE_S)
             if answer.status in (200, 409):
                 machine_health.mark_responsive(self.term.ledger, machine, self.term.now())
 
@@ -196,6 +196,6 @@
     async def send(self, machine: Machine, orders: list[dict[str, Any]]) -> None:
         """Send commands once; answers to the worker's reports repeat them."""
         try:
-            await self._command(machine, machine.session, orders, STOP_S)
+            await self._command(machine, machine.incarnation, orders, STOP_S)
         except Unanswered as error:
             self.term.node.note("direct stop", error)
--- a/src/salthead/node/handlers.py
+++ b/src/salthead/node/handlers.py
@@ -96,7 +96,7 @@
             return _error(400, error)
         if request.connections is not None and request.stream is not None:
             request.connections.heartbeat_received(
-                heartbeat.worker, (heartbeat.session, heartbeat.sequence), request.stream
+                heartbeat.worker, (heartbeat.incarnation, heartbeat.sequence), request.stream
             )
         return Reply(*self.node.handle_heartbeat(heartbeat, request.remote_ip))
 
--- a/src/salthead/node/reach.py
+++ b/src/salthead/node/reach.py
@@ -31,7 +31,7 @@
 class RedirectedHeartbeat(NamedTuple):
     """Which report a worker sent here although another node leads, and the token that it showed."""
 
-    session: int
+    incarnation: int
     sequence: int
     token: int
     at: float
@@ -80,7 +80,7 @@
         if to_leader:
             self._forget_old()
             told["seen"] = [
-                [worker, found.session, found.sequence, found.token]
+                [worker, found.incarnation, found.sequence, found.token]
                 for worker, found in islice(reversed(self.seen.items()), SEEN_TOLD)
             ]
         return told
@@ -107,7 +107,7 @@
     def record_redirected_heartbeat(self, heartbeat: Heartbeat) -> None:
         """A worker reported here although another node leads."""
         self.seen[heartbeat.worker] = RedirectedHeartbeat(
-            heartbeat.session, heartbeat.sequence, heartbeat.fencing_token, self.node.now()
+            heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token, self.node.now()
         )
         self.seen.move_to_end(heartbeat.worker)
         self._forget_old()
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -94,7 +94,7 @@
     """POST /hello."""
 
     worker: str = msgspec.field(name="saltlick")
-    session: int = msgspec.field(name="tenure")
+    incarnation: int = msgspec.field(name="tenure")
     sequence: int = msgspec.field(name="tally")
     fencing_token: int = msgspec.field(name="baton", default=0)
     endpoint: str = ""
@@ -244,7 +244,7 @@
     heartbeat = decode(body, Heartbeat)
     if (
         not heartbeat.worker
-        or heartbeat.session < 1
+        or heartbeat.incarnation < 1
         or heartbeat.sequence < 0
         or heartbeat.fencing_token < 0
     ):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -122,7 +122,7 @@
     name: str,
     sequence: int,
     *task_count: tuple[Any, ...],
-    session: int = 1,
+    incarnation: int = 1,
     fencing_token: int = 7,
     machine_type: str = "small",
     zone: str = "north",
@@ -132,7 +132,7 @@
     """Pieces are (piece, attempt, phase[, cause[, saved]])."""
     return Heartbeat(
         worker=name,
-        session=session,
+        incarnation=incarnation,
         sequence=sequence,
         fencing_token=fencing_token,
         machine_type=machine_type,
--- a/tests/soak_world.py
+++ b/tests/soak_world.py
@@ -106,7 +106,7 @@
             await asyncio.sleep(LEASE_LOOK_S)
             for worker in list(self.cloud.hosts.values()):
                 if worker.up and self.now() - worker.answered > LIMITS["workers"]["lease_s"]:
-                    worker.session, worker.sequence = worker.session + 1, 0
+                    worker.incarnation, worker.sequence = worker.incarnation + 1, 0
                     worker.answered = self.now()
                     worker.tasks.clear()
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -276,7 +276,7 @@
         self.deaf = False  # its reports arrive, answers and commands don't reach it
         self.mute = False  # reaches no node, while direct commands reach it
         self.cut = False  # from all nodes; what is sent meanwhile arrives when that is over
-        self.session, self.sequence, self.fencing_token = 1, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.answered = 0.0
         self.changed = asyncio.Event()
@@ -296,7 +296,7 @@
             "build": self.machine_type,
             "paddock": self.zone,
             "borrowed": self.spot,
-            "tenure": self.session,
+            "tenure": self.incarnation,
             "tally": self.sequence,
             "baton": self.fencing_token,
             "warning_s": None,
@@ -340,11 +340,19 @@
             while self.hung and self.world.now() - self.answered <= LIMITS["workers"]["lease_s"]:
                 await asyncio.sleep(0.2)
             if self.world.now() - self.answered > LIMITS["workers"]["lease_s"]:
-                self.session, self.sequence, self.answered = self.session + 1, 0, self.world.now()
+                self.incarnation, self.sequence, self.answered = (
+                    self.incarnation + 1,
+                    0,
+                    self.world.now(),
+                )
                 self.tasks.clear()
             while self.hung:
                 await asyncio.sleep(0.2)
-            sent, session, message = self.world.now(), self.session, encode(self.heartbeat())
+            sent, incarnation, message = (
+                self.world.now(),
+                self.incarnation,
+                encode(self.heartbeat()),
+            )
             try:
                 status, body = await asyncio.wait_for(
                     self.world.hello(self, self.node, message), 4.0
@@ -352,7 +360,7 @@
             except (TimeoutError, Unanswered):
                 status, body = 599, {}
             if status == 200:
-                if body["baton"] >= self.fencing_token and session == self.session:
+                if body["baton"] >= self.fencing_token and incarnation == self.incarnation:
                     if body["baton"] > self.fencing_token:
                         self.fencing_token = body["baton"]
                         self.changed.set()
@@ -624,7 +632,7 @@
             await asyncio.sleep(60.0)
         while worker.hung or worker.cut:
             await asyncio.sleep(0.2)
-        if body["baton"] < worker.fencing_token or body["tenure"] != worker.session:
+        if body["baton"] < worker.fencing_token or body["tenure"] != worker.incarnation:
             return Answer(409, worker.heartbeat())
         worker.fencing_token = body["baton"]
         worker.obey(body["orders"])
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -65,8 +65,8 @@
         elif what == "close":
             found.closed(stream)
         else:
-            worker, session, sequence = what.split()
-            found.heartbeat_received(worker, (int(session), int(sequence)), stream)
+            worker, incarnation, sequence = what.split()
+            found.heartbeat_received(worker, (int(incarnation), int(sequence)), stream)
     assert log == ended
     assert len(found.used_at) <= 2 and set(found.worker_on) <= set(found.used_at)
 
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -260,11 +260,11 @@
     lost = ReturnDecision.of(found, LOST_REASON)
     assert lost.holds() and not idle.holds()
     found.cordoned = True
-    led.handle_heartbeat(heartbeat("m1", 1, session=2), LEASE_S + 2.0)
+    led.handle_heartbeat(heartbeat("m1", 1, incarnation=2), LEASE_S + 2.0)
     assert found.phase == UP and not lost.holds() and not found.cordoned
     silent = ReturnDecision.of(found, SILENT_REASON)
     assert silent.holds()
-    led.handle_heartbeat(heartbeat("m1", 2, session=2), LEASE_S + 3.0)
+    led.handle_heartbeat(heartbeat("m1", 2, incarnation=2), LEASE_S + 3.0)
     assert not silent.holds(), "up as before, and no longer silent"
 
 
@@ -272,7 +272,7 @@
     ("given", "answered", "heard"),
     [
         ({}, True, 9.0),
-        ({"session": 2}, True, 9.0),
+        ({"incarnation": 2}, True, 9.0),
         ({"sequence": 2}, True, 2.0),  # a copy
         ({"warning_s": 5.0}, True, 9.0),
         ({"fencing_token": 8}, False, 2.0),
@@ -297,11 +297,11 @@
         led.bind(job(led, task_count=1), 0, found, 5, 2.0)
     more = {name: value for name, value in given.items() if name != "sequence"}
     answer = led.handle_heartbeat(heartbeat("m1", given.get("sequence", 4), **more), 9.0)
-    lost = before == "lost" and given.get("session") != 2
+    lost = before == "lost" and given.get("incarnation") != 2
     refused = not answered or before == "deposed" or lost
     assert answer == (None if refused else [])
     assert found.heard == (2.0 if refused else heard)
-    assert found.session == (2 if given.get("session") == 2 and not refused else 1)
+    assert found.incarnation == (2 if given.get("incarnation") == 2 and not refused else 1)
     if not refused and heard == 9.0:
         assert (found.warn_at is None) == ("warning_s" not in given)
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -73,7 +73,7 @@
 
 def come_back(led: Ledger) -> None:
     for name in [name for n, name in enumerate(led.machines) if n % 3 == 0]:
-        led.handle_heartbeat(heartbeat(name, 9, session=2), 110.0)
+        led.handle_heartbeat(heartbeat(name, 9, incarnation=2), 110.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -74,7 +74,7 @@
     assert not one.bindings and led.usage[one.team][0] == 0.0
     # A late report of that session is old news: it neither revives the machine nor its task.
     assert led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", 1, "running")), over + 1.0) is None
-    assert led.handle_heartbeat(heartbeat("m1", 4, session=2), over + 2.0) == []
+    assert led.handle_heartbeat(heartbeat("m1", 4, incarnation=2), over + 2.0) == []
     assert led.machines["m1"].phase == UP
 
 
@@ -83,7 +83,7 @@
     machine(led, "m1")
     one = job(led, task_count=2)
     place(led)
-    led.handle_heartbeat(heartbeat("m1", 9, session=2), 1.0)
+    led.handle_heartbeat(heartbeat("m1", 9, incarnation=2), 1.0)
     assert one.waiting() == 2
 
 
@@ -316,7 +316,7 @@
         one, names = self.gang(led)
         old = one.attempt
         machine(led, "m3", 14.0)
-        led.handle_heartbeat(heartbeat(names[0], 9, session=2), 15.0)
+        led.handle_heartbeat(heartbeat(names[0], 9, incarnation=2), 15.0)
         place(led, 16.0)
         assert list(one.bindings) == [1], "no start while the old attempt is on a machine"
         orders = led.handle_heartbeat(heartbeat(names[1], 3, ("req-1/1", old, "running")), 16.0)
@@ -606,7 +606,7 @@
         # One that hung for its whole lease begins a new session as well, and hears well.
         led = ready()
         machine(led, "m1", heard)
-        led.handle_heartbeat(heartbeat("m1", 1, session=2), 13.0)
+        led.handle_heartbeat(heartbeat("m1", 1, incarnation=2), 13.0)
         assert (led.machines["m1"].unresponsive_since is not None) == deaf
 
     def test_one_that_never_hears_a_new_leader_does_not_hold_up_the_takeover(self) -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -221,14 +221,15 @@
     return led, recovery
 
 
-def speak(led: Ledger, now: float, zone: str, session: int = 1) -> None:
+def speak(led: Ledger, now: float, zone: str, incarnation: int = 1) -> None:
     for found in [m for m in led.machines.values() if m.name.startswith(zone)]:
         tasks = [(b.task_id, b.attempt, "running") for b in found.bindings.values()]
-        if session > found.session:
+        if incarnation > found.incarnation:
             tasks = []
         place = "north" if zone == "n" else "south"
         led.handle_heartbeat(
-            heartbeat(found.name, found.sequence + 1, *tasks, session=session, zone=place), now
+            heartbeat(found.name, found.sequence + 1, *tasks, incarnation=incarnation, zone=place),
+            now,
         )
 
 
@@ -249,7 +250,7 @@
     lose(led, recovery)
     assert [state.phase for state in recovery.states] == [AVAILABLE, LOST]
     assert one.job_id in recovery.displaced_jobs and recovery.evacuating()
-    speak(led, 21.0, "s", session=2)
+    speak(led, 21.0, "s", incarnation=2)
     recovery.observe(21.0)
     south = [m for m in led.machines.values() if m.zone == 1]
     assert all(m.phase == "up" and m.withheld for m in south)
@@ -291,7 +292,7 @@
     opened = []
     for now in range(21, 45):
         speak(led, now, "n")
-        speak(led, now, "s", session=2)
+        speak(led, now, "s", incarnation=2)
         led.tick(now)
         recovery.observe(now)
         opened.append(sum(not m.withheld for m in led.machines.values() if m.zone == 1))
@@ -316,7 +317,7 @@
     led, recovery = two_zones()
     led.prompt.within_s = 5.0
     lose(led, recovery)
-    speak(led, 21.0, "s", session=2)
+    speak(led, 21.0, "s", incarnation=2)
     one = job(led, now=0.0, task_count=1)
     one.entitled, one.held_since = entitled, 21.0 - held_s
     found = next(m for m in led.machines.values() if m.zone == 1)
@@ -332,7 +333,7 @@
     recovery.observe(0.0)
     lose(led, recovery)
     assert recovery.states[1].phase is LOST and recovery.hire_most(1) is None
-    speak(led, 21.0, "s", session=2)
+    speak(led, 21.0, "s", incarnation=2)
     assert not any(m.withheld for m in led.machines.values())
 
 
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -151,7 +151,7 @@
     sequence: int,
     ended: int = 0,
     fencing_token: int = TOKEN,
-    session: int = 1,
+    incarnation: int = 1,
 ) -> Heartbeat:
     """A report of a machine with what is bound to it, of which some has ended."""
     task_count: list[tuple[Any, ...]] = [
@@ -160,7 +160,7 @@
     task_count[:ended] = [(*task[:2], "exited", "done") for task in task_count[:ended]]
     zone = ledger.zones[ledger.machines[name].zone]
     return heartbeat(
-        name, sequence, *task_count, fencing_token=fencing_token, session=session, zone=zone
+        name, sequence, *task_count, fencing_token=fencing_token, incarnation=incarnation, zone=zone
     )
 
 
@@ -263,7 +263,7 @@
         def come_back() -> None:
             self.ledger.tick(later)
             for name in half:
-                self.ledger.handle_heartbeat(shown(self.ledger, name, 1, session=2), later)
+                self.ledger.handle_heartbeat(shown(self.ledger, name, 1, incarnation=2), later)
 
         return self.of_work(come_back, len(half))
 
