--- a/src/salthead/bookkeeping/records.py
+++ b/src/salthead/bookkeeping/records.py
@@ -23,7 +23,7 @@
 from salthead.protocol.messages import Malformed, Submission, shape
 
 LEAD = "lead"
-TOKEN = "token"
+FENCING_TOKEN = "token"
 FLAVORS = "flavors"
 MORE_FLAVORS = "flavors/"
 AWAITS = "awaits/"
--- a/src/salthead/coordination/heartbeats.py
+++ b/src/salthead/coordination/heartbeats.py
@@ -39,7 +39,7 @@
         machine is not None
         and machine.unchanged
         and not machine.freed
-        and heartbeat.fencing_token == ledger.token
+        and heartbeat.fencing_token == ledger.fencing_token
         and not direct
         and heartbeat.tasks == machine.shown
         and heartbeat.incarnation == machine.incarnation
@@ -76,8 +76,8 @@
     """Any other report: whether it may be answered, and with which orders."""
     # Made after an answer of this term was accepted: a report of an earlier term, or of
     # before the worker's first answer, may be a copy that comes late.
-    current = heartbeat.fencing_token == ledger.token
-    if heartbeat.fencing_token > ledger.token:
+    current = heartbeat.fencing_token == ledger.fencing_token
+    if heartbeat.fencing_token > ledger.fencing_token:
         ledger.deposed_by = max(ledger.deposed_by, heartbeat.fencing_token)
     if machine is not None and not direct:
         _record_acknowledgements(ledger, machine, heartbeat, current, now)
@@ -146,7 +146,7 @@
 
 
 def heartbeat_seen_by_peer(
-    ledger: Ledger, worker: str, number: tuple[int, int], shows_token: bool, now: float
+    ledger: Ledger, worker: str, number: tuple[int, int], shows_fencing_token: bool, now: float
 ) -> None:
     """A report, by session and sequence, came to another node: it missed this one's answer.
 
@@ -155,8 +155,8 @@
     machine = ledger.machines.get(worker)
     if machine is None:
         return
-    lost = machine.links.turned_away(*number, shows_token, now)
-    if lost and not shows_token and not machine.joined:
+    lost = machine.links.turned_away(*number, shows_fencing_token, now)
+    if lost and not shows_fencing_token and not machine.joined:
         machine.answered = -math.inf
 
 
--- a/src/salthead/coordination/invariants.py
+++ b/src/salthead/coordination/invariants.py
@@ -50,8 +50,15 @@
 
     def _broken(self, which: Invariant, **evidence: object) -> bool:
         metrics.INVARIANTS_BROKEN.labels(which).inc()
-        token = self.ledger.token
-        event(log, "invariant_broken", logging.ERROR, which=which, token=token, **evidence)
+        fencing_token = self.ledger.fencing_token
+        event(
+            log,
+            "invariant_broken",
+            logging.ERROR,
+            which=which,
+            fencing_token=fencing_token,
+            **evidence,
+        )
         if self.strict:
             raise InvariantBroken(f"{which}: {evidence}")
         return False
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -95,12 +95,12 @@
     def __init__(
         self,
         limits: Limits,
-        token: int,
+        fencing_token: int,
         now: float,
         wall: float | None = None,
     ) -> None:
         self.limits = limits
-        self.token = token
+        self.fencing_token = fencing_token
         self.took_over = now
         self.leases = WorkerLeases(self, now)
         self.blind_s = blind_s(limits.workers.lease_s, limits.workers.cancel_s)
@@ -374,7 +374,7 @@
             proof=proof,
             detail=detail,
             start_sends=binding.start_sends,
-            token=self.token,
+            fencing_token=self.fencing_token,
         )
         metrics.RELEASED.labels(proof).inc()
         machine.bindings.pop((job.job_id, binding.index), None)
@@ -429,7 +429,7 @@
     def next_attempt(self) -> int:
         """A number that no other attempt of any term has."""
         self.counter += 1
-        return (self.token << ATTEMPT_BITS) | self.counter
+        return (self.fencing_token << ATTEMPT_BITS) | self.counter
 
     # -- machines -----------------------------------------------------------------------
 
@@ -513,7 +513,7 @@
             event(
                 log,
                 "takeover_complete",
-                token=self.token,
+                fencing_token=self.fencing_token,
                 after_s=now - self.took_over,
                 machines=len(self.machines),
                 jobs=len(self.jobs),
--- a/src/salthead/coordination/placement.py
+++ b/src/salthead/coordination/placement.py
@@ -517,7 +517,7 @@
         logging.INFO if due else logging.DEBUG,
         team=job.spec.team,
         job=job.job_id,
-        token=ledger.token,
+        fencing_token=ledger.fencing_token,
         booked_cpus=ledger.usage[job.team][0],
         silent_cpus=silent[0],
         limit_cpus=ledger.caps[job.team][0],
--- a/src/salthead/coordination/strays.py
+++ b/src/salthead/coordination/strays.py
@@ -45,7 +45,7 @@
         incarnation=machine.incarnation,
         job_known=job is not None,
         team_known=team >= 0,
-        token=ledger.token,
+        fencing_token=ledger.fencing_token,
     )
     metrics.STRAYS_FOUND.inc()
     ledger.stray_jobs[job_id] = ledger.stray_jobs.get(job_id, 0) + 1
--- a/src/salthead/coordination/takeover.py
+++ b/src/salthead/coordination/takeover.py
@@ -54,7 +54,7 @@
             event(
                 log,
                 "takeover_waits",
-                token=self.ledger.token,
+                fencing_token=self.ledger.fencing_token,
                 for_s=now - self.ledger.took_over,
                 machines=len(unheard),
                 first=unheard[0].name,
--- a/src/salthead/coordination/task_reconciliation.py
+++ b/src/salthead/coordination/task_reconciliation.py
@@ -200,7 +200,7 @@
         machine=machine.name,
         incarnation=machine.incarnation,
         phase=task.phase,
-        token=ledger.token,
+        fencing_token=ledger.fencing_token,
     )
     return binding
 
--- a/src/salthead/coordination/zone_leases.py
+++ b/src/salthead/coordination/zone_leases.py
@@ -34,34 +34,34 @@
 
     def __init__(self, ttl: float) -> None:
         self.ttl = ttl
-        self.token = 0
+        self.fencing_token = 0
         self.nonce = ""
         self.asked = -math.inf
         self.until = -math.inf
         self.sent_on: dict[str, float] = {}  # workers, and when they were sent to the leader
         self.sent_on_most = SENT_ON_KEPT
 
-    def ask(self, token: int, nonce: str, area: str, now: float) -> dict[str, Any]:
+    def ask(self, fencing_token: int, nonce: str, area: str, now: float) -> dict[str, Any]:
         """What to write, before it is written."""
-        if token != self.token:
+        if fencing_token != self.fencing_token:
             self.stop()
-        self.token, self.nonce, self.asked = token, nonce, now
-        return {"token": token, "nonce": nonce, "area": area}
+        self.fencing_token, self.nonce, self.asked = fencing_token, nonce, now
+        return {"token": fencing_token, "nonce": nonce, "area": area}
 
     def allowed(self, value: Any) -> bool:
         """What the leader wrote in return: only an answer to the latest question counts."""
         answers = (
             type(value) is dict
             and bool(self.nonce)
-            and (value.get("token") == self.token and value.get("nonce") == self.nonce)
+            and (value.get("token") == self.fencing_token and value.get("nonce") == self.nonce)
         )
         if answers:
             self.until = max(self.until, valid_until(self.asked, self.ttl))
         return answers
 
-    def valid(self, token: int, now: float) -> bool:
+    def valid(self, fencing_token: int, now: float) -> bool:
         """Whether workers may be answered under the leader's token now."""
-        return token == self.token and now < self.until
+        return fencing_token == self.fencing_token and now < self.until
 
     def stop(self) -> None:
         """Answer in nobody's name any more."""
--- a/src/salthead/evidence/links.py
+++ b/src/salthead/evidence/links.py
@@ -31,13 +31,14 @@
     acknowledged_at: float = -math.inf
 
     def heartbeat_received(
-        self, incarnation: int, sequence: int, shows_token: bool, others: bool, now: float
+        self, incarnation: int, sequence: int, shows_fencing_token: bool, others: bool, now: float
     ) -> bool:
         """A worker's own report came, not the answer to a call; whether it shows an answer lost.
 
-        ``shows_token``: the worker has accepted this term's token. A newer report than the one
-        that was answered, without the token, was made after the time in which the worker would have
-        accepted the answer: neither that one nor any earlier one had an effect, nor ever will.
+        ``shows_fencing_token``: the worker has accepted this term's fencing token. A newer heartbeat
+        than the one that was answered, without the token, was made after the time in which the
+        worker would have accepted the answer: neither that answer nor any earlier one had an effect,
+        nor ever will.
 
         ``others``: there are other controllers, to one of which the worker would have turned had
         it heard nothing. Then the very next report here shows that the answer was accepted.
@@ -47,7 +48,7 @@
         self.last_received_at = now
         if self.acknowledged_sequence < 0:
             return False
-        if not shows_token:
+        if not shows_fencing_token:
             self.unheard_answers += 1
             return True
         if (
@@ -59,7 +60,9 @@
             self.unheard_answers = 0
         return False
 
-    def turned_away(self, incarnation: int, sequence: int, shows_token: bool, now: float) -> bool:
+    def turned_away(
+        self, incarnation: int, sequence: int, shows_fencing_token: bool, now: float
+    ) -> bool:
         """A report came to another node; whether it shows that the answer given here was lost.
 
         A worker stays with the node that answers it. One that has shown the token may have left for
@@ -74,7 +77,7 @@
             self.acknowledged_incarnation,
             self.acknowledged_sequence + 1,
         )
-        if shows_token and not next_one:
+        if shows_fencing_token and not next_one:
             return False
         self.unheard_answers += 1
         return True
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -66,7 +66,7 @@
         event(
             log,
             "records_loaded",
-            token=ledger.token,
+            fencing_token=ledger.fencing_token,
             revision=self.since,
             jobs=len(ledger.jobs),
             machines=len(ledger.machines),
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/lead.py
@@ -56,10 +56,10 @@
             log,
             "lead_ending",
             logging.WARNING,
-            token=self.term.token,
+            fencing_token=self.term.fencing_token,
             why=why,
             certain=self.term.valid(),
-            token_seen=ledger.deposed_by,
+            fencing_token_seen=ledger.deposed_by,
             **facts,
         )
 
@@ -104,7 +104,7 @@
             metrics.LEADING.set(certain)
             log.warning(
                 "token %d: the lead is %s",
-                self.term.token,
+                self.term.fencing_token,
                 "certain again" if certain else "not certain: nothing is judged, nothing ordered",
             )
 
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -77,12 +77,12 @@
             return
         self.peers[member] = PeerAnswer(sent, found)
         for seen in found.seen:
-            shows_token = seen.token == self.term.token
+            shows_fencing_token = seen.fencing_token == self.term.fencing_token
             heartbeats.heartbeat_seen_by_peer(
                 self.ledger,
                 seen.worker,
                 (seen.incarnation, seen.sequence),
-                shows_token,
+                shows_fencing_token,
                 self.term.now(),
             )
 
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -20,7 +20,7 @@
     worker: str
     incarnation: int
     sequence: int
-    token: int  # that the worker had accepted
+    fencing_token: int  # that the worker had accepted
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/salthead/leader/rental.py
+++ b/src/salthead/leader/rental.py
@@ -156,7 +156,7 @@
         """Rent machines of a kind; the same request is repeated until it is answered."""
         machine_type, zone, spot = kind
         self.hire_count += 1
-        name = f"{self.term.token}-{self.hire_count}"
+        name = f"{self.term.fencing_token}-{self.hire_count}"
         self.coming[kind] = self.coming.get(kind, 0) + count
         type_name, zone_name = self.ledger.type_names[machine_type], self.ledger.zones[zone]
         body = {
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -59,7 +59,7 @@
     def __init__(
         self,
         node: Node,
-        token: int,
+        fencing_token: int,
         stamp: int,
         tether: int,
         clock: LeaseClock,
@@ -69,11 +69,11 @@
         self.limits = node.limits
         self.kept = node.kept
         self.now = node.now
-        self.token = token
+        self.fencing_token = fencing_token
         self.stamp = stamp
         self.tether = tether
         self.clock = clock
-        self.ledger = Ledger(node.limits, token, node.now(), time.time())
+        self.ledger = Ledger(node.limits, fencing_token, node.now(), time.time())
         self.ledger.events.changed = self.wake
         self.ledger.lead_certain = self.valid
         self.outcomes = Outcomes(self)
@@ -143,7 +143,7 @@
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 if (error := task.exception()) is not None and not isinstance(error, Deposed):
-                    log.error("term %d ends by an error", self.token, exc_info=error)
+                    log.error("term %d ends by an error", self.fencing_token, exc_info=error)
         finally:
             self.clock.drop()
             for task in [*tasks, *self.background]:
@@ -200,7 +200,7 @@
             )
         except Conflict as error:
             if records.LEAD in error.failed:
-                self.ledger.deposed_by = max(self.ledger.deposed_by, self.token + 1)
+                self.ledger.deposed_by = max(self.ledger.deposed_by, self.fencing_token + 1)
                 raise Unanswered("deposed") from None
             raise
 
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -63,7 +63,7 @@
         machines = sorted(ledger.machines.values(), key=lambda machine: machine.name)
         return links | {
             "leader": self.term.node.settings.member,
-            "token": self.term.token,
+            "token": self.term.fencing_token,
             "ready": ledger.ready,
             "teams": self._team_rows(),
             "jobs": [
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -35,7 +35,7 @@
         self, machine: Machine, incarnation: int, orders: list[dict[str, Any]], timeout: float
     ) -> Answer:
         """POST /do under this term's token."""
-        body = {"baton": self.term.token, "tenure": incarnation, "orders": orders}
+        body = {"baton": self.term.fencing_token, "tenure": incarnation, "orders": orders}
         sent = self.term.now()
         try:
             answer = await self.term.node.workers.call(
--- a/src/salthead/leader/zone_permissions.py
+++ b/src/salthead/leader/zone_permissions.py
@@ -55,7 +55,7 @@
                 events, since = await self.term.store.changes(records.KEEP, since, WATCH_S)
                 for event in events:
                     value = event.get("value")
-                    if type(value) is not dict or value.get("token") != self.term.token:
+                    if type(value) is not dict or value.get("token") != self.term.fencing_token:
                         continue
                     if "set" in event:
                         await self.allow(event["set"].removeprefix(records.KEEP), value)
@@ -74,7 +74,7 @@
         # Counted before it is allowed, so that whatever becomes of the write errs late.
         until = counted_until(term.now(), term.clock.ttl)
         if term.ledger.leases.keep_zone(str(value.get("area")), until):
-            permission = {"token": term.token, "nonce": value.get("nonce")}
+            permission = {"token": term.fencing_token, "nonce": value.get("nonce")}
             await term.txn({}, [put(records.KEPT + member, permission)], urgent=True)
 
     async def forget_loop(self) -> None:
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -15,7 +15,7 @@
 ANSWERS = Counter("salthead_answers_total", "Answers given", ["path", "status"], registry=REGISTRY)
 TROUBLE = Counter("salthead_trouble_total", "Errors by kind", ["kind"], registry=REGISTRY)
 LEADING = Gauge("salthead_leading", "1 while this node leads", registry=REGISTRY)
-TOKEN = Gauge("salthead_token", "Token of the term led by this node", registry=REGISTRY)
+FENCING_TOKEN = Gauge("salthead_token", "Token of the term led by this node", registry=REGISTRY)
 MACHINES = Gauge("salthead_machines", "Machines by phase", ["phase"], registry=REGISTRY)
 WAITING = Gauge("salthead_waiting_tasks", "Tasks with no machine", registry=REGISTRY)
 AWAITING = Gauge(
--- a/src/salthead/node/election.py
+++ b/src/salthead/node/election.py
@@ -76,7 +76,7 @@
     async def _follow(self, row: Row) -> None:
         holder, stamp = row
         self.node.leader = holder.get("member")
-        self.node.leader_token = int(holder.get("token", 0))
+        self.node.leader_fencing_token = int(holder.get("token", 0))
         await self.node.store.changes(records.LEAD, stamp, WATCH_S)
 
     async def _stand(self, row: Row | None) -> None:
@@ -84,22 +84,22 @@
         node = self.node
         node.leader = None
         own = self._is_own(row)
-        token_row = await node.store.get(records.TOKEN, urgent=True)
+        fencing_token_row = await node.store.get(records.FENCING_TOKEN, urgent=True)
         if node.abstention.in_doubt:
             # Without its lease an earlier try can't be carried out any more.
             await node.store.end_grant(self.candidacy.grant)
             node.abstention.in_doubt = False
-        if not self._may_take_lead(own, token_row is None):
+        if not self._may_take_lead(own, fencing_token_row is None):
             await node.rest(RETRY_S)
             return
         self.candidacy.sent = node.now()
         self.candidacy.grant = await node.store.grant(self.ttl)
         # Once more, with nothing awaited between this and the request to take the lead.
-        if not self._may_take_lead(own, token_row is None):
+        if not self._may_take_lead(own, fencing_token_row is None):
             await node.store.end_grant(self.candidacy.grant)
             await node.rest(RETRY_S)
             return
-        await self._take_lead(row, token_row)
+        await self._take_lead(row, fencing_token_row)
 
     def _may_take_lead(self, own: bool, first_ever: bool) -> bool:
         """Asked right after the state service has answered."""
@@ -107,15 +107,15 @@
         held = Fact.STATE_SERVICE | (Fact(0) if promised else Fact.NO_PROMISE)
         return permits(Action.TAKE_LEAD, held)
 
-    async def _take_lead(self, row: Row | None, token_row: Row | None) -> None:
+    async def _take_lead(self, row: Row | None, fencing_token_row: Row | None) -> None:
         """Ask for the lead in one transaction that also raises the fencing token."""
         node, candidacy = self.node, self.candidacy
-        token = (token_row[0]["n"] if token_row else 0) + 1
+        fencing_token = (fencing_token_row[0]["n"] if fencing_token_row else 0) + 1
         candidacy.nonce = uuid.uuid4().hex[:12]
         value: dict[str, Any] = {
             "member": node.settings.member,
             "run": node.run_id,
-            "token": token,
+            "token": fencing_token,
             "nonce": candidacy.nonce,
         }
         node.abstention.in_doubt = True
@@ -123,9 +123,12 @@
             await node.store.txn(
                 {
                     records.LEAD: row[1] if row else 0,
-                    records.TOKEN: token_row[1] if token_row else 0,
+                    records.FENCING_TOKEN: fencing_token_row[1] if fencing_token_row else 0,
                 },
-                [put(records.LEAD, value, candidacy.grant), put(records.TOKEN, {"n": token})],
+                [
+                    put(records.LEAD, value, candidacy.grant),
+                    put(records.FENCING_TOKEN, {"n": fencing_token}),
+                ],
                 urgent=True,
             )
             node.abstention.in_doubt = False
--- a/src/salthead/node/node.py
+++ b/src/salthead/node/node.py
@@ -76,7 +76,7 @@
         self.workers = dial("", self.sockets.workers)
         self.machine_types: dict[str, MachineType] = {}
         self.leader: str | None = None  # the member that leads, as last read
-        self.leader_token = 0
+        self.leader_fencing_token = 0
         self.zone_keeper = ZoneKeeper(self)
         self.reach = Reach(self)
         self.submissions = Submissions(self)
@@ -176,21 +176,36 @@
             pass
         return self.term is None and self.abstention.promise(self.now())
 
-    async def lead(self, token: int, stamp: int, tether: int, sent: float, ttl: float) -> None:
+    async def lead(
+        self, fencing_token: int, stamp: int, tether: int, sent: float, ttl: float
+    ) -> None:
         """Lead until the lease has ended."""
         member = self.settings.member
-        event(log, "lead_taken", member=member, token=token, revision=stamp, asked_at=sent)
-        term = Term(self, token, stamp, tether, lease.LeaseClock(ttl))
+        event(
+            log,
+            "lead_taken",
+            member=member,
+            fencing_token=fencing_token,
+            revision=stamp,
+            asked_at=sent,
+        )
+        term = Term(self, fencing_token, stamp, tether, lease.LeaseClock(ttl))
         term.clock.renewed(sent)
         self.term = term
         metrics.LEADING.set(1)
-        metrics.TOKEN.set(token)
+        metrics.FENCING_TOKEN.set(fencing_token)
         try:
             await term.run()
         finally:
             self.term = None
             metrics.LEADING.set(0)
-            event(log, "lead_ended", member=member, token=token, after_s=self.now() - sent)
+            event(
+                log,
+                "lead_ended",
+                member=member,
+                fencing_token=fencing_token,
+                after_s=self.now() - sent,
+            )
 
     # -- what workers ask ---------------------------------------------------------------
 
@@ -207,7 +222,7 @@
         if term is None:
             if self.zone_keeper.keeps(heartbeat):
                 self.reach.note_redirected(who or heartbeat.worker)
-                return 200, {"baton": self.leader_token, "orders": []}
+                return 200, {"baton": self.leader_fencing_token, "orders": []}
             self.reach.record_redirected_heartbeat(heartbeat)
             return self.redirect(who or heartbeat.worker)
         orders = term.handle_heartbeat(heartbeat)
@@ -217,7 +232,7 @@
             # It ran out while this was worked out, on a machine with little processor time: a 200
             # now would be given by one that is not entitled to. What was ordered stays bound.
             return self.redirect(who or heartbeat.worker)
-        return 200, {"baton": term.token, "orders": orders}
+        return 200, {"baton": term.fencing_token, "orders": orders}
 
     # -- what users ask -----------------------------------------------------------------
 
--- a/src/salthead/node/reach.py
+++ b/src/salthead/node/reach.py
@@ -33,7 +33,7 @@
 
     incarnation: int
     sequence: int
-    token: int
+    fencing_token: int
     at: float
 
 
@@ -80,7 +80,7 @@
         if to_leader:
             self._forget_old()
             told["seen"] = [
-                [worker, found.incarnation, found.sequence, found.token]
+                [worker, found.incarnation, found.sequence, found.fencing_token]
                 for worker, found in islice(reversed(self.seen.items()), SEEN_TOLD)
             ]
         return told
--- a/src/salthead/node/zone_keeper.py
+++ b/src/salthead/node/zone_keeper.py
@@ -59,7 +59,7 @@
         """Ask the leader through the state service, and wait a little for its permission."""
         member = self.node.settings.member
         question = self.lease.ask(
-            self.node.leader_token,
+            self.node.leader_fencing_token,
             uuid.uuid4().hex[:12],
             self.node.settings.area,
             self.node.now(),
@@ -85,9 +85,9 @@
         back = self.lease.came_back(heartbeat.worker, now)
         return (
             self.node.leader not in (None, self.node.settings.member)
-            and self.lease.valid(self.node.leader_token, now)
+            and self.lease.valid(self.node.leader_fencing_token, now)
             and heartbeat.zone == self.node.settings.area
-            and heartbeat.fencing_token <= self.node.leader_token
+            and heartbeat.fencing_token <= self.node.leader_fencing_token
             # A worker may be here by chance. A second one, or one that was sent on before and is
             # here again, can't reach it, and their leases may not last for another round.
             and (back or self.node.reach.redirected_count() > 0)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -105,8 +105,8 @@
     return found | {"kit": found["kit"] or "img-0"}
 
 
-def ledger(now: float = 0.0, token: int = 7, **changes: Any) -> Ledger:
-    made = Ledger(limits(**changes), token, now)
+def ledger(now: float = 0.0, fencing_token: int = 7, **changes: Any) -> Ledger:
+    made = Ledger(limits(**changes), fencing_token, now)
     made.set_machine_types(FLAVORS)
     made.loaded = True
     return made
--- a/tests/production.py
+++ b/tests/production.py
@@ -97,6 +97,10 @@
             answer = node.handle_heartbeat(self.messages.decode_heartbeat(message))
         return answer  # type: ignore[no-any-return]
 
+    def fencing_token(self, term: Any) -> int:
+        """The fencing token of a term of this version."""
+        return int(term.token if self.package == NAME else term.fencing_token)
+
     @property
     def records(self) -> Any:
         return self.module("bookkeeping.records")
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -859,12 +859,17 @@
 
     async def watch(self) -> None:
         """What breaks while nothing starts and nobody asks."""
-        token = 0
+        fencing_token = 0
         while True:
             await asyncio.sleep(0.25)
             leader = self.leader()
-            if leader is not None and leader.term is not None and leader.term.token != token:
-                token = leader.term.token
+            if leader is not None and leader.term is not None:
+                version = self.versions[leader.settings.member]
+                led_under = version.fencing_token(leader.term)
+            else:
+                led_under = fencing_token
+            if led_under != fencing_token:
+                fencing_token = led_under
                 copies, self.kept_copies = self.kept_copies, []
                 for message in copies:
                     await self.repeat(message, 0.0)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.05)
         led = leader.term.ledger
         for n in range(2000):
-            found = machine(led, f"host-9{n:05d}", world.now(), fencing_token=led.token)
+            found = machine(led, f"host-9{n:05d}", world.now(), fencing_token=led.fencing_token)
             found.condemned = "full"
         asked: list[int] = []
 
@@ -219,7 +219,9 @@
         while (leader := world.leader()) is None or not leader.term.ledger.loaded:
             await asyncio.sleep(0.05)
         term, asked = leader.term, []
-        found = [machine(term.ledger, name, fencing_token=term.token) for name in ("m1", "m2")]
+        found = [
+            machine(term.ledger, name, fencing_token=term.fencing_token) for name in ("m1", "m2")
+        ]
         for one in found:
             one.joined = False
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -382,7 +382,7 @@
         led.machine_gone(led.machines["m1"], 1.0)
         assert led.handle_heartbeat(heartbeat("m1", 1), 30.0) is None
         # The next leader does not know that it was there.
-        after = ledger(token=8)
+        after = ledger(fencing_token=8)
         copy = heartbeat("m1", 1, ("req-1/0", 3, "running"), fencing_token=7)
         assert after.handle_heartbeat(copy, 40.0) == [] and not after.machines
         # One that is up and was not known hears the token and reports under it.
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -291,7 +291,7 @@
             await asyncio.sleep(0.05)
         led = leader.term.ledger
         for n in range(1000):
-            found = machine(led, f"host-{n:06d}", world.now(), fencing_token=led.token)
+            found = machine(led, f"host-{n:06d}", world.now(), fencing_token=led.fencing_token)
             found.condemned, found.warn_at = "fails its tasks", world.now()
             led.room.keep(found, f"req-{n:06d}", world.now() + 60.0)
             job(led, job_id=f"req-{n:06d}", team="blue", job_class="b" * 60, task_count=100_000)
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -45,7 +45,7 @@
 from salthead.zones.state import ZonePhase, ZoneState  # noqa: E402
 
 NOW, WALL = 1000.0, 5000.0
-TOKEN, REVISION, LEASE = 7, 9, 5
+FENCING_TOKEN, REVISION, LEASE = 7, 9, 5
 ZONE_POLICY = ZonePolicy(
     enabled=True,
     min_machines=5,
@@ -172,7 +172,7 @@
             records.over_key("req-1"),
             records.awaits_key("req-1", 2),
             records.LEAD,
-            records.TOKEN,
+            records.FENCING_TOKEN,
             records.KEEP,
             records.KEPT,
             records.ROSTER,
@@ -186,7 +186,7 @@
     recorder = Recorder()
     node = Node(settings("n0", ("n1",)), random.Random(1), lambda: NOW, recorder.dial)
     await Election(node)._stand(None)
-    node.leader, node.leader_token = "n1", TOKEN
+    node.leader, node.leader_fencing_token = "n1", FENCING_TOKEN
     await node.zone_keeper._ask()
     assert await ask_promise(node.peers["n1"], "n0", 1.0)
     assert await ask_reach(node.peers["n1"], leads=True) is not None
@@ -212,7 +212,7 @@
     await term.pages.write_pages(term.pages.roster)
     term.pages.leftovers["awaits/req-8/0"] = "req-8"
     await term.pages.clear_leftovers()
-    await term.zone_permissions.allow("n1", {"area": "north", "nonce": "x", "token": TOKEN})
+    await term.zone_permissions.allow("n1", {"area": "north", "nonce": "x", "token": FENCING_TOKEN})
 
 
 async def leader_examples() -> dict[str, Any]:
@@ -221,7 +221,7 @@
     policy = Policy(zone_recovery=ZONE_POLICY, partial_cuts=CUT_POLICY)
     node = Node(settings("n0", ("n1",)), random.Random(1), lambda: NOW, recorder.dial, policy)
     node.machine_types = {found.name: found for found in FLAVORS}
-    term = Term(node, TOKEN, REVISION, LEASE, LeaseClock(1e9))
+    term = Term(node, FENCING_TOKEN, REVISION, LEASE, LeaseClock(1e9))
     term.clock.renewed(NOW)
     ledger = term.ledger
     ledger.loaded = ledger.ready = True
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -43,7 +43,7 @@
 from salthead.protocol import names  # noqa: E402
 from salthead.protocol.messages import Heartbeat, encode  # noqa: E402
 
-TOKEN = 7
+FENCING_TOKEN = 7
 REVISION = 1_000_000  # of all that is written in the profiled term
 LEASE_S = 1e9  # of the profiled term, which no state service renews
 REQUESTS = 200  # of each kind, over which the cost of one is averaged
@@ -150,7 +150,7 @@
     name: str,
     sequence: int,
     ended: int = 0,
-    fencing_token: int = TOKEN,
+    fencing_token: int = FENCING_TOKEN,
     incarnation: int = 1,
 ) -> Heartbeat:
     """A report of a machine with what is bound to it, of which some has ended."""
@@ -173,7 +173,7 @@
         self.leader = self._node("n0", "n1", self.endpoints[3])
         self.follower = self._node("n1", "n0", self.endpoints[1])
         self.follower.leader = "n0"
-        self.term = Term(self.leader, TOKEN, 1, 1, LeaseClock(LEASE_S))
+        self.term = Term(self.leader, FENCING_TOKEN, 1, 1, LeaseClock(LEASE_S))
         self.term.clock.renewed(self.leader.now())
         self.ledger = self.term.ledger
         fill(self.ledger, machines, self.leader.now())
@@ -270,10 +270,11 @@
     def of_takeover(self) -> Cost:
         """The next leader hears every machine with its tasks, and has read every job."""
         now = self.leader.now()
-        new = Ledger(self.leader.limits, TOKEN + 1, now)
+        new = Ledger(self.leader.limits, FENCING_TOKEN + 1, now)
         new.set_machine_types(FLAVORS)
         heartbeats = [
-            shown(self.ledger, name, 60, fencing_token=TOKEN + 1) for name in self.ledger.machines
+            shown(self.ledger, name, 60, fencing_token=FENCING_TOKEN + 1)
+            for name in self.ledger.machines
         ]
         specs = [job.spec for job in self.ledger.jobs.values()]
 
