--- a/src/salthead/bookkeeping/pages.py
+++ b/src/salthead/bookkeeping/pages.py
@@ -35,7 +35,7 @@
         self.dirty: dict[int, None] = {}  # pages that the service does not have, in order
         # A write names the stamp of the page that it replaces: one that was given up on and is
         # carried out late must not put an older page over a newer one.
-        self.stamps: dict[int, int] = {}
+        self.revisions: dict[int, int] = {}
         # Pages that an item has moved to, by the page that it left: they are written no later.
         self.ahead: dict[int, set[int]] = {}
         self.twice: set[str] = set()  # names that were found on more than one page
@@ -44,13 +44,13 @@
     def _size(name: str, item: Any) -> int:
         return len(msgspec.json.encode(item)) + len(name) + 6
 
-    def load(self, key: str, value: Any, stamp: int) -> None:
+    def load(self, key: str, value: Any, revision: int) -> None:
         """A page as it stands in the service."""
         tail = key.removeprefix(self.prefix)
         if not tail.isdigit() or type(value) is not dict:
             return
         page = int(tail)
-        self.stamps[page] = stamp
+        self.revisions[page] = revision
         self.pages[page], self.sizes[page] = {}, 0
         for name, item in value.items():
             other = self.where.get(name)
@@ -58,7 +58,7 @@
                 # Moved by a writer that ended before it cleaned up, or written once more by a
                 # version that knew of one page only: the page that was written last has it.
                 self.twice.add(name)
-                older = page if self.stamps[other] >= stamp else other
+                older = page if self.revisions[other] >= revision else other
                 self._later(older, page if older == other else other)
                 self.changes[older] = self.changes.get(older, 0) + 1
                 if older == page:
@@ -160,10 +160,10 @@
         """The key of a page."""
         return f"{self.prefix}{page:06d}"
 
-    def written(self, batch: dict[int, tuple[int, dict[str, Any]]], epoch: int) -> None:
+    def written(self, batch: dict[int, tuple[int, dict[str, Any]]], revision: int) -> None:
         """These pages were written; what has changed since stays to be written."""
         for page, (change, content) in batch.items():
-            self.stamps[page] = epoch if content else 0
+            self.revisions[page] = revision if content else 0
             for others in self.ahead.values():
                 others.discard(page)
             if self.changes[page] == change:
--- a/src/salthead/bookkeeping/store.py
+++ b/src/salthead/bookkeeping/store.py
@@ -129,7 +129,7 @@
             await (self.bulk_writes if bulk else self.writes).wait(len(apply))
         caller = self.urgent if urgent else self.bulk
         body = {
-            "when": [{"path": key, "stamp": stamp} for key, stamp in when.items()],
+            "when": [{"path": key, "stamp": revision} for key, revision in when.items()],
             "apply": apply,
         }
         answer = await caller.call("POST", names.TXN, body, timeout=timeout)
@@ -140,7 +140,7 @@
             raise Conflict([str(key) for key in answer.body.get("failed") or []])
         return _int(answer.body, "epoch")
 
-    async def grant(self, ttl_s: float, timeout: float = 1.5) -> int:
+    async def grant_lease(self, ttl_s: float, timeout: float = 1.5) -> int:
         """A new lease; its number."""
         answer = await self.urgent.call(
             "POST", names.GRANTS, {"ttl_ms": round(ttl_s * 1000)}, timeout=timeout
@@ -148,16 +148,18 @@
         self._check(answer, "grant", 200)
         return _int(answer.body, "tether")
 
-    async def extend(self, tether: int, timeout: float) -> None:
+    async def renew_lease(self, lease_id: int, timeout: float) -> None:
         """Renew a lease; NoLease if it has ended."""
-        answer = await self.urgent.call("POST", f"{names.GRANTS}/{tether}/extend", timeout=timeout)
+        answer = await self.urgent.call(
+            "POST", f"{names.GRANTS}/{lease_id}/extend", timeout=timeout
+        )
         self._check(answer, "extend", 200, 404)
         if answer.status == 404:
             raise NoLease("extend")
 
-    async def end_grant(self, tether: int) -> None:
+    async def revoke_lease(self, lease_id: int) -> None:
         """End a lease at once."""
-        answer = await self.urgent.call("DELETE", f"{names.GRANTS}/{tether}", timeout=1.0)
+        answer = await self.urgent.call("DELETE", f"{names.GRANTS}/{lease_id}", timeout=1.0)
         self._check(answer, "end", 200, 404)
 
     async def changes(
@@ -176,11 +178,11 @@
         return list(answer.body.get("log") or []), _int(answer.body, "epoch")
 
 
-def put(key: str, value: Any, tether: int | None = None) -> dict[str, Any]:
+def put(key: str, value: Any, lease_id: int | None = None) -> dict[str, Any]:
     """A change that sets a key, tied to a lease if one is named."""
     change: dict[str, Any] = {"set": key, "value": value}
-    if tether is not None:
-        change["tether"] = tether
+    if lease_id is not None:
+        change["tether"] = lease_id
     return change
 
 
--- a/src/salthead/evidence/links.py
+++ b/src/salthead/evidence/links.py
@@ -35,10 +35,10 @@
     ) -> bool:
         """A worker's own report came, not the answer to a call; whether it shows an answer lost.
 
-        ``shows_fencing_token``: the worker has accepted this term's fencing token. A newer heartbeat
-        than the one that was answered, without the token, was made after the time in which the
-        worker would have accepted the answer: neither that answer nor any earlier one had an effect,
-        nor ever will.
+        ``shows_fencing_token``: the worker has accepted this term's token. A newer heartbeat
+        than the answered one, without the token, was made after the time in which the
+        worker would have accepted the answer: neither that answer nor an earlier one had an
+        effect, nor ever will.
 
         ``others``: there are other controllers, to one of which the worker would have turned had
         it heard nothing. Then the very next report here shows that the answer was accepted.
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -45,17 +45,17 @@
         # After the jobs: a record and what continues it are written together.
         rows, _ = await self.term.store.rows(records.AWAITS)
         rest = {key: value for key, (value, _) in rows.items()}
-        for key, (value, stamp) in jobs.items():
-            self.take_row(key, value, stamp, rest, loading=True)
+        for key, (value, revision) in jobs.items():
+            self.take_row(key, value, revision, rest, loading=True)
         self.term.pages.leftovers = {
             key: job_id for key in rest if (job_id := key.split("/")[1]) not in ledger.jobs
         }
         self.load_parts(
             {key: value for key, (value, _) in parts.items()},
-            {key: stamp for key, (_, stamp) in parts.items()},
+            {key: revision for key, (_, revision) in parts.items()},
         )
-        for key, (value, stamp) in roster.items():
-            self.term.pages.roster.load(key, value, stamp)
+        for key, (value, revision) in roster.items():
+            self.term.pages.roster.load(key, value, revision)
             for name, (machine_type, zone, spot, endpoint) in value.items():
                 machine = ledger.add_machine(
                     name, machine_type, zone, bool(spot), now, rostered=True
@@ -74,12 +74,12 @@
             leases_from=ledger.leases.counted_from,
         )
 
-    def load_parts(self, pages: dict[str, dict[str, Any]], stamps: dict[str, int]) -> None:
+    def load_parts(self, pages: dict[str, dict[str, Any]], revisions: dict[str, int]) -> None:
         """Done tasks as earlier terms saved them, whichever version wrote them."""
         ledger = self.ledger
         again: set[str] = set()
         for key, content in pages.items():
-            self.term.pages.parts.load(key, content, stamps[key])
+            self.term.pages.parts.load(key, content, revisions[key])
             # A stretch may stand on two pages, if a writer ended between them: what either names
             # is done.
             for name, item in content.items():
@@ -127,7 +127,7 @@
         self,
         key: str,
         value: Any,
-        stamp: int,
+        revision: int,
         rest: dict[str, Any] | None = None,
         loading: bool = False,
     ) -> None:
@@ -148,8 +148,8 @@
             return
         # What is loaded is not over, though its outcome may have been derived, and told, before it
         # is written.
-        if loading or self._is_news(spec.job_id, stamp):
-            self.ledger.add_job(spec, self.now(), fresh=stamp > self.term.stamp)
+        if loading or self._is_news(spec.job_id, revision):
+            self.ledger.add_job(spec, self.now(), fresh=revision > self.term.revision)
 
     def add_job(self, spec: Submission, revision: int) -> None:
         """A job whose record this node has written, with the revision of that write."""
@@ -165,7 +165,7 @@
         submission). Of this term's own outcomes ``finals`` holds many more than are written in the
         time for which an answer is waited for.
         """
-        return revision > self.term.stamp and job_id not in self.term.node.finals
+        return revision > self.term.revision and job_id not in self.term.node.finals
 
     async def watch_loop(self) -> None:
         """Jobs that any node accepted."""
@@ -178,8 +178,8 @@
             except Compacted:
                 try:
                     rows, self.since = await self.term.store.rows(records.JOBS)
-                    for key, (value, stamp) in rows.items():
-                        self.take_row(key, value, stamp)
+                    for key, (value, revision) in rows.items():
+                        self.take_row(key, value, revision)
                 except TROUBLES as error:
                     self.term.node.note("job list", error)
                     await self.term.node.rest(1.0)
@@ -215,4 +215,4 @@
         if job_id not in self.ledger.jobs:
             spec = await self.term.node.lookups.whole(records.job_from(row[0]))
             self.incomplete.pop(job_id, None)
-            self.ledger.add_job(spec, self.now(), fresh=row[1] > self.term.stamp)
+            self.ledger.add_job(spec, self.now(), fresh=row[1] > self.term.revision)
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -86,8 +86,8 @@
         batch = pages.batch(self.term.kept.txn_ops, BATCH_KB)
         if batch:
             try:
-                epoch = await self.term.txn(
-                    {pages.key(page): pages.stamps.get(page, 0) for page in batch},
+                revision = await self.term.txn(
+                    {pages.key(page): pages.revisions.get(page, 0) for page in batch},
                     [
                         put(pages.key(page), content) if content else drop(pages.key(page))
                         for page, (_, content) in batch.items()
@@ -98,9 +98,9 @@
                 # An earlier try took effect after all; what it wrote is replaced.
                 for page in batch:
                     row = await self.term.store.get(pages.key(page))
-                    pages.stamps[page] = row[1] if row is not None else 0
+                    pages.revisions[page] = row[1] if row is not None else 0
                 raise
-            pages.written(batch, epoch)
+            pages.written(batch, revision)
         return batch
 
     async def roster_loop(self) -> None:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -60,8 +60,8 @@
         self,
         node: Node,
         fencing_token: int,
-        stamp: int,
-        tether: int,
+        revision: int,
+        lease_id: int,
         clock: LeaseClock,
     ) -> None:
         self.node = node
@@ -70,8 +70,8 @@
         self.kept = node.kept
         self.now = node.now
         self.fencing_token = fencing_token
-        self.stamp = stamp
-        self.tether = tether
+        self.revision = revision
+        self.lease_id = lease_id
         self.clock = clock
         self.ledger = Ledger(node.limits, fencing_token, node.now(), time.time())
         self.ledger.events.changed = self.wake
@@ -150,7 +150,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, *self.background, return_exceptions=True)
             with contextlib.suppress(Unanswered, Refused):
-                await self.store.end_grant(self.tether)
+                await self.store.revoke_lease(self.lease_id)
 
     async def work_loop(self) -> None:
         """Load what earlier leaders left, then run all loops."""
@@ -196,7 +196,7 @@
             raise Unanswered("lease not certain")
         try:
             return await self.store.txn(
-                {records.LEAD: self.stamp} | when, apply, bulk=bulk, urgent=urgent
+                {records.LEAD: self.revision} | when, apply, bulk=bulk, urgent=urgent
             )
         except Conflict as error:
             if records.LEAD in error.failed:
--- a/src/salthead/leader/zone_permissions.py
+++ b/src/salthead/leader/zone_permissions.py
@@ -38,7 +38,7 @@
         permissions: dict[str, Row] = {}
         if term.link_loop is not None:
             permissions, _ = await term.store.rows(records.KEPT)
-        self.earlier = {key: stamp for key, (_, stamp) in permissions.items()}
+        self.earlier = {key: revision for key, (_, revision) in permissions.items()}
         term.ledger.leases.counted_from = term.now()
         if term.link_loop is not None:
             # Whenever a leader ends, its peers miss it, and ask before there is a new one. Each
@@ -83,9 +83,9 @@
             await asyncio.sleep(
                 max(0.0, self.term.ledger.leases.counted_from - self.term.now()) + RETRY_S
             )
-            key, stamp = next(iter(self.earlier.items()))
+            key, revision = next(iter(self.earlier.items()))
             try:
-                await self.term.txn({key: stamp}, [drop(key)], bulk=True)
+                await self.term.txn({key: revision}, [drop(key)], bulk=True)
             except Conflict:
                 pass  # this leader has allowed something since
             except TROUBLES as error:
--- a/src/salthead/node/election.py
+++ b/src/salthead/node/election.py
@@ -23,7 +23,7 @@
     """The latest request to take the lead."""
 
     nonce: str = ""  # empty: none, or its lead is over
-    grant: int = 0  # the lease that it was made under
+    lease_id: int = 0  # the lease that it was made under
     sent: float = 0.0  # from when that lease counts
 
 
@@ -68,16 +68,16 @@
         assert row is not None
         node, candidacy = self.node, self.candidacy
         node.leader = node.settings.member
-        await node.lead(row[0]["token"], row[1], candidacy.grant, candidacy.sent, self.ttl)
+        await node.lead(row[0]["token"], row[1], candidacy.lease_id, candidacy.sent, self.ttl)
         candidacy.nonce = ""
         node.leader = None
         await node.rest(RETRY_S)
 
     async def _follow(self, row: Row) -> None:
-        holder, stamp = row
+        holder, revision = row
         self.node.leader = holder.get("member")
         self.node.leader_fencing_token = int(holder.get("token", 0))
-        await self.node.store.changes(records.LEAD, stamp, WATCH_S)
+        await self.node.store.changes(records.LEAD, revision, WATCH_S)
 
     async def _stand(self, row: Row | None) -> None:
         """There is no leader, or an ended process of this member is named as one."""
@@ -87,16 +87,16 @@
         fencing_token_row = await node.store.get(records.FENCING_TOKEN, urgent=True)
         if node.abstention.in_doubt:
             # Without its lease an earlier try can't be carried out any more.
-            await node.store.end_grant(self.candidacy.grant)
+            await node.store.revoke_lease(self.candidacy.lease_id)
             node.abstention.in_doubt = False
         if not self._may_take_lead(own, fencing_token_row is None):
             await node.rest(RETRY_S)
             return
         self.candidacy.sent = node.now()
-        self.candidacy.grant = await node.store.grant(self.ttl)
+        self.candidacy.lease_id = await node.store.grant_lease(self.ttl)
         # Once more, with nothing awaited between this and the request to take the lead.
         if not self._may_take_lead(own, fencing_token_row is None):
-            await node.store.end_grant(self.candidacy.grant)
+            await node.store.revoke_lease(self.candidacy.lease_id)
             await node.rest(RETRY_S)
             return
         await self._take_lead(row, fencing_token_row)
@@ -126,7 +126,7 @@
                     records.FENCING_TOKEN: fencing_token_row[1] if fencing_token_row else 0,
                 },
                 [
-                    put(records.LEAD, value, candidacy.grant),
+                    put(records.LEAD, value, candidacy.lease_id),
                     put(records.FENCING_TOKEN, {"n": fencing_token}),
                 ],
                 urgent=True,
--- a/src/salthead/node/node.py
+++ b/src/salthead/node/node.py
@@ -177,7 +177,7 @@
         return self.term is None and self.abstention.promise(self.now())
 
     async def lead(
-        self, fencing_token: int, stamp: int, tether: int, sent: float, ttl: float
+        self, fencing_token: int, revision: int, lease_id: int, sent: float, ttl: float
     ) -> None:
         """Lead until the lease has ended."""
         member = self.settings.member
@@ -186,10 +186,10 @@
             "lead_taken",
             member=member,
             fencing_token=fencing_token,
-            revision=stamp,
+            revision=revision,
             asked_at=sent,
         )
-        term = Term(self, fencing_token, stamp, tether, lease.LeaseClock(ttl))
+        term = Term(self, fencing_token, revision, lease_id, lease.LeaseClock(ttl))
         term.clock.renewed(sent)
         self.term = term
         metrics.LEADING.set(1)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -22,7 +22,7 @@
             else:
                 service.pop(pages.key(page), None)
         changes += len(batch)
-        pages.written(batch, epoch=changes)
+        pages.written(batch, revision=changes)
     return changes
 
 
@@ -110,6 +110,6 @@
     batch = pages.batch(8, 56.0)
     pages.set("b", [2])
     pages.written(batch, 5)
-    assert pages.dirty and pages.stamps == {0: 5}
+    assert pages.dirty and pages.revisions == {0: 5}
     pages.written(pages.batch(8, 56.0), 6)
     assert not pages.dirty
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -142,8 +142,8 @@
         kind, kb = (old.pages, 16.0) if turn % 2 else (Pages, 2.0)
         service = Service(rows, kb)
         pages = kind(records.ROSTER, kb)
-        for stamp, (key, page) in enumerate(sorted(rows.items())):
-            pages.load(key, page, stamp + 1)
+        for revision, (key, page) in enumerate(sorted(rows.items())):
+            pages.load(key, page, revision + 1)
         assert expected.keys() <= pages.where.keys(), turn
         fresh = {
             f"host-{turn:03d}{n:03d}": ["small", "south", False, "10.9.9.9:9"] for n in range(20)
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -191,7 +191,7 @@
     assert await ask_promise(node.peers["n1"], "n0", 1.0)
     assert await ask_reach(node.peers["n1"], leads=True) is not None
     await node.ask_leader("/peer/poll", "req-1", 1.0)
-    await node.store.extend(LEASE, 1.0)
+    await node.store.renew_lease(LEASE, 1.0)
     await node.store.rows("job/")
     await node.store.changes("job/", 3, 0.01)
     return recorder.calls
