--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -6,13 +6,13 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import TROUBLES, Compacted
 from salthead.coordination import waiting
 from salthead.coordination.model import Job
 from salthead.event_log import event
 from salthead.protocol import names
 from salthead.protocol.messages import Malformed, Submission
+from salthead.state_store import records
+from salthead.state_store.client import TROUBLES, Compacted
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/lead.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING
 
 from salthead import metrics
-from salthead.bookkeeping.store import TROUBLES, NoLease
 from salthead.coordination.lease import promise_s
 from salthead.event_log import event
 from salthead.evidence.gate import Action, Fact
 from salthead.leader.peer_calls import ask_promise, ask_reach
+from salthead.state_store.client import TROUBLES, NoLease
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -14,10 +14,10 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import TROUBLES, Conflict, Refused, drop, put
 from salthead.coordination.model import Job
 from salthead.protocol import names
+from salthead.state_store import records
+from salthead.state_store.client import TROUBLES, Conflict, Refused, drop, put
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
--- a/src/salthead/leader/rental.py
+++ b/src/salthead/leader/rental.py
@@ -9,8 +9,6 @@
 
 import msgspec
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import TROUBLES, Conflict, Refused, drop, put
 from salthead.coordination import fleet
 from salthead.coordination.model import BOOTING, Kind
 from salthead.coordination.refusals import Refusals
@@ -18,6 +16,8 @@
 from salthead.evidence.gate import Action, Fact
 from salthead.protocol import names
 from salthead.protocol.messages import MachineList, MachineType, Malformed, RentedMachines, shape
+from salthead.state_store import records
+from salthead.state_store.client import TROUBLES, Conflict, Refused, drop, put
 from salthead.transport.client import Unanswered
 from salthead.transport.limits import Budget
 
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -6,10 +6,10 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.pages import Pages
-from salthead.bookkeeping.store import TROUBLES, Conflict, drop, put
 from salthead.coordination.model import UP, Job
+from salthead.state_store import records
+from salthead.state_store.client import TROUBLES, Conflict, drop, put
+from salthead.state_store.pages import Pages
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -9,12 +9,6 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import (
-    TROUBLES,
-    Conflict,
-    Refused,
-)
 from salthead.coordination import gangs, placement, preemption, strays
 from salthead.coordination.lease import LeaseClock
 from salthead.coordination.ledger import Ledger
@@ -30,6 +24,12 @@
 from salthead.leader.zone_permissions import ZonePermissions
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat
+from salthead.state_store import records
+from salthead.state_store.client import (
+    TROUBLES,
+    Conflict,
+    Refused,
+)
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, Any
 
-from salthead.bookkeeping.store import TROUBLES
 from salthead.coordination import machine_health, placement
 from salthead.coordination.model import LOST, UP, Machine
 from salthead.coordination.task_reconciliation import MAX_ORDERS
 from salthead.evidence.gate import Action, Fact
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat, shape, stop_order
+from salthead.state_store.client import TROUBLES
 from salthead.transport.client import Answer, Unanswered
 
 if TYPE_CHECKING:
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from salthead import metrics
-from salthead.bookkeeping.store import TROUBLES, Conflict, put
 from salthead.policy import Network, ZonePolicy
+from salthead.state_store.client import TROUBLES, Conflict, put
 from salthead.zones import records
 from salthead.zones.recovery import ZoneRecovery
 from salthead.zones.state import ZonePhase
--- a/src/salthead/leader/zone_permissions.py
+++ b/src/salthead/leader/zone_permissions.py
@@ -8,9 +8,9 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import TROUBLES, Compacted, Conflict, Row, drop, put
 from salthead.coordination.zone_leases import counted_until
+from salthead.state_store import records
+from salthead.state_store.client import TROUBLES, Compacted, Conflict, Row, drop, put
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
--- a/src/salthead/node/election.py
+++ b/src/salthead/node/election.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import TROUBLES, Conflict, NoLease, Refused, Row, put
 from salthead.coordination import lease
 from salthead.evidence.gate import Action, Fact, permits
+from salthead.state_store import records
+from salthead.state_store.client import TROUBLES, Conflict, NoLease, Refused, Row, put
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
--- a/src/salthead/node/handlers.py
+++ b/src/salthead/node/handlers.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from salthead import metrics
-from salthead.bookkeeping.store import Conflict, NoLease, Refused
 from salthead.errors import Later, Rejected
 from salthead.leader.peer_calls import LEADS_FIELD
 from salthead.leader.term import Term
@@ -20,6 +19,7 @@
     decode_map,
     decode_submission,
 )
+from salthead.state_store.client import Conflict, NoLease, Refused
 from salthead.transport.client import Unanswered
 from salthead.transport.http import PrefixRoutes, Reply, Request, Route, Router
 
--- a/src/salthead/node/machine_types.py
+++ b/src/salthead/node/machine_types.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import TROUBLES, Conflict, Refused
 from salthead.protocol import names
 from salthead.protocol.messages import MachineType, MachineTypes, shape
+from salthead.state_store import records
+from salthead.state_store.client import TROUBLES, Conflict, Refused
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
--- a/src/salthead/node/node.py
+++ b/src/salthead/node/node.py
@@ -12,11 +12,6 @@
 from typing import Any
 
 from salthead import metrics
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import (
-    Refused,
-    Store,
-)
 from salthead.coordination import lease
 from salthead.errors import Later
 from salthead.event_log import event
@@ -38,6 +33,11 @@
     status_body,
 )
 from salthead.settings import Settings
+from salthead.state_store import records
+from salthead.state_store.client import (
+    Refused,
+    Store,
+)
 from salthead.transport.client import Caller, Unanswered
 
 log = logging.getLogger("salthead.node")
--- a/src/salthead/node/reach.py
+++ b/src/salthead/node/reach.py
@@ -7,11 +7,11 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import Refused
 from salthead.coordination import lease
 from salthead.leader.peer_calls import ask_reach
 from salthead.protocol.messages import Heartbeat
+from salthead.state_store import records
+from salthead.state_store.client import Refused
 from salthead.transport.client import Caller, Unanswered
 
 if TYPE_CHECKING:
--- a/src/salthead/node/sockets.py
+++ b/src/salthead/node/sockets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from salthead.bookkeeping.store import Store
+from salthead.state_store.client import Store
 
 
 class Sockets:
--- a/src/salthead/node/submissions.py
+++ b/src/salthead/node/submissions.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import Conflict, Refused, put
 from salthead.errors import Later, Rejected
 from salthead.protocol import names
 from salthead.protocol.messages import JOB_ID, Submission, status_body
+from salthead.state_store import records
+from salthead.state_store.client import Conflict, Refused, put
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
--- a/src/salthead/node/zone_keeper.py
+++ b/src/salthead/node/zone_keeper.py
@@ -5,12 +5,12 @@
 import uuid
 from typing import TYPE_CHECKING
 
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import TROUBLES, Conflict, drop, put
 from salthead.coordination import lease
 from salthead.coordination.zone_leases import ZoneLease
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat
+from salthead.state_store import records
+from salthead.state_store.client import TROUBLES, Conflict, drop, put
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
--- a/tests/production.py
+++ b/tests/production.py
@@ -103,11 +103,12 @@
 
     @property
     def records(self) -> Any:
-        return self.module("bookkeeping.records")
+        return self.module("bookkeeping.records" if self.package == NAME else "state_store.records")
 
     @property
     def pages(self) -> Any:
-        return self.module("bookkeeping.pages").Pages
+        package = "bookkeeping" if self.package == NAME else "state_store"
+        return self.module(f"{package}.pages").Pages
 
 
 THIS = Version("salthead")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,10 +15,10 @@
 from tornado.testing import bind_unused_port
 
 from helpers import FLAVORS, settings, spec
-from salthead.bookkeeping import records
 from salthead.cli import JOB_OPTIONS, JobOption, Service, main
 from salthead.node.handlers import ClientHandlers
 from salthead.node.node import Node
+from salthead.state_store import records
 from test_http import Shelf
 
 FLAGS = ["--breed", "b", "--crew", "blue", "--kit", "img-1", "--uid", "req-5"]
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -12,11 +12,11 @@
 from tornado.testing import AsyncHTTPTestCase, gen_test
 
 from helpers import FLAVORS, settings
-from salthead.bookkeeping import records
-from salthead.bookkeeping.store import Conflict, Refused
 from salthead.node.handlers import ClientHandlers
 from salthead.node.node import Node
 from salthead.protocol.messages import Submission, encode
+from salthead.state_store import records
+from salthead.state_store.client import Conflict, Refused
 
 JOB: dict[str, Any] = {
     "uid": "req-7",
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -11,8 +11,6 @@
 from tornado.testing import AsyncTestCase, gen_test
 
 from helpers import heartbeat, job, ledger, machine, ready, settings
-from salthead.bookkeeping import records
-from salthead.bookkeeping.pages import Pages
 from salthead.coordination import fleet, placement, zone_leases
 from salthead.coordination import ledger as ledgers
 from salthead.coordination.ledger import Ledger
@@ -21,6 +19,8 @@
 from salthead.node.handlers import ClientHandlers
 from salthead.node.node import Node
 from salthead.node.server import listen
+from salthead.state_store import records
+from salthead.state_store.pages import Pages
 from standins import World, run
 from test_scale import calls, full, shown
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,7 +12,7 @@
     {"errors", "event_log", "toml_file", "metrics", "__init__"},
     {"protocol", "settings"},
     {"transport"},
-    {"bookkeeping"},
+    {"state_store"},
     {"coordination", "evidence", "networks", "policy", "zones"},
     {"leader"},
     {"node"},
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from salthead.bookkeeping.pages import Pages
+from salthead.state_store.pages import Pages
 
 
 def write(pages: Pages, service: dict[str, Any], most: int = 8, kb: float = 56.0) -> int:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -11,12 +11,12 @@
 
 import test_days
 from helpers import heartbeat, job, machine, ready, settings, spec
-from salthead.bookkeeping import records
 from salthead.coordination import fleet, order, placement, preemption, waiting
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.pipelines import Pipelines
 from salthead.node.node import Node
 from salthead.protocol import names
+from salthead.state_store import records
 from standins import World, run
 
 NEVER = (math.inf, math.inf)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -4,8 +4,8 @@
 import pytest
 
 from helpers import spec
-from salthead.bookkeeping import records
 from salthead.protocol.messages import Malformed
+from salthead.state_store import records
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,10 +19,10 @@
 
 import profile_costs
 from helpers import LIMITS, heartbeat, job, machine, ready, spec
-from salthead.bookkeeping import records
 from salthead.coordination import fleet, placement
 from salthead.coordination.ledger import Ledger
 from salthead.leader.views import OVERVIEW_ROWS
+from salthead.state_store import records
 from standins import World, run
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,9 +18,9 @@
 import test_days
 import test_pipelines
 from helpers import FLAVORS, spec
-from salthead.bookkeeping import records
-from salthead.bookkeeping.pages import Pages
 from salthead.protocol.messages import MachineTypes, shape
+from salthead.state_store import records
+from salthead.state_store.pages import Pages
 from standins import World, run
 
 OLD = json.loads(production.FIXTURES.read_text())
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -27,7 +27,6 @@
 import msgspec  # noqa: E402
 
 from helpers import FLAVORS, given, heartbeat, settings, spec  # noqa: E402
-from salthead.bookkeeping import records  # noqa: E402
 from salthead.coordination import placement  # noqa: E402
 from salthead.coordination.lease import LeaseClock  # noqa: E402
 from salthead.coordination.model import UP  # noqa: E402
@@ -39,6 +38,7 @@
 from salthead.node.node import Node  # noqa: E402
 from salthead.policy import PartialCutPolicy, Policy, ZonePolicy  # noqa: E402
 from salthead.protocol.messages import encode, status_body, stop_order  # noqa: E402
+from salthead.state_store import records  # noqa: E402
 from salthead.transport.client import Answer  # noqa: E402
 from salthead.transport.http import Reply, Request  # noqa: E402
 from salthead.zones import records as zone_records  # noqa: E402
