--- a/src/salthead/cli.py
+++ b/src/salthead/cli.py
@@ -15,7 +15,7 @@
 
 from salthead import __version__
 from salthead.protocol.messages import MAX_TASKS
-from salthead.serve import CannotServe, run_controller
+from salthead.serve import StartupError, run_controller
 from salthead.settings import split_endpoint
 
 # exit codes, besides click's own 2 for wrong usage
@@ -48,7 +48,7 @@
     """
     try:
         run_controller(config, policy)
-    except CannotServe as error:
+    except StartupError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -67,7 +67,7 @@
         """Ask the controllers until one decides; its status and body."""
         from tornado.httpclient import HTTPClient, HTTPClientError, HTTPRequest
 
-        from salthead.protocol.messages import Malformed, decode_map, encode
+        from salthead.protocol.messages import MalformedMessageError, decode_map, encode
 
         end = time.monotonic() + self.timeout
         client = HTTPClient()
@@ -94,7 +94,7 @@
                         return answer.code, decode_map(answer.body)
                     why = f"answers {answer.code}"
                     pause = max(1.0, float(answer.headers.get("Retry-After", 1)))
-                except (OSError, HTTPClientError, Malformed, ValueError) as error:
+                except (OSError, HTTPClientError, MalformedMessageError, ValueError) as error:
                     why = str(error)
                 if time.monotonic() + pause > end:
                     fail(f"{controller}: {why}", UNREACHABLE)
--- a/src/salthead/coordination/invariants.py
+++ b/src/salthead/coordination/invariants.py
@@ -12,6 +12,7 @@
 
 from salthead import metrics
 from salthead.coordination.model import EPS, Binding, Job, Machine
+from salthead.errors import SaltheadError
 from salthead.event_log import event
 
 if TYPE_CHECKING:
@@ -34,7 +35,7 @@
     SUMS_AGREE = "sums_agree"  # bookings of teams and machines are the sums of what is bound
 
 
-class InvariantBroken(AssertionError):
+class InvariantBrokenError(SaltheadError, AssertionError):
     """Raised instead of logged where ``Invariants.strict`` is set."""
 
 
@@ -60,7 +61,7 @@
             **evidence,
         )
         if self.strict:
-            raise InvariantBroken(f"{which}: {evidence}")
+            raise InvariantBrokenError(f"{which}: {evidence}")
         return False
 
     def may_bind(self, job: Job, index: int, machine: Machine, granted: bool) -> bool:
--- a/src/salthead/coordination/task_reconciliation.py
+++ b/src/salthead/coordination/task_reconciliation.py
@@ -15,7 +15,7 @@
 from salthead.protocol import names
 from salthead.protocol.messages import (
     Heartbeat,
-    Malformed,
+    MalformedMessageError,
     TaskStatus,
     reap_order,
     split_task_id,
@@ -67,7 +67,7 @@
     for task in heartbeat.tasks:
         try:
             job_id, index = split_task_id(task.task_id)
-        except Malformed:
+        except MalformedMessageError:
             continue
         key = (job_id, index)
         binding = machine.bindings.get(key)
--- a/src/salthead/errors.py
+++ b/src/salthead/errors.py
@@ -1,9 +1,13 @@
-"""Why a request of a user is not answered as it was asked."""
+"""The base of all errors, and those that answer a user's request."""
 
 
-class Later(Exception):
-    """Can't be decided now; the client is told when to come back."""
+class SaltheadError(Exception):
+    """Base of the errors that salthead raises itself."""
 
 
-class Rejected(Exception):
+class UnavailableError(SaltheadError):
+    """503: the request can't be decided now; the client is told when to retry."""
+
+
+class InvalidJobError(SaltheadError):
     """422: the job can never run."""
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -10,10 +10,10 @@
 from salthead.coordination.model import Job
 from salthead.event_log import event
 from salthead.protocol import names
-from salthead.protocol.messages import Malformed, Submission
+from salthead.protocol.messages import MalformedMessageError, Submission
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Compacted
-from salthead.transport.client import Unanswered
+from salthead.state_store.client import RETRYABLE_ERRORS, CompactedError
+from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -143,7 +143,7 @@
                     for n in range(spec.more)
                     for job_id in records.awaits_from(rest.get(records.awaits_key(spec.job_id, n)))
                 ]
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.term.node.note("job record", f"{key}: {error}")
             return
         # What is loaded is not over, though its outcome may have been derived, and told, before it
@@ -177,15 +177,15 @@
                 for event in events:
                     if "set" in event:
                         self.take_row(event["set"], event.get("value"), event.get("stamp", 0))
-            except Compacted:
+            except CompactedError:
                 try:
                     rows, self.since = await self.term.state_store.list_prefix(records.JOBS)
                     for key, (value, revision) in rows.items():
                         self.take_row(key, value, revision)
-                except TROUBLES as error:
+                except RETRYABLE_ERRORS as error:
                     self.term.node.note("job list", error)
                     await self.term.node.rest(1.0)
-            except TROUBLES as error:
+            except RETRYABLE_ERRORS as error:
                 self.term.node.note("job watch", error)
                 await self.term.node.rest(0.5)
 
@@ -195,7 +195,7 @@
             for job_id in [*self.incomplete, *self.ledger.pipelines.unsure]:
                 try:
                     await self.look_up(job_id)
-                except TROUBLES as error:
+                except RETRYABLE_ERRORS as error:
                     self.term.node.note("awaited job", error)
                     await self.term.node.rest(0.5)
             await self.term.node.rest(AWAIT_GAP_S)
@@ -213,7 +213,7 @@
             return
         row = await self.term.state_store.get(records.job_key(job_id))
         if row is None:
-            raise Unanswered(f"no record of {job_id}")
+            raise UnansweredError(f"no record of {job_id}")
         if job_id not in self.ledger.jobs:
             spec = await self.term.node.lookups.whole(records.job_from(row.value))
             self.incomplete.pop(job_id, None)
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/lead.py
@@ -11,7 +11,7 @@
 from salthead.event_log import event
 from salthead.evidence.gate import Action, Fact
 from salthead.leader.peer_calls import ask_promise, ask_reach
-from salthead.state_store.client import TROUBLES, NoLease
+from salthead.state_store.client import RETRYABLE_ERRORS, LeaseExpiredError
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -42,10 +42,10 @@
                 self.term.clock.renewed(sent)
                 self.renewal_failed = False
                 await asyncio.sleep(ttl / 5)
-            except NoLease:
+            except LeaseExpiredError:
                 self._ending("lease_ended")
                 return
-            except TROUBLES as error:
+            except RETRYABLE_ERRORS as error:
                 self.renewal_failed = True
                 self.term.node.note("renew", error)
                 await self.term.node.rest(ttl / 12)
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -17,8 +17,14 @@
 from salthead.coordination.model import Job
 from salthead.protocol import names
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, Refused, delete, put
-from salthead.transport.client import Unanswered
+from salthead.state_store.client import (
+    RETRYABLE_ERRORS,
+    ConflictError,
+    RequestRefusedError,
+    delete,
+    put,
+)
+from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -83,19 +89,19 @@
                 self.wanted.clear()
                 try:
                     await self.save()
-                except (Conflict, *TROUBLES) as error:
+                except (ConflictError, *RETRYABLE_ERRORS) as error:
                     self.node.note("outcomes", error)
                     self._failed(error)
                     self.wanted.set()
                     await self.node.rest(RETRY_S)
         finally:
-            self._failed(Unanswered("this term is over"))
+            self._failed(UnansweredError("this term is over"))
 
     def _failed(self, error: Exception) -> None:
         tries, self.tries = self.tries, {}
         for tried in tries.values():
             if not tried.done():
-                tried.set_exception(Unanswered(str(error)))
+                tried.set_exception(UnansweredError(str(error)))
                 tried.exception()  # whoever asked may have gone
 
     async def save(self) -> None:
@@ -148,11 +154,11 @@
         }
         try:
             await term.transaction({records.over_key(job.job_id): 0 for job in jobs}, operations)
-        except Refused:
+        except RequestRefusedError:
             for job_id in fresh:
                 del self.in_doubt[job_id]
             raise
-        except Conflict:
+        except ConflictError:
             # An earlier try took effect without an answer: what it wrote counts.
             known = 0
             for job in jobs:
@@ -163,7 +169,7 @@
                 elif job.job_id in fresh:
                     del self.in_doubt[job.job_id]
             if not known:
-                raise Unanswered("outcome in doubt") from None
+                raise UnansweredError("outcome in doubt") from None
             return
         for job in jobs:
             self.ended(job, phases[job.job_id], at)
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from salthead.protocol import names
-from salthead.transport.client import Caller, Unanswered
+from salthead.transport.client import Caller, UnansweredError
 
 LEADS_FIELD = "leads"
 REACH_S = 1.0  # for an answer to a question that is answered from memory
@@ -41,7 +41,7 @@
     body = {LEADS_FIELD: True} if leads else None
     try:
         answer = await peer.call("POST", names.PEER_CONNECTIVITY_PATH, body, timeout=REACH_S)
-    except Unanswered:
+    except UnansweredError:
         return None
     if answer.status != 200:
         return None
@@ -64,6 +64,6 @@
     """Whether a peer promises ``member``, which leads, not to stand for a while."""
     try:
         answer = await peer.call("POST", names.PEER_PROMISE, {"member": member}, timeout=timeout)
-    except Unanswered:
+    except UnansweredError:
         return False
     return answer.status == 200 and answer.body.get("promise") is True
--- a/src/salthead/leader/rental.py
+++ b/src/salthead/leader/rental.py
@@ -15,10 +15,22 @@
 from salthead.coordination.returns import ReturnDecision
 from salthead.evidence.gate import Action, Fact
 from salthead.protocol import names
-from salthead.protocol.messages import MachineList, MachineType, Malformed, RentedMachines, shape
+from salthead.protocol.messages import (
+    MachineList,
+    MachineType,
+    MalformedMessageError,
+    RentedMachines,
+    shape,
+)
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, Refused, delete, put
-from salthead.transport.client import Unanswered
+from salthead.state_store.client import (
+    RETRYABLE_ERRORS,
+    ConflictError,
+    RequestRefusedError,
+    delete,
+    put,
+)
+from salthead.transport.client import UnansweredError
 from salthead.transport.limits import Budget
 
 if TYPE_CHECKING:
@@ -77,15 +89,15 @@
         while True:
             try:
                 await self.store_machine_types()
-            except records.TooLong as error:
+            except records.RecordTooLargeError as error:
                 self.term.node.note("flavors", error)
                 self.machine_types_stored = list(self.term.node.machine_types.values())
-            except (Conflict, *TROUBLES) as error:
+            except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.term.node.note("flavors", error)
             calls = 1
             try:
                 calls = await self.read_list()
-            except TROUBLES as error:
+            except RETRYABLE_ERRORS as error:
                 self.term.node.note("cloud list", error)
             await self.term.node.rest(self.list_gap_s(calls))
 
@@ -108,7 +120,7 @@
                 "GET", names.MACHINES_PATH, query=query, timeout=3.0
             )
             if answer.status != 200:
-                raise Refused(answer.status, "cloud list")
+                raise RequestRefusedError(answer.status, "cloud list")
             page = shape(answer.body, MachineList)
             now = self.now()
             for host in page.machines:
@@ -182,7 +194,7 @@
                     answer = await self.term.node.cloud.call(
                         "POST", names.MACHINES_PATH, body, timeout=4.0
                     )
-                except Unanswered as error:
+                except UnansweredError as error:
                     self.term.node.note("hire", error)
                     await self.term.node.rest(1.0)
                     continue
@@ -196,7 +208,7 @@
                     self.ledger.add_machine(host, type_name, zone_name, spot, now)
                 got = len(hosts)
                 break
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.term.node.note("hire", error)
         finally:
             self.coming[kind] -= count
@@ -230,8 +242,8 @@
                 timeout=4.0,
             )
             if answer.status != 200:
-                raise Refused(answer.status, "return")
-        except TROUBLES as error:
+                raise RequestRefusedError(answer.status, "return")
+        except RETRYABLE_ERRORS as error:
             self.term.node.note("return", error)
             await self.term.node.rest(1.0)
             return
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -8,7 +8,7 @@
 
 from salthead.coordination.model import UP, Job
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, delete, put
+from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, delete, put
 from salthead.state_store.pages import Pages
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
             try:
                 await self.clear_leftovers()
                 await self.save_parts()
-            except (Conflict, *TROUBLES) as error:
+            except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.term.node.note("save", error)
                 await self.term.node.rest(0.5)
 
@@ -72,7 +72,7 @@
             keys = list(islice(self.leftovers, self.term.state_limits.txn_ops))
             # On condition that there is no such job: it may have been accepted since the list was
             # read, or its record may have come late.
-            with contextlib.suppress(Conflict):
+            with contextlib.suppress(ConflictError):
                 await self.term.transaction(
                     {records.job_key(self.leftovers[key]): 0 for key in keys},
                     [delete(key) for key in keys],
@@ -94,7 +94,7 @@
                     ],
                     bulk=True,
                 )
-            except Conflict:
+            except ConflictError:
                 # An earlier try took effect after all; what it wrote is replaced.
                 for page in batch:
                     row = await self.term.state_store.get(pages.key(page))
@@ -134,6 +134,6 @@
                                 ledger.set_rostered(found)
                                 found.freed = True
                     self.term.wake()
-                except (Conflict, *TROUBLES) as error:
+                except (ConflictError, *RETRYABLE_ERRORS) as error:
                     self.term.node.note("roster", error)
             await self.term.node.rest(0.1)
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -26,11 +26,11 @@
 from salthead.protocol.messages import Heartbeat
 from salthead.state_store import records
 from salthead.state_store.client import (
-    TROUBLES,
-    Conflict,
-    Refused,
+    RETRYABLE_ERRORS,
+    ConflictError,
+    RequestRefusedError,
 )
-from salthead.transport.client import Unanswered
+from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
     from salthead.leader.link_loop import LinkLoop
@@ -49,10 +49,6 @@
 TASK_NOWHERE = int(Fact.TASK_NOWHERE)
 
 
-class Deposed(Exception):
-    """Somebody else leads, or may."""
-
-
 class Term:
     """One term of one leader, from the transaction that took the lead to the end of its lease."""
 
@@ -142,14 +138,14 @@
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                if (error := task.exception()) is not None and not isinstance(error, Deposed):
+                if (error := task.exception()) is not None:
                     log.error("term %d ends by an error", self.fencing_token, exc_info=error)
         finally:
             self.clock.drop()
             for task in [*tasks, *self.background]:
                 task.cancel()
             await asyncio.gather(*tasks, *self.background, return_exceptions=True)
-            with contextlib.suppress(Unanswered, Refused):
+            with contextlib.suppress(UnansweredError, RequestRefusedError):
                 await self.state_store.revoke_lease(self.lease_id)
 
     async def work_loop(self) -> None:
@@ -157,7 +153,7 @@
         while not self.ledger.loaded:
             try:
                 await self.job_records.load()
-            except TROUBLES as error:
+            except RETRYABLE_ERRORS as error:
                 self.node.note("load", error)
                 await self.node.rest(0.3)
         self.spawn(self.worker_calls.join_all(self.ledger.takeover.unheard()))
@@ -193,15 +189,15 @@
     ) -> int:
         """A write that only takes effect while this term leads."""
         if not self.valid():
-            raise Unanswered("lease not certain")
+            raise UnansweredError("lease not certain")
         try:
             return await self.state_store.transaction(
                 {records.LEAD: self.revision} | conditions, operations, bulk=bulk, urgent=urgent
             )
-        except Conflict as error:
+        except ConflictError as error:
             if records.LEAD in error.failed:
                 self.ledger.deposed_by = max(self.ledger.deposed_by, self.fencing_token + 1)
-                raise Unanswered("deposed") from None
+                raise UnansweredError("deposed") from None
             raise
 
     # -- loading and following jobs -----------------------------------------------------
@@ -214,7 +210,7 @@
                     row = await self.state_store.get(records.over_key(job_id))
                     if row is not None:
                         strays.identify_job(self.ledger, records.over_from(row.value)[1])
-                except TROUBLES as error:
+                except RETRYABLE_ERRORS as error:
                     self.node.note("stray task", error)
             await self.node.rest(0.5)
 
@@ -275,19 +271,19 @@
                 return found
             row = await self.state_store.get(records.job_key(job_id))
             if row is None or not self.ledger.loaded:
-                raise Unanswered("cancel in doubt")
+                raise UnansweredError("cancel in doubt")
             self.job_records.take_row(records.job_key(job_id), *row)
             if job_id in self.job_records.incomplete:
                 await self.job_records.look_up(job_id)
             job = self.ledger.jobs.get(job_id)
             if job is None:
-                raise Unanswered("cancel in doubt")
+                raise UnansweredError("cancel in doubt")
         if not job.over and not job.dependency_cancelled:
             await self.outcomes.cancel(job)
         # What follows from a durable outcome may be told before it is written itself.
         durable = Fact.OUTCOME_DURABLE if job.over or job.dependency_cancelled else Fact(0)
         if not self.permits(Action.CONFIRM_CANCELLATION, durable):
-            raise Unanswered("cancel in doubt")
+            raise UnansweredError("cancel in doubt")
         return {"uid": job_id, "phase": job.over or names.ABORTED}
 
     # -- machines -----------------------------------------------------------------------
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -13,8 +13,8 @@
 from salthead.evidence.gate import Action, Fact
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat, shape, stop_order
-from salthead.state_store.client import TROUBLES
-from salthead.transport.client import Answer, Unanswered
+from salthead.state_store.client import RETRYABLE_ERRORS
+from salthead.transport.client import Answer, UnansweredError
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -41,7 +41,7 @@
             answer = await self.term.node.workers.call(
                 "POST", names.COMMAND_PATH, body, timeout=timeout, endpoint=machine.endpoint
             )
-        except Unanswered:
+        except UnansweredError:
             machine.links.command_failed(sent)
             raise
         machine.links.command_answered(sent)
@@ -76,7 +76,7 @@
             try:
                 answer = await self._command(machine, incarnation, [], timeout)
                 heartbeat = shape(answer.body, Heartbeat)
-            except TROUBLES as error:
+            except RETRYABLE_ERRORS as error:
                 self.term.node.note("join", error)
                 return
             if heartbeat.worker != machine.name:
@@ -161,7 +161,7 @@
 
     async def probe(self, machine: Machine) -> None:
         """Note that a call reaches the machine, if one does."""
-        with contextlib.suppress(Unanswered):
+        with contextlib.suppress(UnansweredError):
             answer = await self._command(machine, machine.incarnation, [], PROBE_S)
             if answer.status in (200, 409):
                 machine_health.mark_responsive(self.term.ledger, machine, self.term.now())
@@ -197,5 +197,5 @@
         """Send commands once; answers to the worker's reports repeat them."""
         try:
             await self._command(machine, machine.incarnation, orders, STOP_S)
-        except Unanswered as error:
+        except UnansweredError as error:
             self.term.node.note("direct stop", error)
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -6,7 +6,7 @@
 
 from salthead import metrics
 from salthead.policy import Network, ZonePolicy
-from salthead.state_store.client import TROUBLES, Conflict, put
+from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, put
 from salthead.zones import records
 from salthead.zones.recovery import ZoneRecovery
 from salthead.zones.state import ZonePhase
@@ -59,7 +59,7 @@
                 self._show()
             try:
                 await self._write()
-            except (Conflict, *TROUBLES) as error:
+            except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.term.node.note("zones", error)
             await self.term.node.rest(OBSERVE_GAP_S)
 
@@ -68,7 +68,7 @@
         while not self.term.ledger.ready:
             try:
                 rows, _ = await self.term.state_store.list_prefix(records.ZONES)
-            except TROUBLES as error:
+            except RETRYABLE_ERRORS as error:
                 self.term.node.note("zones", error)
                 await self.term.node.rest(OBSERVE_GAP_S)
                 continue
--- a/src/salthead/leader/zone_permissions.py
+++ b/src/salthead/leader/zone_permissions.py
@@ -10,7 +10,14 @@
 
 from salthead.coordination.zone_leases import counted_until
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Compacted, Conflict, VersionedValue, delete, put
+from salthead.state_store.client import (
+    RETRYABLE_ERRORS,
+    CompactedError,
+    ConflictError,
+    VersionedValue,
+    delete,
+    put,
+)
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -59,10 +66,10 @@
                         continue
                     if "set" in event:
                         await self.allow(event["set"].removeprefix(records.KEEP), value)
-            except Compacted:
+            except CompactedError:
                 since = self.term.job_records.since
                 await self.term.node.rest(RETRY_S)
-            except (Conflict, *TROUBLES) as error:
+            except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.term.node.note("keep", error)
                 await self.term.node.rest(RETRY_S)
 
@@ -86,9 +93,9 @@
             key, revision = next(iter(self.earlier.items()))
             try:
                 await self.term.transaction({key: revision}, [delete(key)], bulk=True)
-            except Conflict:
+            except ConflictError:
                 pass  # this leader has allowed something since
-            except TROUBLES as error:
+            except RETRYABLE_ERRORS as error:
                 self.term.node.note("keep", error)
                 continue
             del self.earlier[key]
--- a/src/salthead/networks/directory.py
+++ b/src/salthead/networks/directory.py
@@ -5,7 +5,7 @@
 import netaddr
 
 from salthead.policy import Network
-from salthead.toml_file import FileError as PolicyError
+from salthead.toml_file import ConfigFileError as PolicyError
 
 
 class NetworkDirectory:
--- a/src/salthead/node/election.py
+++ b/src/salthead/node/election.py
@@ -9,7 +9,14 @@
 from salthead.coordination import lease
 from salthead.evidence.gate import Action, Fact, permits
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, NoLease, Refused, VersionedValue, put
+from salthead.state_store.client import (
+    RETRYABLE_ERRORS,
+    ConflictError,
+    LeaseExpiredError,
+    RequestRefusedError,
+    VersionedValue,
+    put,
+)
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
@@ -46,9 +53,9 @@
                     await self._follow(row)
                 else:
                     await self._stand(row)
-            except Conflict:
+            except ConflictError:
                 await self.node.rest(CONFLICT_RETRY_S)
-            except TROUBLES as error:
+            except RETRYABLE_ERRORS as error:
                 self.node.note("election", error)
                 await self.node.rest(TROUBLE_RETRY_S)
 
@@ -136,6 +143,6 @@
                 urgent=True,
             )
             node.abstention.in_doubt = False
-        except (Conflict, Refused, NoLease):
+        except (ConflictError, RequestRefusedError, LeaseExpiredError):
             node.abstention.in_doubt = False
             raise
--- a/src/salthead/node/handlers.py
+++ b/src/salthead/node/handlers.py
@@ -7,26 +7,32 @@
 from typing import Any
 
 from salthead import metrics
-from salthead.errors import Later, Rejected
+from salthead.errors import InvalidJobError, UnavailableError
 from salthead.leader.peer_calls import LEADS_FIELD
 from salthead.leader.term import Term
 from salthead.node.node import Node
 from salthead.protocol import names
 from salthead.protocol.messages import (
     JOB_ID,
-    Malformed,
+    MalformedMessageError,
     decode_heartbeat,
     decode_map,
     decode_submission,
 )
-from salthead.state_store.client import Conflict, NoLease, Refused
-from salthead.transport.client import Unanswered
+from salthead.state_store.client import ConflictError, LeaseExpiredError, RequestRefusedError
+from salthead.transport.client import UnansweredError
 from salthead.transport.http import PrefixRoutes, Reply, Request, Route, Router
 
 log = logging.getLogger("salthead.handlers")
 
 # Errors that mean 503: the answer is not known now, and may be in a moment.
-UNDECIDED = (Later, Refused, Unanswered, NoLease, Conflict)
+UNDECIDED_ERRORS = (
+    UnavailableError,
+    RequestRefusedError,
+    UnansweredError,
+    LeaseExpiredError,
+    ConflictError,
+)
 ERROR_TEXT_MAX = 200
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
 
@@ -43,7 +49,7 @@
         return _error(404, "no such job")
     try:
         found = await lookup(job_id)
-    except UNDECIDED as error:
+    except UNDECIDED_ERRORS as error:
         return _error(503, error)
     return _error(404, "no such job") if found is None else Reply(200, found)
 
@@ -52,12 +58,12 @@
     try:
         submission = decode_submission(request.body, forwarded)
         return Reply(*await node.submit(submission, forwarded))
-    except Malformed as error:
+    except MalformedMessageError as error:
         log.info("submission refused: %s", error)
         return _error(400, error)
-    except Rejected as error:
+    except InvalidJobError as error:
         return _error(422, error)
-    except UNDECIDED as error:
+    except UNDECIDED_ERRORS as error:
         return _error(503, error)
 
 
@@ -91,7 +97,7 @@
         """POST /hello: a worker's report, answered with commands."""
         try:
             heartbeat = decode_heartbeat(request.body)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.node.note("report", error)
             return _error(400, error)
         if request.connections is not None and request.stream is not None:
@@ -125,7 +131,7 @@
         """GET /overview: queue and fleet, for operators."""
         try:
             return Reply(200, await self.node.overview())
-        except UNDECIDED as error:
+        except UNDECIDED_ERRORS as error:
             return _error(503, error)
 
     def metrics(self, request: Request) -> Reply:
@@ -180,7 +186,7 @@
     ) -> Reply | Awaitable[Reply]:
         try:
             job_id = str(decode_map(request.body).get("uid"))
-        except Malformed as error:
+        except MalformedMessageError as error:
             return _error(400, error)
         term = self.node.leading()
         if term is None:
@@ -191,7 +197,7 @@
         """Another node leads and lost the state service: whether this one will not stand."""
         try:
             member = str(decode_map(request.body).get("member"))
-        except Malformed as error:
+        except MalformedMessageError as error:
             return _error(400, error)
         given = await self.node.promise(member)
         return Reply(200 if given else 409, {"promise": given})
@@ -200,7 +206,7 @@
         """How many workers came here although another node leads."""
         try:
             asked = decode_map(request.body) if request.body else {}
-        except Malformed as error:
+        except MalformedMessageError as error:
             return _error(400, error)
         return Reply(200, self.node.knocks_body(asked.get(LEADS_FIELD) is True))
 
--- a/src/salthead/node/job_lookups.py
+++ b/src/salthead/node/job_lookups.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from salthead.errors import Later, Rejected
+from salthead.errors import InvalidJobError, UnavailableError
 from salthead.protocol import names
 from salthead.protocol.messages import Submission, status_body
 from salthead.state_store import records
 from salthead.state_store.client import VersionedValue
-from salthead.transport.client import Unanswered
+from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
@@ -34,7 +34,7 @@
         for n in range(spec.more):
             row = await self.node.state_store.get(records.awaits_key(spec.job_id, n))
             if row is None:
-                raise Unanswered("job record: a part is missing")
+                raise UnansweredError("job record: a part is missing")
             depends_on += records.awaits_from(row.value)
         return msgspec.structs.replace(spec, depends_on=depends_on or None)
 
@@ -51,8 +51,8 @@
         had submitted, was not looked up.
 
         The durable outcome of the cancelled one decides; it needs no leader to be told. A job
-        whose own outcome is known needs no look at what is before it. Rejected: one of them was
-        never accepted.
+        whose own outcome is known needs no look at what is before it. Raises InvalidJobError if
+        one of them was never accepted.
         """
         seen, line = set(depends_on), deque(depends_on)
         named, cut = set(depends_on), False
@@ -63,7 +63,7 @@
             if cut and job_id not in named:
                 break  # those that are named come first
             if self.node.now() > end:
-                raise Later("still looking up the jobs that it awaits")
+                raise UnavailableError("still looking up the jobs that it awaits")
             known, found = self._in_memory(job_id)
             if not known:
                 if reads == LOOK_UPS:  # deep or wide: all jobs that are not over at once
@@ -105,7 +105,7 @@
         if row is None:  # it has ended since, or was never accepted
             if (ended := await self.ended(job_id)) is not None:
                 return ended[0]
-            raise Rejected(f"awaits: {job_id} was never accepted")
+            raise InvalidJobError(f"awaits: {job_id} was never accepted")
         if job_id not in self.node.accepted:
             self.node.remember(await self.whole(records.job_from(row.value)))
         return None
@@ -129,8 +129,8 @@
                 cut = spec.depends_on is not None and await self.depends_on_cancelled(
                     spec.depends_on
                 )
-            except Rejected as error:
-                raise Unanswered(str(error)) from None
+            except InvalidJobError as error:
+                raise UnansweredError(str(error)) from None
             return status_body(job_id, names.ABORTED if cut else names.QUEUED)
         found = await self.ended(job_id)
         if found is None:
--- a/src/salthead/node/machine_types.py
+++ b/src/salthead/node/machine_types.py
@@ -7,7 +7,7 @@
 from salthead.protocol import names
 from salthead.protocol.messages import MachineType, MachineTypes, shape
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, Refused
+from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, RequestRefusedError
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
@@ -28,20 +28,20 @@
                 self.take(await self._from_cloud())
                 await self.node.rest(AGAIN_S)
                 continue
-            except (Conflict, *TROUBLES) as error:
+            except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.node.note("cloud flavors", error)
             if not self.node.machine_types:
                 try:
                     if found := await self._as_stored():
                         self.take(found)
-                except (Conflict, *TROUBLES) as error:
+                except (ConflictError, *RETRYABLE_ERRORS) as error:
                     self.node.note("stored flavors", error)
             await self.node.rest(RETRY_S)
 
     async def _from_cloud(self) -> list[MachineType]:
         answer = await self.node.cloud.call("GET", names.MACHINE_TYPES_PATH, timeout=3.0)
         if answer.status != 200:
-            raise Refused(answer.status, "flavors")
+            raise RequestRefusedError(answer.status, "flavors")
         return shape(answer.body, MachineTypes).machine_types
 
     async def _as_stored(self) -> list[MachineType]:
--- a/src/salthead/node/node.py
+++ b/src/salthead/node/node.py
@@ -13,7 +13,7 @@
 
 from salthead import metrics
 from salthead.coordination import lease
-from salthead.errors import Later
+from salthead.errors import UnavailableError
 from salthead.event_log import event
 from salthead.evidence.gate import Action, Fact, permits
 from salthead.leader.term import Term
@@ -35,10 +35,10 @@
 from salthead.settings import Settings
 from salthead.state_store import records
 from salthead.state_store.client import (
-    Refused,
+    RequestRefusedError,
     StateStore,
 )
-from salthead.transport.client import Caller, Unanswered
+from salthead.transport.client import Caller, UnansweredError
 
 log = logging.getLogger("salthead.node")
 
@@ -176,7 +176,7 @@
         try:
             await self.state_store.get(records.LEAD, timeout=0.5, urgent=True)
             return False
-        except (Refused, Unanswered):
+        except (RequestRefusedError, UnansweredError):
             pass
         return self.term is None and self.abstention.promise(self.now())
 
@@ -247,7 +247,7 @@
     ) -> tuple[int, dict[str, Any]]:
         """POST /work: status and body, or one of the errors that mean 4xx or 503."""
         if self.overloaded():
-            raise Later("overloaded")
+            raise UnavailableError("overloaded")
         self.submitting += 1
         try:
             return await self.submissions.accept(job, forwarded)
@@ -308,7 +308,7 @@
         read = await self.lookups.read(job_id)
         if read is None or read["phase"] in (names.DONE, names.ABORTED):
             return read
-        raise Later("no leader")
+        raise UnavailableError("no leader")
 
     async def overview(self) -> dict[str, Any]:
         """Queue and fleet, from the leader wherever it is."""
@@ -317,10 +317,10 @@
             return term.views.overview()
         peer = self.peers.get(self.leader or "")
         if peer is None:
-            raise Later("no leader")
+            raise UnavailableError("no leader")
         answer = await peer.call("POST", names.PEER_OVERVIEW_PATH, timeout=2.0)
         if answer.status != 200:
-            raise Later("no leader")
+            raise UnavailableError("no leader")
         return answer.body
 
     async def ask_leader(self, path: str, job_id: str, timeout: float) -> dict[str, Any] | None:
@@ -330,7 +330,7 @@
             return None
         try:
             answer = await peer.call("POST", path, {"uid": job_id}, timeout=timeout)
-        except Unanswered as error:
+        except UnansweredError as error:
             self.note("leader", error)
             return None
         if answer.status != 200 or answer.body.get("uid") != job_id:
--- a/src/salthead/node/reach.py
+++ b/src/salthead/node/reach.py
@@ -11,8 +11,8 @@
 from salthead.leader.peer_calls import ask_reach
 from salthead.protocol.messages import Heartbeat
 from salthead.state_store import records
-from salthead.state_store.client import Refused
-from salthead.transport.client import Caller, Unanswered
+from salthead.state_store.client import RequestRefusedError
+from salthead.transport.client import Caller, UnansweredError
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
@@ -57,7 +57,7 @@
                 continue
             try:
                 await self.node.state_store.get(records.LEAD, timeout=REACH_S, urgent=True)
-            except (Refused, Unanswered):
+            except (RequestRefusedError, UnansweredError):
                 await asyncio.gather(
                     *(self.ask(peer) for peer in self.node.peers.values()), return_exceptions=True
                 )
--- a/src/salthead/node/submissions.py
+++ b/src/salthead/node/submissions.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from salthead.errors import Later, Rejected
+from salthead.errors import InvalidJobError, UnavailableError
 from salthead.protocol import names
 from salthead.protocol.messages import JOB_ID, Submission, status_body
 from salthead.state_store import records
-from salthead.state_store.client import Conflict, Refused, put
-from salthead.transport.client import Unanswered
+from salthead.state_store.client import ConflictError, RequestRefusedError, put
+from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
@@ -34,13 +34,13 @@
         """422 and 503 by what is known of teams and machine types."""
         team = next((team for team in self.node.limits.teams if team.name == job.team), None)
         if team is None:
-            raise Rejected(f"unknown team {job.team[:60]}")
+            raise InvalidJobError(f"unknown team {job.team[:60]}")
         many = job.task_count if job.shape == names.GANG else 1
         gpus = job.accelerators * many
         if job.vcpus * many > team.cpus_max + 1e-6 or gpus > team.gpus_max + 1e-6:
-            raise Rejected("more than the team's limit")
+            raise InvalidJobError("more than the team's limit")
         if not self.node.machine_types:
-            raise Later("machine types not known yet")
+            raise UnavailableError("machine types not known yet")
         if not any(
             job.vcpus <= f.vcpus
             and job.accelerators <= f.accelerators
@@ -49,7 +49,7 @@
             and (job.zone is None or job.zone in f.zones)
             for f in self.node.machine_types.values()
         ):
-            raise Rejected("a task fits no allowed machine type")
+            raise InvalidJobError("a task fits no allowed machine type")
         if job.machine_types is not None:  # only names that exist are kept
             job.machine_types = sorted(
                 {name for name in job.machine_types if name in self.node.machine_types}
@@ -61,7 +61,7 @@
             return 200, known
         try:
             rows, dependency_cancelled = await self._rows_of(job)
-        except Rejected:
+        except InvalidJobError:
             # A repeat of a job that was accepted must not be refused, whatever changed since.
             if (found := await self.node.lookups.read(job.job_id)) is not None:
                 return 200, found
@@ -71,14 +71,14 @@
                 {records.job_key(job.job_id): 0, records.over_key(job.job_id): 0},
                 [put(key, value) for key, value in rows],
             )
-        except (Refused, Unanswered):
+        except (RequestRefusedError, UnansweredError):
             if forwarded:
                 raise
             return await self._forward(job)
-        except Conflict:
+        except ConflictError:
             found = await self.node.lookups.read(job.job_id)
             if found is None:
-                raise Later("in doubt") from None
+                raise UnavailableError("in doubt") from None
             return 200, found
         log.debug("accepted %s: %d tasks", job.job_id, job.task_count)
         return 201, self._accepted(job, len(rows) - 1, dependency_cancelled, revision)
@@ -94,7 +94,7 @@
         return None
 
     async def _rows_of(self, job: Submission) -> tuple[list[tuple[str, dict[str, Any]]], bool]:
-        """The records of a new job, and whether one that it needs was cancelled; or Rejected."""
+        """The records of a new job, and whether a dependency was cancelled; or InvalidJobError."""
         self._check(job)
         dependency_cancelled = bool(job.depends_on) and await self._check_awaits(job)
         # The time is noted before the record is made, for what it takes up in it.
@@ -102,8 +102,8 @@
         limits = self.node.state_limits
         try:
             rows = records.job_rows(job, limits.value_kb, limits.txn_ops)
-        except records.TooLong as error:
-            raise Rejected(str(error)) from None
+        except records.RecordTooLargeError as error:
+            raise InvalidJobError(str(error)) from None
         if dependency_cancelled:
             # What it needs was cancelled, so its outcome is known before it is written.
             value = records.over_value(job, names.ABORTED, job.at, limits.value_kb)
@@ -125,11 +125,11 @@
         return {"uid": job.job_id, "phase": names.QUEUED}
 
     async def _check_awaits(self, job: Submission) -> bool:
-        """Whether a job that this one needs was cancelled; Rejected if one was never accepted."""
+        """Whether a dependency was cancelled; InvalidJobError if one was never accepted."""
         depends_on = job.depends_on or []
         for job_id in depends_on:
             if job_id == job.job_id or not JOB_ID.match(job_id):
-                raise Rejected(f"awaits: {job_id[:60]!r} is no job that was accepted")
+                raise InvalidJobError(f"awaits: {job_id[:60]!r} is no job that was accepted")
         return await self.node.lookups.depends_on_cancelled(
             depends_on, self.node.now() + LOOK_UP_S, every=True
         )
@@ -142,9 +142,9 @@
                 answer = await peer.call(
                     "POST", names.PEER_SUBMIT_PATH, msgspec.to_builtins(job), timeout=0.8
                 )
-            except Unanswered as error:
+            except UnansweredError as error:
                 self.node.note("pass on", error)
                 continue
             if answer.status in (200, 201) and answer.body.get("uid") == job.job_id:
                 return answer.status, answer.body
-        raise Later("the state service does not answer")
+        raise UnavailableError("the state service does not answer")
--- a/src/salthead/node/zone_keeper.py
+++ b/src/salthead/node/zone_keeper.py
@@ -10,8 +10,8 @@
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, delete, put
-from salthead.transport.client import Unanswered
+from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, delete, put
+from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
@@ -41,7 +41,7 @@
                     self.lease.stop()
                     await self._withdraw()
                     written = False
-            except (Conflict, *TROUBLES) as error:
+            except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.node.note("keep", error)
 
     async def _reaches_leader(self) -> bool:
@@ -51,7 +51,7 @@
             return True
         try:
             await peer.call("POST", names.PEER_CONNECTIVITY_PATH, timeout=self.lease.ttl / 8.0)
-        except Unanswered:
+        except UnansweredError:
             return False
         return True
 
--- a/src/salthead/policy.py
+++ b/src/salthead/policy.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from salthead import toml_file
-from salthead.toml_file import FileError as PolicyError
+from salthead.toml_file import ConfigFileError as PolicyError
 
 
 class ZonePolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -9,6 +9,7 @@
 import cbor2
 import msgspec
 
+from salthead.errors import SaltheadError
 from salthead.protocol import names
 
 T = TypeVar("T")
@@ -18,7 +19,7 @@
 JOB_ID = re.compile(r"req-[0-9]{1,40}\Z")
 
 
-class Malformed(Exception):
+class MalformedMessageError(SaltheadError):
     """A message that can't be understood, with a short reason."""
 
 
@@ -166,24 +167,24 @@
     try:
         found = cbor2.loads(body)
     except Exception as error:  # the decoder raises several unrelated types
-        raise Malformed("not CBOR") from error
+        raise MalformedMessageError("not CBOR") from error
     if type(found) is not dict or not all(type(key) is str for key in found):
-        raise Malformed("not a map with text keys")
+        raise MalformedMessageError("not a map with text keys")
     return found
 
 
 def shape(found: Any, kind: type[T]) -> T:
-    """The map as the structure; Malformed names the field."""
+    """The map as the structure; MalformedMessageError names the field."""
     try:
         return msgspec.convert(found, kind)
     except msgspec.ValidationError as error:
-        raise Malformed(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
     except (RecursionError, OverflowError) as error:
-        raise Malformed("not a plain message") from error
+        raise MalformedMessageError("not a plain message") from error
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """A body as a structure; Malformed if it is none."""
+    """A body as a structure; MalformedMessageError if it is none."""
     return shape(decode_map(body), kind)
 
 
@@ -200,23 +201,23 @@
 
 
 def finite(value: float, low: float, what: str) -> None:
-    """Malformed if a number is none, or out of range."""
+    """MalformedMessageError if a number is none, or out of range."""
     if not low <= value < 1e12:  # also refuses what is not a number
-        raise Malformed(f"{what}: out of range")
+        raise MalformedMessageError(f"{what}: out of range")
 
 
 def decode_submission(body: bytes, forwarded: bool = False) -> Submission:
-    """POST /work in full, or Malformed (400) with a short reason.
+    """POST /work in full, or MalformedMessageError (400) with a short reason.
 
     ``forwarded``: by another node, which has checked that no field is missing.
     """
     if len(body) > MAX_BODY:
-        raise Malformed("body over 64 KiB")
+        raise MalformedMessageError("body over 64 KiB")
     found = decode_map(body)
     if not forwarded:
         for name in REQUIRED_FIELDS:
             if found.get(name) is None:
-                raise Malformed(f"{name}: missing")
+                raise MalformedMessageError(f"{name}: missing")
     job = shape(found, Submission)
     _check_values(job)
     if job.depends_on is not None:
@@ -226,21 +227,21 @@
 
 
 def _check_values(job: Submission) -> None:
-    """What the types alone do not say; Malformed names the field."""
+    """What the types alone do not say; MalformedMessageError names the field."""
     if not JOB_ID.match(job.job_id):
-        raise Malformed("uid: not of the form req-DIGITS")
+        raise MalformedMessageError("uid: not of the form req-DIGITS")
     if not 1 <= job.task_count <= MAX_TASKS:
-        raise Malformed("pieces: out of range")
+        raise MalformedMessageError("pieces: out of range")
     for attribute, wire_name in AMOUNTS:
         finite(getattr(job, attribute), 0.0, wire_name)
     if job.deadline_s is not None:
         finite(job.deadline_s, 0.0, "due_s")
     if job.vcpus <= 0 and job.accelerators <= 0 and job.ram_gb <= 0:
-        raise Malformed("vcpus: a task must take something")
+        raise MalformedMessageError("vcpus: a task must take something")
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """A worker's report; Malformed if it is none."""
+    """A worker's report; MalformedMessageError if it is none."""
     heartbeat = decode(body, Heartbeat)
     if (
         not heartbeat.worker
@@ -248,7 +249,7 @@
         or heartbeat.sequence < 0
         or heartbeat.fencing_token < 0
     ):
-        raise Malformed("saltlick, tenure, tally or baton: out of range")
+        raise MalformedMessageError("saltlick, tenure, tally or baton: out of range")
     return heartbeat
 
 
@@ -257,7 +258,7 @@
     """``req-000412/3`` as its job and its number."""
     job_id, _, number = text.rpartition("/")
     if not JOB_ID.match(job_id) or not number.isascii() or not number.isdigit():
-        raise Malformed(f"piece: {text[:60]!r}")
+        raise MalformedMessageError(f"piece: {text[:60]!r}")
     return job_id, int(number)
 
 
--- a/src/salthead/serve.py
+++ b/src/salthead/serve.py
@@ -15,15 +15,16 @@
 from pathlib import Path
 
 from salthead import policy as policies
+from salthead.errors import SaltheadError
 from salthead.settings import load
-from salthead.toml_file import FileError
+from salthead.toml_file import ConfigFileError
 
 GC_YOUNG = 10_000  # objects
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-class CannotServe(Exception):
+class StartupError(SaltheadError):
     """Why a controller can't start, in one line."""
 
 
@@ -31,7 +32,7 @@
     """Log to standard error at the level that LOG_LEVEL names."""
     level = os.environ.get("LOG_LEVEL", "info").lower()
     if level not in LEVELS:
-        raise CannotServe(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}")
+        raise StartupError(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}")
     logging.basicConfig(
         stream=sys.stderr,
         level=LEVELS[level],
@@ -41,13 +42,13 @@
 
 
 def run_controller(config: Path, policy_file: Path | None = None) -> None:
-    """Until the process is killed; CannotServe says why it can't start."""
+    """Until the process is killed; StartupError says why it can't start."""
     set_up_logging()
     try:
         settings = load(config)
         policy = policies.load(policy_file) if policy_file else policies.NO_POLICY
-    except FileError as error:
-        raise CannotServe(str(error)) from None
+    except ConfigFileError as error:
+        raise StartupError(str(error)) from None
     import uvloop
 
     from salthead.node.node import Node
@@ -63,7 +64,7 @@
         try:
             listen_on_all(node)
         except OSError as error:
-            raise CannotServe(f"can't listen: {error}") from None
+            raise StartupError(f"can't listen: {error}") from None
         logging.getLogger("salthead").info("%s started", settings.member)
         await node.run()
 
@@ -92,5 +93,5 @@
     options = parser.parse_args(words)
     try:
         run_controller(options.config, options.policy)
-    except CannotServe as error:
+    except StartupError as error:
         sys.exit(f"Error: {error}")
--- a/src/salthead/settings.py
+++ b/src/salthead/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from salthead import toml_file
-from salthead.toml_file import FileError as SettingsError
+from salthead.toml_file import ConfigFileError as SettingsError
 
 
 class Seed(msgspec.Struct):
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -5,9 +5,10 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+from salthead.errors import SaltheadError
 from salthead.protocol import names
-from salthead.protocol.messages import Malformed
-from salthead.transport.client import Answer, Caller, Unanswered
+from salthead.protocol.messages import MalformedMessageError
+from salthead.transport.client import Answer, Caller, UnansweredError
 from salthead.transport.limits import Budget
 
 
@@ -18,7 +19,7 @@
     revision: int
 
 
-class Refused(Exception):
+class RequestRefusedError(SaltheadError):
     """The state service answered, and did not execute the request."""
 
     def __init__(self, status: int, what: str) -> None:
@@ -26,7 +27,7 @@
         self.status = status
 
 
-class Conflict(Exception):
+class ConflictError(SaltheadError):
     """A condition of a transaction did not hold."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -34,22 +35,31 @@
         self.failed = failed
 
 
-class NoLease(Exception):
+class LeaseExpiredError(SaltheadError):
     """The lease has ended."""
 
 
-class Compacted(Exception):
+class CompactedError(SaltheadError):
     """The change log no longer reaches back that far."""
 
 
 # What a loop that talks to the outside notes and tries again after.
-TROUBLES = (Refused, Unanswered, Malformed, NoLease, Compacted, KeyError, TypeError, ValueError)
+RETRYABLE_ERRORS = (
+    RequestRefusedError,
+    UnansweredError,
+    MalformedMessageError,
+    LeaseExpiredError,
+    CompactedError,
+    KeyError,
+    TypeError,
+    ValueError,
+)
 
 
 def _int(body: dict[str, Any], name: str) -> int:
     value = body.get(name)
     if type(value) is not int:
-        raise Unanswered(f"state service: {name} missing")
+        raise UnansweredError(f"state service: {name} missing")
     return value
 
 
@@ -83,7 +93,7 @@
         if answer.status in expected:
             self.last_response_at = self.now()
             return answer
-        raise Refused(answer.status, what)
+        raise RequestRefusedError(answer.status, what)
 
     async def get(
         self, key: str, timeout: float = 1.5, urgent: bool = False
@@ -141,10 +151,10 @@
         }
         answer = await caller.call("POST", names.TRANSACTIONS_PATH, body, timeout=timeout)
         if answer.status == 400 and "lease" in str(answer.body.get("error", "")):
-            raise NoLease("txn")
+            raise LeaseExpiredError("txn")
         self._check(answer, "txn", 200, 409)
         if answer.status == 409:
-            raise Conflict([str(key) for key in answer.body.get("failed") or []])
+            raise ConflictError([str(key) for key in answer.body.get("failed") or []])
         return _int(answer.body, "epoch")
 
     async def grant_lease(self, ttl_s: float, timeout: float = 1.5) -> int:
@@ -156,13 +166,13 @@
         return _int(answer.body, "tether")
 
     async def renew_lease(self, lease_id: int, timeout: float) -> None:
-        """Renew a lease; NoLease if it has ended."""
+        """Renew a lease; LeaseExpiredError if it has ended."""
         answer = await self.urgent.call(
             "POST", f"{names.LEASES_PATH}/{lease_id}/extend", timeout=timeout
         )
         self._check(answer, "extend", 200, 404)
         if answer.status == 404:
-            raise NoLease("extend")
+            raise LeaseExpiredError("extend")
 
     async def revoke_lease(self, lease_id: int) -> None:
         """End a lease at once."""
@@ -180,7 +190,7 @@
             query={"prefix": prefix, "from": since, "wait_ms": round(wait_s * 1000)},
         )
         if answer.status == 410:
-            raise Compacted(prefix)
+            raise CompactedError(prefix)
         self._check(answer, prefix, 200)
         return list(answer.body.get("log") or []), _int(answer.body, "epoch")
 
--- a/src/salthead/state_store/records.py
+++ b/src/salthead/state_store/records.py
@@ -20,7 +20,8 @@
 
 import msgspec
 
-from salthead.protocol.messages import Malformed, Submission, shape
+from salthead.errors import SaltheadError
+from salthead.protocol.messages import MalformedMessageError, Submission, shape
 
 LEAD = "lead"
 FENCING_TOKEN = "token"
@@ -58,11 +59,11 @@
 
 
 def job_from(value: Any) -> Submission:
-    """The job of a record; Malformed if it is none."""
+    """The job of a record; MalformedMessageError if it is none."""
     return shape(value, Submission)
 
 
-class TooLong(Exception):
+class RecordTooLargeError(SaltheadError):
     """A record that no value of the permitted size holds."""
 
 
@@ -77,21 +78,21 @@
 
 
 def awaits_from(value: Any) -> list[str]:
-    """Such a list; Malformed if it is none."""
+    """Such a list; MalformedMessageError if it is none."""
     found = value.get("awaits") if type(value) is dict else None
     if type(found) is not list or not all(type(job_id) is str for job_id in found):
-        raise Malformed("continued list of awaited jobs")
+        raise MalformedMessageError("continued list of awaited jobs")
     return found
 
 
 def job_rows(spec: Submission, kb: float, ops: int) -> list[tuple[str, dict[str, Any]]]:
-    """The values that hold a job, to be written in one transaction; TooLong says why not.
+    """The values that hold a job, for one transaction; RecordTooLargeError if that can't be.
 
     A job that awaits more others than one value holds is continued in further ones.
     """
     bare = msgspec.structs.replace(spec, depends_on=None, more=0)
     if not fits(over_value(bare, "aborted", 1e10, kb=0.0), kb):
-        raise TooLong("the names are too long to be kept")
+        raise RecordTooLargeError("the names are too long to be kept")
     depends_on, most = spec.depends_on or [], int(kb * 1024)
     used = len(json.dumps(job_value(bare))) + len(', "awaits": [], "more": 999')
     lists: list[list[str]] = [[]]
@@ -103,7 +104,7 @@
         lists[-1].append(job_id)
         used += size
     if len(lists) > ops:
-        raise TooLong(
+        raise RecordTooLargeError(
             f"awaits: {len(depends_on)} jobs need {len(lists)} values of {kb:g} KiB, "
             f"and a transaction has {ops}"
         )
@@ -136,9 +137,9 @@
 
 
 def over_from(value: Any) -> tuple[str, Submission]:
-    """Phase and job of an outcome; Malformed if it is none."""
+    """Phase and job of an outcome; MalformedMessageError if it is none."""
     if type(value) is not dict or value.get("phase") not in ("done", "aborted"):
-        raise Malformed("record of an ended job")
+        raise MalformedMessageError("record of an ended job")
     return value["phase"], job_from(value.get("spec"))
 
 
@@ -250,7 +251,7 @@
             lists.append([])
         lists[-1].append(machine_type)
     if not all(fits({"builds": one, "of": 9999}, kb) for one in lists):
-        raise TooLong("a machine type is too long to be kept")
+        raise RecordTooLargeError("a machine type is too long to be kept")
     return [
         (f"{MORE_FLAVORS}{n:04d}", {"builds": one, "of": len(lists)}) for n, one in enumerate(lists)
     ]
--- a/src/salthead/toml_file.py
+++ b/src/salthead/toml_file.py
@@ -9,27 +9,29 @@
 
 import msgspec
 
+from salthead.errors import SaltheadError
+
 Structure = TypeVar("Structure", bound=msgspec.Struct)
 
 
-class FileError(Exception):
+class ConfigFileError(SaltheadError):
     """Why a file can't be used, in one line."""
 
 
 def read(path: str | Path, kind: type[Structure], check: Callable[[Structure], None]) -> Structure:
-    """Read and check a file; FileError names it and what is wrong.
+    """Read and check a file; ConfigFileError names it and what is wrong.
 
-    ``check`` looks at what types alone do not say, and raises FileError.
+    ``check`` looks at what types alone do not say, and raises ConfigFileError.
     """
     try:
         tree = tomllib.loads(Path(path).read_bytes().decode())
     except OSError as error:
-        raise FileError(f"{path}: {error.strerror or error}") from error
+        raise ConfigFileError(f"{path}: {error.strerror or error}") from error
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise FileError(f"{path}: not TOML: {error}") from None
+        raise ConfigFileError(f"{path}: not TOML: {error}") from None
     try:
         found = msgspec.convert(tree, kind)
         check(found)
-    except (msgspec.ValidationError, FileError) as error:
-        raise FileError(f"{path}: {error}") from None
+    except (msgspec.ValidationError, ConfigFileError) as error:
+        raise ConfigFileError(f"{path}: {error}") from None
     return found
--- a/src/salthead/transport/client.py
+++ b/src/salthead/transport/client.py
@@ -22,7 +22,8 @@
 )
 from tornado.iostream import IOStream
 
-from salthead.protocol.messages import Malformed, decode_map, encode
+from salthead.errors import SaltheadError
+from salthead.protocol.messages import MalformedMessageError, decode_map, encode
 
 # Lists of the state service have no size limit.
 MOST = 64 * 1024 * 1024
@@ -30,7 +31,7 @@
 IDLE_S = 15.0
 
 
-class Unanswered(Exception):
+class UnansweredError(SaltheadError):
     """No usable answer: the request may have been executed, or may be later."""
 
 
@@ -89,7 +90,7 @@
         query: dict[str, Any] | None = None,
         endpoint: str = "",
     ) -> Answer:
-        """One request and its answer; Unanswered if none came that can be used."""
+        """One request and its answer; UnansweredError if none came that can be used."""
         if query:
             path += "?" + "&".join(f"{k}={quote(str(v), safe='/')}" for k, v in query.items())
         payload = b"" if method in ("GET", "DELETE") else encode({} if body is None else body)
@@ -97,15 +98,15 @@
             async with asyncio.timeout(timeout), self.slots:
                 found = await self._exchange(endpoint or self.endpoint, method, path, payload)
         except (OSError, ValueError) as error:  # a time-out is an OSError, and a closed stream
-            raise Unanswered(f"{method} {path}: {error or 'timeout'}") from None
+            raise UnansweredError(f"{method} {path}: {error or 'timeout'}") from None
         if not found.whole or found.status < 200:
-            raise Unanswered(f"{method} {path}: connection closed")
+            raise UnansweredError(f"{method} {path}: connection closed")
         content = b"".join(found.chunks)
         try:
             answer = decode_map(content) if content else {}
-        except (Malformed, cbor2.CBORDecodeError) as error:
+        except (MalformedMessageError, cbor2.CBORDecodeError) as error:
             if found.status == 200:
-                raise Unanswered(f"{method} {path}: {error}") from None
+                raise UnansweredError(f"{method} {path}: {error}") from None
             answer = {}
         return Answer(found.status, answer)
 
--- a/tests/link_setup.py
+++ b/tests/link_setup.py
@@ -12,7 +12,7 @@
 from link_proxy import LinkProxy
 from local_setup import LocalSetup, end_other_tasks, settings_file
 from salthead.protocol.messages import encode
-from salthead.transport.client import Unanswered
+from salthead.transport.client import UnansweredError
 
 
 class Direct(RequestHandler):
@@ -25,7 +25,7 @@
         """A direct command."""
         try:
             answer = await self.world.direct(self.worker, cbor2.loads(self.request.body))
-        except Unanswered:
+        except UnansweredError:
             self.set_status(503)
             return
         self.set_status(answer.status)
--- a/tests/production.py
+++ b/tests/production.py
@@ -76,14 +76,15 @@
 
     @property
     def unanswered(self) -> type[Exception]:
-        return self.module("transport.client").Unanswered  # type: ignore[no-any-return]
+        name = "Unanswered" if self.package == NAME else "UnansweredError"
+        return getattr(self.module("transport.client"), name)  # type: ignore[no-any-return]
 
     @property
-    def cant_now(self) -> tuple[type[Exception], ...]:
+    def undecided_errors(self) -> tuple[type[Exception], ...]:
         """What a node raises where the answer to a request is 503."""
         if self.package == NAME:
             return self.module("transport.server").CANT_NOW  # type: ignore[no-any-return]
-        return self.module("node.handlers").UNDECIDED  # type: ignore[no-any-return]
+        return self.module("node.handlers").UNDECIDED_ERRORS  # type: ignore[no-any-return]
 
     @property
     def messages(self) -> Any:
--- a/tests/soak_world.py
+++ b/tests/soak_world.py
@@ -19,7 +19,7 @@
 from link_setup import LinkSetup, address_of, listen_for
 from local_setup import LocalWorld
 from salthead.protocol.messages import Submission
-from salthead.transport.client import Answer, Caller, Unanswered
+from salthead.transport.client import Answer, Caller, UnansweredError
 from standins import Worker
 from zone_world import ZoneWorld
 
@@ -93,7 +93,7 @@
 
         async def wait() -> None:
             await asyncio.sleep(seconds)
-            with contextlib.suppress(Unanswered):
+            with contextlib.suppress(UnansweredError):
                 await work
 
         task = asyncio.create_task(wait())
@@ -121,7 +121,7 @@
     async def hello(self, worker: Worker, node: int, message: bytes) -> tuple[int, dict[str, Any]]:
         """A report, by the proxy between the worker's zone and the node."""
         if worker.mute:
-            raise Unanswered("no connection can be opened")
+            raise UnansweredError("no connection can be opened")
         body = cbor2.loads(message) | {"endpoint": self.endpoint_of(worker)}
         if self.rng.random() < self.copies:
             late_s = self.rng.choice((1.0, 4.0, 9.0))
@@ -182,7 +182,7 @@
         once = Caller(caller.endpoint, 1) if self.rng.random() < 0.2 else None
         try:
             return await (once or caller).call(method, path, body, timeout=2.0)
-        except Unanswered:
+        except UnansweredError:
             return None
         finally:
             if once is not None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -20,11 +20,11 @@
 
 import production
 from helpers import FLAVORS, LIMITS, given, settings
-from salthead.errors import Rejected
+from salthead.errors import InvalidJobError
 from salthead.node.node import Node
 from salthead.policy import NO_POLICY, Policy
-from salthead.protocol.messages import Malformed, Submission, encode
-from salthead.transport.client import Answer, Unanswered
+from salthead.protocol.messages import MalformedMessageError, Submission, encode
+from salthead.transport.client import Answer, UnansweredError
 
 
 class _Jump(selectors.DefaultSelector):
@@ -357,7 +357,7 @@
                 status, body = await asyncio.wait_for(
                     self.world.hello(self, self.node, message), 4.0
                 )
-            except (TimeoutError, Unanswered):
+            except (TimeoutError, UnansweredError):
                 status, body = 599, {}
             if status == 200:
                 if body["baton"] >= self.fencing_token and incarnation == self.incarnation:
@@ -444,7 +444,7 @@
             return await self.world.call(
                 self.source, endpoint or self.endpoint, method, path, body, timeout, query or {}
             )
-        except Unanswered as error:
+        except UnansweredError as error:
             raise self.unanswered(str(error)) from None
 
     def close(self) -> None:
@@ -573,7 +573,7 @@
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         if not self.reach(source, target):
             await asyncio.sleep(timeout)
-            raise Unanswered("cut")
+            raise UnansweredError("cut")
         if target == "state" and source in self.refused:
             while parts.path == "/changes" and source in self.refused and timeout > 0:
                 await asyncio.sleep(0.25)  # open watches wait
@@ -588,7 +588,7 @@
             self.pending.add(lost)
             lost.add_done_callback(self.pending.discard)
             await asyncio.sleep(timeout)
-            raise Unanswered("no answer")
+            raise UnansweredError("no answer")
         work = asyncio.create_task(
             self._deliver(source, target, method, parts.path, query, plain, self.late(source, path))
         )
@@ -596,10 +596,10 @@
         work.add_done_callback(self.pending.discard)
         if self.rng.random() < self.loss:
             await asyncio.sleep(timeout)
-            raise Unanswered("lost")
+            raise UnansweredError("lost")
         done, _ = await asyncio.wait([work], timeout=timeout)
         if not done:
-            raise Unanswered("timeout")
+            raise UnansweredError("timeout")
         return work.result()
 
     async def _deliver(
@@ -627,7 +627,7 @@
     async def direct(self, name: str, body: Any) -> Answer:
         worker = self.cloud.hosts.get(name)
         if worker is None or not worker.up:
-            raise Unanswered("no such machine")
+            raise UnansweredError("no such machine")
         if worker.deaf:
             await asyncio.sleep(60.0)
         while worker.hung or worker.cut:
@@ -641,7 +641,7 @@
     async def peer(self, name: str, path: str, body: Any) -> Answer:
         node = self.nodes[name]
         if node is None:
-            raise Unanswered("refused")
+            raise UnansweredError("refused")
         version = self.versions[name]
         if path == "/peer/knocks":
             known = version is production.THIS
@@ -651,7 +651,7 @@
                 status, found = await node.submit(
                     version.messages.decode_submission(encode(given(body))), True
                 )
-            except version.cant_now:
+            except version.undecided_errors:
                 return Answer(503, {})
             return Answer(status, found)
         if path == "/peer/promise":
@@ -666,7 +666,7 @@
                 if path == "/peer/cancel"
                 else node.poll_here(term, body["uid"])
             )
-        except version.cant_now:
+        except version.undecided_errors:
             return Answer(503, {})
         return Answer(404, {}) if found is None else Answer(200, found)
 
@@ -681,7 +681,7 @@
         if not self.reach(worker.name, name) or (name, "workers") in self.cuts:
             await asyncio.sleep(60.0)
         if worker.mute:
-            raise Unanswered("no connection can be opened")
+            raise UnansweredError("no connection can be opened")
         held = worker.cut or name in self.frozen
         if held:
             late = asyncio.create_task(self.held(worker, name, message))
@@ -690,7 +690,7 @@
             await asyncio.sleep(60.0)
         found = self.nodes[name]
         if found is None:
-            raise Unanswered("refused")
+            raise UnansweredError("refused")
         if self.keep_copies and self.rng.random() < 0.3:
             self.kept_copies.append(message)
         if self.copies and self.rng.random() < self.copies:
@@ -730,7 +730,7 @@
                 name = self.rng.choice(ups)
                 node = self.nodes[name]
                 assert node is not None
-                with contextlib.suppress(*self.versions[name].cant_now):
+                with contextlib.suppress(*self.versions[name].undecided_errors):
                     return await work(node)
             await asyncio.sleep(1.0)
         raise AssertionError("no node ever decided")
@@ -745,9 +745,9 @@
         began = self.now()
         try:
             status, found = await self.user(ask)
-        except Malformed:
+        except MalformedMessageError:
             return 400
-        except Rejected:
+        except InvalidJobError:
             return 422
         self.told.setdefault(job.job_id, "queued")
         self.accepted.setdefault(job.job_id, self.now())
@@ -788,11 +788,11 @@
                 )
             else:
                 found = await (node.cancel(job_id) if what == "cancel" else node.poll(job_id))
-        except (Malformed, Rejected) as error:
+        except (MalformedMessageError, InvalidJobError) as error:
             if job_id in self.accepted:
                 self.broken.append(f"forgotten {job_id}: a repeat is refused, {error}")
             return "refused"
-        except self.versions[name].cant_now:
+        except self.versions[name].undecided_errors:
             return "later"
         if found is None:
             if self.accepted.get(job_id, began) < began:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -16,7 +16,7 @@
 from salthead.node.server import listen
 from salthead.node.sockets import Sockets
 from salthead.protocol.messages import encode
-from salthead.transport.client import Caller, Unanswered
+from salthead.transport.client import Caller, UnansweredError
 from salthead.transport.connections import Connections
 
 
@@ -144,7 +144,7 @@
             try:
                 answer = await caller.call("POST", "/x", {"a": 1}, timeout=0.3)
                 found.append(answer.body["n"])
-            except Unanswered:
+            except UnansweredError:
                 found.append(None)
             await asyncio.sleep(0.02)
         caller.close()
@@ -162,7 +162,7 @@
         await asyncio.gather(*(caller.call("GET", "/x") for _ in range(12)))
         idle = len(caller.idle)
         peer.how = "hang"
-        with pytest.raises(Unanswered):
+        with pytest.raises(UnansweredError):
             await caller.call("GET", "/x", timeout=0.1)
         left = len(caller.idle)
         server.close()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -16,7 +16,7 @@
 from salthead.node.node import Node
 from salthead.protocol.messages import Submission, encode
 from salthead.state_store import records
-from salthead.state_store.client import Conflict, Refused, VersionedValue
+from salthead.state_store.client import ConflictError, RequestRefusedError, VersionedValue
 
 JOB: dict[str, Any] = {
     "uid": "req-7",
@@ -49,17 +49,17 @@
 
     async def get(self, key: str, **_: Any) -> Any:
         if self.down:
-            raise Refused(503, key)
+            raise RequestRefusedError(503, key)
         return VersionedValue(self.rows[key], 1) if key in self.rows else None
 
     async def transaction(
         self, conditions: dict[str, int], operations: list[dict[str, Any]], **_: Any
     ) -> int:
         if self.down:
-            raise Refused(503, "txn")
+            raise RequestRefusedError(503, "txn")
         failed = [key for key in conditions if key in self.rows]
         if failed:
-            raise Conflict(failed)
+            raise ConflictError(failed)
         for change in operations:
             self.rows[change["set"]] = change["value"]
         return 1
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,12 @@
 
 from helpers import heartbeat, job, ledger, machine, ready, verbs
 from salthead import metrics
-from salthead.coordination.invariants import AUDIT_GAP_S, Invariant, InvariantBroken, Invariants
+from salthead.coordination.invariants import (
+    AUDIT_GAP_S,
+    Invariant,
+    InvariantBrokenError,
+    Invariants,
+)
 from salthead.coordination.ledger import Ledger
 
 
@@ -88,7 +93,7 @@
 
 @pytest.mark.parametrize(("fault", "which"), FAULTS, ids=lambda one: getattr(one, "__name__", ""))
 def test_a_fault_is_found(fault: Callable[[Ledger], None], which: Invariant) -> None:
-    with pytest.raises(InvariantBroken, match=which):
+    with pytest.raises(InvariantBrokenError, match=which):
         fault(a_ledger())
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -291,7 +291,7 @@
                 try:
                     assert await node.poll(job_id) is None
                     assert await node.cancel(job_id) is None
-                except world.versions[name].cant_now:
+                except world.versions[name].undecided_errors:
                     pass
         await asyncio.sleep(1.0)
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -14,7 +14,7 @@
     MachineList,
     MachineType,
     MachineTypes,
-    Malformed,
+    MalformedMessageError,
     RentedMachines,
     Submission,
     TaskStatus,
@@ -88,7 +88,7 @@
     ],
 )
 def test_a_bad_field_is_named(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(Malformed, match=named):
+    with pytest.raises(MalformedMessageError, match=named):
         decode_submission(cbor2.dumps(GOOD | change))
 
 
@@ -102,7 +102,7 @@
             assert decode_submission(cbor2.dumps(body)).job_id == GOOD["uid"]
             continue
         assert name in REQUIRED_FIELDS
-        with pytest.raises(Malformed, match=name):
+        with pytest.raises(MalformedMessageError, match=name):
             decode_submission(cbor2.dumps(body))
         if name not in ("uid", "breed", "crew", "shape", "urgency", "pieces", "vcpus", "ram_gb"):
             # Records, and what another node passes on, leave out what has its usual value.
@@ -122,7 +122,7 @@
     ],
 )
 def test_what_is_not_a_small_map_is_malformed(body: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         decode_submission(body)
 
 
@@ -136,13 +136,13 @@
     ],
 )
 def test_bad_reports(body: dict[str, Any]) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         decode_heartbeat(cbor2.dumps(body))
 
 
 @pytest.mark.parametrize("text", ["req-1", "req-1/", "req-1/x", "x/1", "req-1/-1", "req-1/²"])
 def test_bad_pieces(text: str) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         split_task_id(text)
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -420,9 +420,9 @@
 
 
 def production_cant_now() -> tuple[type[Exception], ...]:
-    from salthead.node.handlers import UNDECIDED
+    from salthead.node.handlers import UNDECIDED_ERRORS
 
-    return UNDECIDED
+    return UNDECIDED_ERRORS
 
 
 def test_a_long_list_is_kept_in_several_values_and_read_back_by_any_leader() -> None:
@@ -521,7 +521,7 @@
     assert not world.on_machines()
 
 
-TROUBLES = [
+RETRYABLE_ERRORS = [
     test_days.quiet,
     test_days.leader_crash,
     test_days.quick_restart,
@@ -537,7 +537,7 @@
 ]
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda trouble: trouble.__name__)
+@pytest.mark.parametrize("trouble", RETRYABLE_ERRORS, ids=lambda trouble: trouble.__name__)
 @pytest.mark.parametrize("cancel_at", [14.0, 21.0])
 def test_a_day_of_pipelines_keeps_the_rules(trouble: Any, cancel_at: float) -> None:
     async def day() -> World:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -4,7 +4,7 @@
 import pytest
 
 from helpers import spec
-from salthead.protocol.messages import Malformed
+from salthead.protocol.messages import MalformedMessageError
 from salthead.state_store import records
 
 
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("value", [None, 5, [], {"phase": "queued"}, {"phase": "done"}])
 def test_a_malformed_outcome_is_refused(value: object) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         records.over_from(value)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -176,20 +176,20 @@
     assert records.machine_types_from(rows) == {"builds": types}
     for key in rows:
         assert records.machine_types_from({k: v for k, v in rows.items() if k != key}) is None
-    with pytest.raises(records.TooLong):
+    with pytest.raises(records.RecordTooLargeError):
         records.machine_type_rows([types[0] | {"paddocks": ["z" * 3000]}], 2.0)
 
 
 def test_records_with_the_longest_names_fit_or_are_refused() -> None:
     long = "ä" * 200
-    with pytest.raises(records.TooLong):
+    with pytest.raises(records.RecordTooLargeError):
         records.job_rows(spec("req-1", job_class=long, image=long), 2.0, 4)
     assert records.job_rows(spec("req-1", job_class="b" * 200, image="k" * 200), 2.0, 4)
     # Accepted while values were larger: its outcome still has to be kept.
     over = records.over_value(spec("req-1", job_class=long, image=long), "done", 5.0, 2.0)
     assert records.fits(over, 2.0) and records.over_from(over)[1].team == "blue"
     job_ids = [f"req-{n:06d}" for n in range(4000)]
-    with pytest.raises(records.TooLong, match="4000 jobs need"):
+    with pytest.raises(records.RecordTooLargeError, match="4000 jobs need"):
         records.job_rows(spec("req-1", depends_on=job_ids), 2.0, 4)
     rows = records.job_rows(spec("req-1", depends_on=job_ids[:500]), 2.0, 4)
     assert 2 <= len(rows) <= 4 and all(records.fits(value, 2.0) for _, value in rows)
--- a/tests/test_zone_days.py
+++ b/tests/test_zone_days.py
@@ -215,7 +215,7 @@
 
 
 Trouble = Callable[[ZoneDay], Awaitable[None]]
-TROUBLES: list[Trouble] = [
+RETRYABLE_ERRORS: list[Trouble] = [
     dead,
     cut,
     flapping,
@@ -247,7 +247,7 @@
     return world
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda trouble: trouble.__name__)
+@pytest.mark.parametrize("trouble", RETRYABLE_ERRORS, ids=lambda trouble: trouble.__name__)
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_zone_is_lost_and_returns(trouble: Trouble, seed: int) -> None:
     async def whole_day() -> ZoneDay:
--- a/tests/test_zone_loopback.py
+++ b/tests/test_zone_loopback.py
@@ -15,7 +15,7 @@
 from helpers import LIMITS, given, spec
 from local_setup import LocalSetup, LocalWorld, end_other_tasks
 from salthead.protocol.messages import Submission
-from salthead.transport.client import Answer, Unanswered
+from salthead.transport.client import Answer, UnansweredError
 from test_zones import ENTRIES
 from zone_world import ZoneWorld
 
@@ -48,7 +48,7 @@
             for caller in self.callers:
                 try:
                     answer = await caller.call(method, path, body, timeout=3.0)
-                except Unanswered:
+                except UnansweredError:
                     continue
                 if answer.status in (200, 201):
                     return answer
