--- a/src/salthead/node/node.py
+++ b/src/salthead/controller/controller.py
@@ -12,18 +12,18 @@
 from typing import Any
 
 from salthead import metrics
+from salthead.controller.election import Election
+from salthead.controller.job_lookups import JobLookups
+from salthead.controller.machine_types import MachineTypesLoop
+from salthead.controller.reach import Reach
+from salthead.controller.sockets import Sockets
+from salthead.controller.submissions import Submissions
+from salthead.controller.zone_keeper import ZoneKeeper
 from salthead.coordination import lease
 from salthead.errors import UnavailableError
 from salthead.event_log import event
 from salthead.evidence.gate import Action, Fact, permits
 from salthead.leader.term import Term
-from salthead.node.election import Election
-from salthead.node.job_lookups import JobLookups
-from salthead.node.machine_types import MachineTypesLoop
-from salthead.node.reach import Reach
-from salthead.node.sockets import Sockets
-from salthead.node.submissions import Submissions
-from salthead.node.zone_keeper import ZoneKeeper
 from salthead.policy import NO_POLICY, Policy
 from salthead.protocol import names
 from salthead.protocol.messages import (
@@ -40,7 +40,7 @@
 )
 from salthead.transport.client import Caller, UnansweredError
 
-log = logging.getLogger("salthead.node")
+log = logging.getLogger("salthead.controller")
 
 LAG_EVERY_S, LAG_MOST_S = 0.25, 0.5
 FINALS_KEPT = 20_000
--- a/src/salthead/node/election.py
+++ b/src/salthead/controller/election.py
@@ -19,7 +19,7 @@
 )
 
 if TYPE_CHECKING:
-    from salthead.node.node import Node
+    from salthead.controller.controller import Node
 
 WATCH_S = 8.0  # one watch of the leader's key
 RETRY_S, CONFLICT_RETRY_S, TROUBLE_RETRY_S = 0.2, 0.05, 0.4
--- a/src/salthead/node/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from salthead import metrics
+from salthead.controller.controller import Node
 from salthead.errors import InvalidJobError, UnavailableError
 from salthead.leader.peer_calls import LEADS_FIELD
 from salthead.leader.term import Term
-from salthead.node.node import Node
 from salthead.protocol import names
 from salthead.protocol.messages import (
     JOB_ID,
--- a/src/salthead/node/job_lookups.py
+++ b/src/salthead/controller/job_lookups.py
@@ -16,7 +16,7 @@
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.node.node import Node
+    from salthead.controller.controller import Node
 
 # Single reads in a walk over what a job needs, before all active jobs are read at once.
 LOOK_UPS = 12
--- a/src/salthead/node/machine_types.py
+++ b/src/salthead/controller/machine_types.py
@@ -10,7 +10,7 @@
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, RequestRefusedError
 
 if TYPE_CHECKING:
-    from salthead.node.node import Node
+    from salthead.controller.controller import Node
 
 AGAIN_S, RETRY_S = 60.0, 2.0  # between readings that succeeded, and after one that did not
 
--- a/src/salthead/node/reach.py
+++ b/src/salthead/controller/reach.py
@@ -15,7 +15,7 @@
 from salthead.transport.client import Caller, UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.node.node import Node
+    from salthead.controller.controller import Node
 
 # A worker whose leader hangs tries the next node after its time-out of 4 s and 1 s more.
 REDIRECT_WINDOW_S = 6.0
--- a/src/salthead/node/server.py
+++ b/src/salthead/controller/server.py
@@ -7,9 +7,9 @@
 from tornado.iostream import IOStream
 
 from salthead import metrics
+from salthead.controller.controller import Node
+from salthead.controller.handlers import ClientHandlers, PeerHandlers
 from salthead.coordination.placement import FRESH_PERIODS
-from salthead.node.handlers import ClientHandlers, PeerHandlers
-from salthead.node.node import Node
 from salthead.protocol.messages import MAX_BODY
 from salthead.settings import split_endpoint
 from salthead.transport.connections import Connections
--- a/src/salthead/node/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -16,7 +16,7 @@
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.node.node import Node
+    from salthead.controller.controller import Node
 
 log = logging.getLogger("salthead.submissions")
 
--- a/src/salthead/node/zone_keeper.py
+++ b/src/salthead/controller/zone_keeper.py
@@ -14,7 +14,7 @@
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.node.node import Node
+    from salthead.controller.controller import Node
 
 MISSED_MOST = 2  # calls to the leader in a row without an answer, before the zone is kept
 
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -33,9 +33,9 @@
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
+    from salthead.controller.controller import Node
     from salthead.leader.link_loop import LinkLoop
     from salthead.leader.zone_loop import ZoneLoop
-    from salthead.node.node import Node
 
 log = logging.getLogger("salthead.term")
 
--- a/src/salthead/serve.py
+++ b/src/salthead/serve.py
@@ -51,8 +51,8 @@
         raise StartupError(str(error)) from None
     import uvloop
 
-    from salthead.node.node import Node
-    from salthead.node.server import listen_on_all
+    from salthead.controller.controller import Node
+    from salthead.controller.server import listen_on_all
 
     # What is there now stays; and a ledger holds many objects that live long, none of them in
     # cycles, so that collecting as often as usual walks over all of them for nothing.
--- a/tests/production.py
+++ b/tests/production.py
@@ -68,7 +68,11 @@
 
     @property
     def node(self) -> Any:
-        return self.module("service" if self.package == NAME else "node.node").Node
+        return (
+            self.module("service").Node
+            if self.package == NAME
+            else self.module("controller.controller").Node
+        )
 
     @property
     def settings(self) -> Any:
@@ -84,7 +88,7 @@
         """What a node raises where the answer to a request is 503."""
         if self.package == NAME:
             return self.module("transport.server").CANT_NOW  # type: ignore[no-any-return]
-        return self.module("node.handlers").UNDECIDED_ERRORS  # type: ignore[no-any-return]
+        return self.module("controller.handlers").UNDECIDED_ERRORS  # type: ignore[no-any-return]
 
     @property
     def messages(self) -> Any:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -20,8 +20,8 @@
 
 import production
 from helpers import FLAVORS, LIMITS, given, settings
+from salthead.controller.controller import Node
 from salthead.errors import InvalidJobError
-from salthead.node.node import Node
 from salthead.policy import NO_POLICY, Policy
 from salthead.protocol.messages import MalformedMessageError, Submission, encode
 from salthead.transport.client import Answer, UnansweredError
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,8 +16,8 @@
 
 from helpers import FLAVORS, settings, spec
 from salthead.cli import JOB_OPTIONS, JobOption, Service, main
-from salthead.node.handlers import ClientHandlers
-from salthead.node.node import Node
+from salthead.controller.controller import Node
+from salthead.controller.handlers import ClientHandlers
 from salthead.state_store import records
 from test_http import Shelf
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -11,10 +11,10 @@
 from tornado.testing import AsyncTestCase, gen_test
 
 from helpers import settings
-from salthead.node.handlers import ClientHandlers
-from salthead.node.node import Node
-from salthead.node.server import listen
-from salthead.node.sockets import Sockets
+from salthead.controller.controller import Node
+from salthead.controller.handlers import ClientHandlers
+from salthead.controller.server import listen
+from salthead.controller.sockets import Sockets
 from salthead.protocol.messages import encode
 from salthead.transport.client import Caller, UnansweredError
 from salthead.transport.connections import Connections
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -12,8 +12,8 @@
 from tornado.testing import AsyncHTTPTestCase, gen_test
 
 from helpers import FLAVORS, settings
-from salthead.node.handlers import ClientHandlers
-from salthead.node.node import Node
+from salthead.controller.controller import Node
+from salthead.controller.handlers import ClientHandlers
 from salthead.protocol.messages import Submission, encode
 from salthead.state_store import records
 from salthead.state_store.client import ConflictError, RequestRefusedError, VersionedValue
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -11,14 +11,14 @@
 from tornado.testing import AsyncTestCase, gen_test
 
 from helpers import heartbeat, job, ledger, machine, ready, settings
+from salthead.controller.controller import Node
+from salthead.controller.handlers import ClientHandlers
+from salthead.controller.server import listen
 from salthead.coordination import fleet, placement, zone_leases
 from salthead.coordination import ledger as ledgers
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.model import UP
 from salthead.leader.rental import LIST_GAP_S, Rental
-from salthead.node.handlers import ClientHandlers
-from salthead.node.node import Node
-from salthead.node.server import listen
 from salthead.state_store import records
 from salthead.state_store.pages import Pages
 from standins import World, run
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -15,7 +15,7 @@
     {"state_store"},
     {"coordination", "evidence", "networks", "policy", "zones"},
     {"leader"},
-    {"node"},
+    {"controller"},
     {"serve", "cli"},
 ]
 LEVEL = {name: level for level, names in enumerate(LAYERS) for name in names}
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -9,9 +9,9 @@
 import pytest
 
 from helpers import spec
+from salthead.controller import controller as node_module
 from salthead.coordination import ledger, zone_leases
 from salthead.coordination.pipelines import Pipelines
-from salthead.node import node as node_module
 from standins import World, run
 
 PERIODS = 3
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,9 +14,9 @@
 import pytest
 
 from helpers import LIMITS, limits, spec
+from salthead.controller.controller import Node
 from salthead.coordination.lease import blind_s, leader_ttl, surely_over
 from salthead.coordination.ledger import Ledger
-from salthead.node.node import Node
 from standins import World, run
 
 CANCEL_S = LIMITS["workers"]["cancel_s"]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -11,10 +11,10 @@
 
 import test_days
 from helpers import heartbeat, job, machine, ready, settings, spec
+from salthead.controller.controller import Node
 from salthead.coordination import fleet, order, placement, preemption, waiting
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.pipelines import Pipelines
-from salthead.node.node import Node
 from salthead.protocol import names
 from salthead.state_store import records
 from standins import World, run
@@ -420,7 +420,7 @@
 
 
 def production_cant_now() -> tuple[type[Exception], ...]:
-    from salthead.node.handlers import UNDECIDED_ERRORS
+    from salthead.controller.handlers import UNDECIDED_ERRORS
 
     return UNDECIDED_ERRORS
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -125,7 +125,7 @@
         [
             sys.executable,
             "-c",
-            "import sys, salthead.serve, salthead.node.node, salthead.node.server\n"
+            "import sys, salthead.serve, salthead.controller.controller, salthead.controller.server\n"
             "print(*sorted(sys.modules))",
         ],
         capture_output=True,
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -27,15 +27,15 @@
 import msgspec  # noqa: E402
 
 from helpers import FLAVORS, given, heartbeat, settings, spec  # noqa: E402
+from salthead.controller.controller import Node  # noqa: E402
+from salthead.controller.election import Election  # noqa: E402
+from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
 from salthead.coordination import placement  # noqa: E402
 from salthead.coordination.lease import LeaseClock  # noqa: E402
 from salthead.coordination.model import UP  # noqa: E402
 from salthead.coordination.returns import ReturnDecision  # noqa: E402
 from salthead.leader.peer_calls import ask_promise, ask_reach  # noqa: E402
 from salthead.leader.term import Term  # noqa: E402
-from salthead.node.election import Election  # noqa: E402
-from salthead.node.handlers import ClientHandlers, PeerHandlers  # noqa: E402
-from salthead.node.node import Node  # noqa: E402
 from salthead.policy import PartialCutPolicy, Policy, ZonePolicy  # noqa: E402
 from salthead.protocol.messages import encode, status_body, stop_order  # noqa: E402
 from salthead.state_store import records  # noqa: E402
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -33,13 +33,13 @@
     sys.path[:0] = [str(ROOT / "target" / "deps"), str(ROOT / "src"), str(ROOT / "tests")]
 
 from helpers import FLAVORS, given, heartbeat, machine, settings, spec  # noqa: E402
+from salthead.controller.controller import Node  # noqa: E402
+from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
+from salthead.controller.server import listen  # noqa: E402
 from salthead.coordination import fleet, placement  # noqa: E402
 from salthead.coordination.lease import LeaseClock  # noqa: E402
 from salthead.coordination.ledger import Ledger  # noqa: E402
 from salthead.leader.term import Term  # noqa: E402
-from salthead.node.handlers import ClientHandlers, PeerHandlers  # noqa: E402
-from salthead.node.node import Node  # noqa: E402
-from salthead.node.server import listen  # noqa: E402
 from salthead.protocol import names  # noqa: E402
 from salthead.protocol.messages import Heartbeat, encode  # noqa: E402
 
