--- a/src/salthead/coordination/takeover.py
+++ b/src/salthead/coordination/failover.py
@@ -21,71 +21,74 @@
 
 log = logging.getLogger("salthead.takeover")
 
-WAITS_LOGGED_S = 2.0
+LOG_INTERVAL_S = 2.0
 
 
-class Takeover:
+class Failover:
     """The machines that one term has not accounted for, and what follows from them."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
-        self.logged_at = ledger.took_over
-        self._room: tuple[float, float] | None = None
+        self.logged_at = ledger.term_started_at
+        self._capacity_total: tuple[float, float] | None = None
         self._kinds: dict[Kind, Vec] = {}
 
-    def forget_room(self) -> None:
+    def invalidate_capacity(self) -> None:
         """What was summed may have grown: machines or their types have become known."""
-        self._room = None
+        self._capacity_total = None
 
-    def unheard(self) -> list[Machine]:
+    def unreconciled_machines(self) -> list[Machine]:
         """Machines that may run anything an earlier leader started."""
         return [
             machine
             for machine in self.ledger.machines.values()
-            if machine.rostered and not machine.joined and machine.phase == UP
+            if machine.registered and not machine.reconciled and machine.phase == UP
         ]
 
-    def look(self, now: float) -> bool:
+    def sweep(self, now: float) -> bool:
         """What time has changed; whether all machines are accounted for."""
-        self._room = None
-        unheard = self.unheard()
-        if unheard and now - self.logged_at >= WAITS_LOGGED_S:
+        self._capacity_total = None
+        unreconciled = self.unreconciled_machines()
+        if unreconciled and now - self.logged_at >= LOG_INTERVAL_S:
             self.logged_at = now
             event(
                 log,
-                "takeover_waits",
+                "failover_waiting",
                 fencing_token=self.ledger.fencing_token,
-                for_s=now - self.ledger.took_over,
-                machines=len(unheard),
-                first=unheard[0].name,
+                for_s=now - self.ledger.term_started_at,
+                machines=len(unreconciled),
+                first=unreconciled[0].name,
                 **self.by_reason(),
             )
-        return not unheard
+        return not unreconciled
 
     def by_reason(self) -> dict[str, int]:
         """How many machines are not accounted for, by what is known of them."""
         found = {"type_unknown": 0, "answered": 0, "silent": 0}
-        for machine in self.unheard():
+        for machine in self.unreconciled_machines():
             if machine.machine_type not in self.ledger.machine_types:
                 found["type_unknown"] += 1
             else:
                 found["silent" if machine.links.acknowledged_sequence < 0 else "answered"] += 1
         return found
 
-    def room(self) -> tuple[float, float]:
+    def unreconciled_capacity(self) -> tuple[float, float]:
         """CPUs and GPUs that tasks of any team may be taking on those.
 
         As of the last look at the latest. Between looks a machine can only be accounted for;
-        whatever makes the sum larger calls ``forget_room``. Before, a type that became known did
-        not: what had been summed as nothing stood for half a second, in which placement took every
-        task of every job for startable (``days/types-unknown.toml``: ``ran_twice``).
+        whatever makes the sum larger calls ``invalidate_capacity``. Before, a type that became
+        known did not: what had been summed as nothing stood for half a second, in which placement
+        took every task of every job for startable (``days/types-unknown.toml``: ``ran_twice``).
         """
-        if self._room is None:
-            unheard = self.unheard()
-            capacities = [self._capacity(machine) for machine in unheard]
-            self._room = (sum(cap[0] for cap in capacities), sum(cap[1] for cap in capacities))
-            self._kinds = {m.kind: cap for m, cap in zip(unheard, capacities, strict=True)}
-        return self._room
+        if self._capacity_total is None:
+            unreconciled = self.unreconciled_machines()
+            capacities = [self._capacity(machine) for machine in unreconciled]
+            self._capacity_total = (
+                sum(cap[0] for cap in capacities),
+                sum(cap[1] for cap in capacities),
+            )
+            self._kinds = {m.kind: cap for m, cap in zip(unreconciled, capacities, strict=True)}
+        return self._capacity_total
 
     def _capacity(self, machine: Machine) -> Vec:
         """What the machine may hold: anything while its type is unknown."""
@@ -98,7 +101,7 @@
         An earlier leader started tasks only on machines of the roster that their job allows and
         that they fit on.
         """
-        self.room()
+        self.unreconciled_capacity()
         return any(
             (job.spec.spot or not spot)
             and (job.allowed_types is None or type_index in job.allowed_types)
--- a/src/salthead/coordination/fleet_room.py
+++ b/src/salthead/coordination/fleet_room.py
@@ -142,7 +142,9 @@
     if machine.unresponsive_since is not None:
         return False  # so that another is hired in its place
     # Behind a cut, its lease kept by another controller, it is no place to start anything.
-    return not machine.joined or now - machine.heard <= ledger.limits.workers.lease_s
+    return (
+        not machine.reconciled or now - machine.last_heartbeat_at <= ledger.limits.workers.lease_s
+    )
 
 
 def _room_soon(
--- a/src/salthead/coordination/heartbeats.py
+++ b/src/salthead/coordination/heartbeats.py
@@ -44,7 +44,7 @@
         and heartbeat.tasks == machine.shown
         and heartbeat.incarnation == machine.incarnation
         and heartbeat.sequence > machine.sequence
-        and machine.joined
+        and machine.reconciled
         and heartbeat.warning_s is None
         and machine.warn_at is None
         and not ledger.deposed_by
@@ -60,12 +60,14 @@
             heartbeat.incarnation,
             heartbeat.sequence,
         )
-        links.acknowledged_at = links.last_received_at = machine.answered = machine.heard = now
+        links.acknowledged_at = links.last_received_at = machine.acknowledged_at = (
+            machine.last_heartbeat_at
+        ) = now
         machine.sequence = heartbeat.sequence
         if ledger.zone_hooks is not None:
-            ledger.zone_hooks.heard(machine)
+            ledger.zone_hooks.heartbeat_received(machine)
         if ledger.shared_silence is not None:
-            ledger.shared_silence.heard(machine)
+            ledger.shared_silence.heartbeat_received(machine)
         return []
     return _answer(ledger, machine, heartbeat, now, direct)
 
@@ -99,8 +101,8 @@
         )
         log.info("machine %s reports unexpectedly", machine.name)
     if not direct:
-        machine.answered = now
-        machine.links.answered(heartbeat.incarnation, heartbeat.sequence, now)
+        machine.acknowledged_at = now
+        machine.links.acknowledged(heartbeat.incarnation, heartbeat.sequence, now)
     newer = (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
     if not newer or not ledger.loaded:
         # Not loaded: keep the worker alive, look at its tasks next time.
@@ -108,7 +110,7 @@
     if not current:
         # Its tasks may be those of long ago: an exit reaped since, a task that is elsewhere
         # now. A machine that comes up may enter the roster meanwhile.
-        machine.seen = True
+        machine.seen_in_earlier_term = True
         machine.endpoint = machine.endpoint or heartbeat.endpoint
         return []
     return _news(ledger, machine, heartbeat, now, direct)
@@ -139,10 +141,10 @@
     lost = machine.links.heartbeat_received(
         heartbeat.incarnation, heartbeat.sequence, current, ledger.other_controllers, now
     )
-    if lost and not machine.joined and ledger.shared_silence is not None:
+    if lost and not machine.reconciled and ledger.shared_silence is not None:
         # None of our answers renewed its lease, nor will one of them. Counted from the last of
         # them, deaf machines held up a takeover for two leases (33 s and 46 s of 15 s and 21 s).
-        machine.answered = -math.inf
+        machine.acknowledged_at = -math.inf
 
 
 def heartbeat_seen_by_peer(
@@ -157,8 +159,8 @@
     if machine is None:
         return
     lost = machine.links.turned_away(*number, shows_fencing_token, now)
-    if lost and not shows_fencing_token and not machine.joined:
-        machine.answered = -math.inf
+    if lost and not shows_fencing_token and not machine.reconciled:
+        machine.acknowledged_at = -math.inf
 
 
 def _answer_facts(
@@ -169,7 +171,7 @@
     ``heeds``: it has shown this term's token, or it answers a call of ours.
     """
     held = ledger.facts()
-    if now - ledger.took_over <= ledger.blind_s:
+    if now - ledger.term_started_at <= ledger.blind_s:
         # Which jobs were cancelled may not be known here yet. In an outage of the state service
         # that may go on for longer than their tasks may be kept alive by answers.
         held |= JOBS_KNOWN
@@ -179,7 +181,7 @@
         return held | INCARNATION_CURRENT | ANSWERS_HEARD
     if heartbeat.incarnation >= machine.min_incarnation:
         held |= INCARNATION_CURRENT
-    if heeds or machine.joined or _may_hear(ledger, machine, now):
+    if heeds or machine.reconciled or _may_hear(ledger, machine, now):
         held |= ANSWERS_HEARD
     return held
 
@@ -193,8 +195,8 @@
     """
     if ledger.shared_silence is not None and machine.links.unreachable():
         return False
-    machine.first_answered_at = min(machine.first_answered_at, now)
-    return now - machine.first_answered_at <= ledger.limits.workers.lease_s
+    machine.first_acknowledged_at = min(machine.first_acknowledged_at, now)
+    return now - machine.first_acknowledged_at <= ledger.limits.workers.lease_s
 
 
 def _take_in(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
@@ -204,13 +206,13 @@
     if machine.phase in (BOOTING, LOST):
         _came_up(ledger, machine, now)
     machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
-    machine.heard = now
+    machine.last_heartbeat_at = now
     if ledger.zone_hooks is not None:
-        ledger.zone_hooks.heard(machine)
+        ledger.zone_hooks.heartbeat_received(machine)
     if ledger.shared_silence is not None:
-        ledger.shared_silence.heard(machine)
-    if not machine.joined:
-        machine.joined = True
+        ledger.shared_silence.heartbeat_received(machine)
+    if not machine.reconciled:
+        machine.reconciled = True
         machine.freed = True
         ledger.events.changed()
     warned = None if heartbeat.warning_s is None else now + heartbeat.warning_s
@@ -224,7 +226,7 @@
 def _new_incarnation(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
     """The worker's lease has ended, and with it all that it ran."""
     log.info("machine %s: session %d", machine.name, heartbeat.incarnation)
-    if machine.joined and now - machine.heard < 0.5 * ledger.limits.workers.lease_s:
+    if machine.reconciled and now - machine.last_heartbeat_at < 0.5 * ledger.limits.workers.lease_s:
         why = "its lease ended though its reports were answered"
         mark_unresponsive(ledger, machine, now, why)
     ledger.lose_tasks(machine, now, Proof.NEW_INCARNATION)
--- a/src/salthead/coordination/invariants.py
+++ b/src/salthead/coordination/invariants.py
@@ -46,7 +46,7 @@
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
-        self.teams_audited_at = ledger.took_over
+        self.teams_audited_at = ledger.term_started_at
         self.unaudited: list[Machine] = []
 
     def _broken(self, which: Invariant, **evidence: object) -> bool:
@@ -81,7 +81,7 @@
 
     def _within_limit(self, job: Job, found: dict[str, object]) -> bool:
         ledger = self.ledger
-        silent = (0.0, 0.0) if ledger.ready else ledger.takeover.room()
+        silent = (0.0, 0.0) if ledger.ready else ledger.failover.unreconciled_capacity()
         usage, most = ledger.usage[job.team], ledger.caps[job.team]
         fits = all(
             not job.need[n] or usage[n] + silent[n] + job.need[n] <= most[n] + EPS * 10
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -18,6 +18,7 @@
 from salthead import metrics
 from salthead.coordination import heartbeats, strays, waiting
 from salthead.coordination.estimates import Arrivals, Estimates, Promptness
+from salthead.coordination.failover import Failover
 from salthead.coordination.invariants import Invariants
 from salthead.coordination.lease import blind_s
 from salthead.coordination.machine_room import MachineRoom
@@ -35,7 +36,6 @@
     Vec,
 )
 from salthead.coordination.pipelines import Pipelines
-from salthead.coordination.takeover import Takeover
 from salthead.coordination.worker_leases import WorkerLeases
 from salthead.coordination.zone_hooks import ZoneHooks
 from salthead.event_log import event
@@ -101,7 +101,7 @@
     ) -> None:
         self.limits = limits
         self.fencing_token = fencing_token
-        self.took_over = now
+        self.term_started_at = now
         self.leases = WorkerLeases(self, now)
         self.blind_s = blind_s(limits.workers.lease_s, limits.workers.cancel_s)
         self.counter = 0
@@ -132,7 +132,7 @@
         self.machines: dict[str, Machine] = {}
         # Machines that the state service does not know yet: what its loop would else look for
         # among all machines ten times a second.
-        self.unrostered: dict[Machine, None] = {}
+        self.unregistered: dict[Machine, None] = {}
         self.largest_fleet = 0
         self.machines_seen = 0  # in this term, for their numbers
         self.loaded = False
@@ -142,7 +142,7 @@
         self.team_of: dict[str, tuple[int, Vec]] = {}
         self.stray_jobs: dict[str, int] = {}  # stray tasks by job: such a job starts nothing
         self.deposed_by = 0
-        self.takeover = Takeover(self)
+        self.failover = Failover(self)
         self.invariants = Invariants(self)
         self.pipelines = Pipelines()
         self.factors: dict[str, float] = {}  # of estimates, as the pipelines' due times use them
@@ -176,7 +176,7 @@
 
     def set_machine_types(self, machine_types: Iterable[MachineType]) -> None:
         """Take the cloud's machine types in."""
-        self.takeover.forget_room()
+        self.failover.invalidate_capacity()
         for machine_type in machine_types:
             index = self.type_names.intern(machine_type.name)
             self.machine_types[index] = machine_type
@@ -441,7 +441,7 @@
         zone: str,
         spot: bool,
         now: float,
-        rostered: bool = False,
+        registered: bool = False,
     ) -> Machine:
         """A machine heard of: hired, listed, reporting, or in the roster of an earlier term.
 
@@ -463,19 +463,19 @@
             machine.index = self.machines_seen
             self.machines_seen += 1
             self.machines[name] = machine
-            self.unrostered[machine] = None
+            self.unregistered[machine] = None
             self.largest_fleet = max(self.largest_fleet, len(self.machines))
-        if rostered and machine.phase == BOOTING:
+        if registered and machine.phase == BOOTING:
             self.set_phase(machine, UP)
-        if rostered:
-            self.set_rostered(machine)
-            self.takeover.forget_room()
+        if registered:
+            self.mark_registered(machine)
+            self.failover.invalidate_capacity()
         return machine
 
-    def set_rostered(self, machine: Machine) -> None:
+    def mark_registered(self, machine: Machine) -> None:
         """The state service knows the machine, so that it may be given work."""
-        machine.rostered = True
-        self.unrostered.pop(machine, None)
+        machine.registered = True
+        self.unregistered.pop(machine, None)
 
     def lose_tasks(self, machine: Machine, now: float, proof: Proof) -> None:
         """All that was on a machine is certainly gone."""
@@ -492,7 +492,7 @@
         self.set_phase(machine, GONE)
         self.room.kept.pop(machine, None)
         self.machines.pop(machine.name, None)
-        self.unrostered.pop(machine, None)
+        self.unregistered.pop(machine, None)
         self.recently_gone[machine.name] = now
         if len(self.recently_gone) > max(GONE_KEPT, KEPT_FLEETS * self.largest_fleet):
             self.recently_gone.pop(next(iter(self.recently_gone)))
@@ -508,14 +508,14 @@
             for machine in self.machines.values():
                 if machine.phase == UP and now > self.leases.over_at(machine):
                     self._lose(machine, now)
-        if self.loaded and not self.ready and self.takeover.look(now):
+        if self.loaded and not self.ready and self.failover.sweep(now):
             self.ready = True
             self._end_partial_gangs(now)
             event(
                 log,
-                "takeover_complete",
+                "failover_complete",
                 fencing_token=self.fencing_token,
-                after_s=now - self.took_over,
+                after_s=now - self.term_started_at,
                 machines=len(self.machines),
                 jobs=len(self.jobs),
             )
@@ -524,12 +524,16 @@
     def _lose(self, machine: Machine, now: float) -> None:
         # Whatever it still reports of this session is late news: a worker that
         # goes on does so with the next session and no tasks.
-        log.info("machine %s lost: unheard for %.1f s", machine.name, now - machine.heard)
+        log.info(
+            "machine %s lost: unheard for %.1f s", machine.name, now - machine.last_heartbeat_at
+        )
         self.set_phase(machine, LOST)
         machine.lost_at = now
         machine.min_incarnation = machine.incarnation + 1
-        machine.first_answered_at = math.inf  # it holds nothing any more, and may join if it heals
-        machine.joined = False
+        machine.first_acknowledged_at = (
+            math.inf
+        )  # it holds nothing any more, and may join if it heals
+        machine.reconciled = False
         self.lose_tasks(machine, now, Proof.LEASE_OVER)
 
     def _end_partial_gangs(self, now: float) -> None:
@@ -546,13 +550,13 @@
 
     def should_have_heard(self, now: float) -> bool:
         """Whether machines that are well have had the time to find this leader."""
-        return now - self.took_over > 1.0 + self.limits.workers.heartbeat_interval_s
+        return now - self.term_started_at > 1.0 + self.limits.workers.heartbeat_interval_s
 
     def hearing(self, now: float) -> tuple[int, int]:
         """How many machines that are up were heard lately, and how many were not."""
         up = [m for m in self.machines.values() if m.phase == UP]
         late = now - 3.0 * self.limits.workers.heartbeat_interval_s
-        heard = sum(1 for m in up if m.heard >= late)
+        heard = sum(1 for m in up if m.last_heartbeat_at >= late)
         return heard, len(up) - heard
 
     def may_place(self, job: Job) -> bool:
@@ -564,7 +568,7 @@
         if self.ready:
             return True
         return self.loaded and (
-            job.fresh or (self.shared_silence is not None and not self.takeover.could_run(job))
+            job.fresh or (self.shared_silence is not None and not self.failover.could_run(job))
         )
 
     def handle_heartbeat(
--- a/src/salthead/coordination/model.py
+++ b/src/salthead/coordination/model.py
@@ -72,13 +72,13 @@
     cap: Vec
     phase: str = BOOTING
     used: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
-    rostered: bool = False
-    joined: bool = False  # reported under this term's token
+    registered: bool = False
+    reconciled: bool = False  # reported under this term's token
     incarnation: int = 0
     sequence: int = -1
     min_incarnation: int = 0
-    heard: float = -math.inf
-    answered: float = -math.inf
+    last_heartbeat_at: float = -math.inf
+    acknowledged_at: float = -math.inf
     warn_at: float | None = None
     bindings: dict[tuple[str, int], Binding] = field(default_factory=dict)
     strays: dict[tuple[str, int, int], Binding] = field(default_factory=dict)
@@ -94,8 +94,8 @@
     surplus_since: float | None = None  # since when all there is to do would fit elsewhere
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # in its cache, by use
     cordoned: bool = False  # takes no more tasks, so that it empties and can be returned
-    seen: bool = False  # reported, though not under this term's token
-    first_answered_at: float = math.inf  # when it was first answered
+    seen_in_earlier_term: bool = False  # reported, though not under this term's token
+    first_acknowledged_at: float = math.inf  # when it was first answered
     unresponsive_since: float | None = None  # reports arrive, but nothing reaches it
     unresponsive_times: int = 0
     trusted_again_at: float = 0.0  # after it was unresponsive: when it may be given work again
--- a/src/salthead/coordination/placement.py
+++ b/src/salthead/coordination/placement.py
@@ -98,13 +98,14 @@
     """Heard of lately, in the roster, and not about to go."""
     return (
         machine.phase == UP
-        and machine.rostered
-        and machine.joined
+        and machine.registered
+        and machine.reconciled
         and not machine.condemned
         and not machine.returning
         and not machine.cordoned
         and machine.warn_at is None
-        and now - machine.heard <= FRESH_PERIODS * ledger.limits.workers.heartbeat_interval_s
+        and now - machine.last_heartbeat_at
+        <= FRESH_PERIODS * ledger.limits.workers.heartbeat_interval_s
         and now >= machine.error_until
         and machine.responsive(now)
     )
@@ -117,7 +118,7 @@
     Long before the filter by freshness says so, such a machine may have died. For one task the
     design's filter stands; a gang needs all of its machines, and so does the room made for it.
     """
-    return now - machine.heard > 1.25 * ledger.limits.workers.heartbeat_interval_s + 1.0
+    return now - machine.last_heartbeat_at > 1.25 * ledger.limits.workers.heartbeat_interval_s + 1.0
 
 
 def insistent(job: Job, now: float) -> bool:
@@ -510,7 +511,7 @@
     due = now - ledger.limit_logged_at[job.team] >= LIMIT_LOGGED_S
     if due:
         ledger.limit_logged_at[job.team] = now
-    silent = (0.0, 0.0) if ledger.ready else ledger.takeover.room()
+    silent = (0.0, 0.0) if ledger.ready else ledger.failover.unreconciled_capacity()
     event(
         log,
         "limit_reached",
--- a/src/salthead/coordination/returns.py
+++ b/src/salthead/coordination/returns.py
@@ -93,12 +93,12 @@
     machine: Machine
     reason: str
     phase: str
-    heard: float  # when the last news of the machine came
+    last_heartbeat_at: float  # when the last news of the machine came
 
     @classmethod
     def of(cls, machine: Machine, reason: str) -> ReturnDecision:
         """A decision made now."""
-        return cls(machine, reason, machine.phase, machine.heard)
+        return cls(machine, reason, machine.phase, machine.last_heartbeat_at)
 
     def holds(self) -> bool:
         """Whether it would be made again: a machine that was silent has come back otherwise.
@@ -108,7 +108,7 @@
         machine = self.machine
         if machine.phase != self.phase:
             return False
-        return machine.heard == self.heard or self.reason not in SILENCE
+        return machine.last_heartbeat_at == self.last_heartbeat_at or self.reason not in SILENCE
 
 
 class FleetCounts:
@@ -116,7 +116,7 @@
     a thousand are silent took a million steps a plan."""
 
     def __init__(self, ledger: Ledger, now: float) -> None:
-        most = max(1.0, SILENT_FEW * sum(1 for m in ledger.machines.values() if m.rostered))
+        most = max(1.0, SILENT_FEW * sum(1 for m in ledger.machines.values() if m.registered))
         # Whether so many machines are lost at once that a cut is likelier than their deaths. They
         # are up behind the cut, with no tasks left; waiting for them for as long as a boot takes
         # is cheaper than to return them and boot as many.
@@ -127,7 +127,7 @@
         # broken machines, and are waited for.
         self.silent_few: set[str] = set()
         if not ledger.ready and ledger.should_have_heard(now):
-            silent = ledger.takeover.unheard()
+            silent = ledger.failover.unreconciled_machines()
             if ledger.shared_silence is not None:
                 # Seen on zone-behind-cut: 62 machines that a cut of their zone had left well.
                 silent = [m for m in silent if not ledger.shared_silence.behind_cut(m)]
@@ -147,8 +147,8 @@
         return _lost(ledger, machine, counted, now)
     if (
         machine.phase == UP
-        and machine.joined
-        and (machine.answered - machine.heard > ledger.limits.workers.lease_s)
+        and machine.reconciled
+        and (machine.acknowledged_at - machine.last_heartbeat_at > ledger.limits.workers.lease_s)
     ):
         # Copies alone, or a worker that began to count anew: nothing that it says is news, and
         # each answer puts off the end of its lease. The cloud's word ends that.
@@ -204,7 +204,7 @@
     """It boots for so long that it is taken never to come up."""
     machine_type = ledger.machine_types.get(machine.machine_type)
     boot_s = machine_type.boot_s if machine_type else LEAST_CHARGE_S
-    if now - ledger.took_over < ledger.limits.workers.lease_s:
+    if now - ledger.term_started_at < ledger.limits.workers.lease_s:
         return ""  # it may be up and not have found this leader yet
     return "never came up" if now - machine.hired_at > BOOT_PATIENCE * boot_s + 10.0 else ""
 
--- a/src/salthead/coordination/start_rules.py
+++ b/src/salthead/coordination/start_rules.py
@@ -50,7 +50,7 @@
     for n in range(2):
         if job.need[n] > 0:
             # Any team may be using all of the machines that have not been heard from.
-            silent = 0.0 if ledger.ready else ledger.takeover.room()[n]
+            silent = 0.0 if ledger.ready else ledger.failover.unreconciled_capacity()[n]
             free = most[n] - usage[n] - silent - (job.behind[n] if heed else 0.0)
             if free + EPS < job.need[n]:
                 return 0  # of an unlimited silent room a division would make no number
--- a/src/salthead/coordination/task_reconciliation.py
+++ b/src/salthead/coordination/task_reconciliation.py
@@ -35,7 +35,7 @@
 
 TaskKey = tuple[str, int]  # job and task number
 
-IN_ROSTER, TOKEN_ACCEPTED = int(Fact.IN_ROSTER), int(Fact.TOKEN_ACCEPTED)
+MACHINE_REGISTERED, TOKEN_ACCEPTED = int(Fact.MACHINE_REGISTERED), int(Fact.TOKEN_ACCEPTED)
 OUTCOME_DURABLE = int(Fact.OUTCOME_DURABLE)
 
 
@@ -146,7 +146,9 @@
     """Starts for what is bound to the machine and not seen on it yet."""
     orders: list[dict[str, Any]] = []
     held = ledger.facts()
-    held |= (IN_ROSTER if machine.rostered else 0) | (TOKEN_ACCEPTED if machine.joined else 0)
+    held |= (MACHINE_REGISTERED if machine.registered else 0) | (
+        TOKEN_ACCEPTED if machine.reconciled else 0
+    )
     if not permits(Action.START, held):
         return orders
     for binding in machine.bindings.values():
--- a/src/salthead/coordination/worker_leases.py
+++ b/src/salthead/coordination/worker_leases.py
@@ -27,7 +27,7 @@
     def over_at(self, machine: Machine) -> float:
         """When the machine's worker has no tasks any more unless it is answered again."""
         kept_until = self.kept_until.get(machine.zone, -math.inf)
-        answered = max(machine.answered, self.counted_from, kept_until)
+        answered = max(machine.acknowledged_at, self.counted_from, kept_until)
         return surely_over(answered, self.ledger.limits.workers.lease_s)
 
     def keep_zone(self, area: str, until: float) -> bool:
--- a/src/salthead/coordination/zone_hooks.py
+++ b/src/salthead/coordination/zone_hooks.py
@@ -11,7 +11,7 @@
 class ZoneHooks(Protocol):
     """Told of what happens on machines; asked what may be admitted, and in which order."""
 
-    def heard(self, machine: Machine) -> None:
+    def heartbeat_received(self, machine: Machine) -> None:
         """A report of the machine was news."""
 
     def phase_changed(self, machine: Machine) -> None:
--- a/src/salthead/evidence/diagnosis.py
+++ b/src/salthead/evidence/diagnosis.py
@@ -44,7 +44,7 @@
     ``fresh_s``: for how long a report counts; an answer to a direct call counts for as long.
     """
     links = machine.links
-    heartbeats_arrive = now - max(machine.heard, links.last_received_at) <= fresh_s
+    heartbeats_arrive = now - max(machine.last_heartbeat_at, links.last_received_at) <= fresh_s
     if heartbeats_arrive:
         hears = machine.unresponsive_since is None and not links.unheard_answers
         return LinkState.BOTH_WAYS if hears else LinkState.HEARTBEATS_ONLY
@@ -64,7 +64,7 @@
         group, state = group_of(machine), link_state(machine, now, fresh_s)
         counts[group][state] += 1
         if state is not LinkState.BOTH_WAYS:
-            confirmed = max(machine.heard, machine.links.answers_at, machine.hired_at)
+            confirmed = max(machine.last_heartbeat_at, machine.links.answers_at, machine.hired_at)
             longest[group] = max(longest[group], now - confirmed)
     return [
         LinkView(group, found.total(), dict(found), longest[group])
--- a/src/salthead/evidence/gate.py
+++ b/src/salthead/evidence/gate.py
@@ -21,7 +21,7 @@
     MACHINE_THERE = auto()  # the cloud has not confirmed the machine's return
     INCARNATION_CURRENT = auto()  # the worker's incarnation is not one that must have ended
     ANSWERS_HEARD = auto()  # answers to the worker are not known to be lost
-    IN_ROSTER = auto()  # the state service knows the machine
+    MACHINE_REGISTERED = auto()  # the state service knows the machine
     TOKEN_ACCEPTED = auto()  # the worker has shown this term's token
     WORKER_LEASE_OVER = auto()  # the worker's lease must have ended, by this controller's clock
     TASK_NOWHERE = auto()  # no machine can be running the task
@@ -60,7 +60,7 @@
             | Fact.INCARNATION_CURRENT
             | Fact.ANSWERS_HEARD
         ),
-        Action.START: Fact.LEAD_LEASE | Fact.IN_ROSTER | Fact.TOKEN_ACCEPTED,
+        Action.START: Fact.LEAD_LEASE | Fact.MACHINE_REGISTERED | Fact.TOKEN_ACCEPTED,
         Action.STOP: Fact.LEAD_LEASE | Fact.TOKEN_ACCEPTED,
         Action.REAP_RESULT: Fact.OUTCOME_DURABLE,
         Action.TELL_STATUS: Fact.JOBS_KNOWN | Fact.NOTHING_IN_DOUBT,
@@ -93,7 +93,10 @@
 _PUBLISHED_ACTION_NAMES = {Action.ACKNOWLEDGE_HEARTBEAT: "answer_report"}
 
 
-_PUBLISHED_FACT_NAMES = {Fact.INCARNATION_CURRENT: "session_open"}
+_PUBLISHED_FACT_NAMES = {
+    Fact.INCARNATION_CURRENT: "session_open",
+    Fact.MACHINE_REGISTERED: "in_roster",
+}
 
 
 def action_name(action: Action) -> str:
--- a/src/salthead/evidence/links.py
+++ b/src/salthead/evidence/links.py
@@ -83,7 +83,7 @@
         self.unheard_answers += 1
         return True
 
-    def answered(self, incarnation: int, sequence: int, now: float) -> None:
+    def acknowledged(self, incarnation: int, sequence: int, now: float) -> None:
         """A report is answered with 200 now."""
         if (incarnation, sequence) > (self.acknowledged_incarnation, self.acknowledged_sequence):
             self.acknowledged_incarnation, self.acknowledged_sequence = incarnation, sequence
--- a/src/salthead/evidence/machine_sets.py
+++ b/src/salthead/evidence/machine_sets.py
@@ -50,7 +50,7 @@
     def __init__(self, zones: int, heard_s: float, expired_s: float, now: float) -> None:
         self.present = [BitMap() for _ in range(zones)]
         self.expired = [RecentSet(expired_s, now) for _ in range(zones)]
-        self.heard = RecentSet(heard_s, now)
+        self.recently_heard = RecentSet(heard_s, now)
 
     def grow(self, zones: int, now: float) -> None:
         """Make room for zones that the settings did not name."""
@@ -60,7 +60,7 @@
 
     def turn(self, now: float) -> None:
         """Let what is old go."""
-        self.heard.turn(now)
+        self.recently_heard.turn(now)
         for expired in self.expired:
             expired.turn(now)
 
@@ -81,9 +81,9 @@
         """Machines of the zone, those of them that are unheard, and whose leases have ended."""
         expired = self.expired[zone].members()
         known = self.present[zone] | expired
-        heard = known.intersection_cardinality(self.heard.members())
+        heard = known.intersection_cardinality(self.recently_heard.members())
         return len(known), len(known) - heard, len(expired)
 
     def heard_in(self, zone: int) -> BitMap:
         """Machines of the zone that are there and were heard lately."""
-        return self.present[zone] & self.heard.members()
+        return self.present[zone] & self.recently_heard.members()
--- a/src/salthead/evidence/shared_silence.py
+++ b/src/salthead/evidence/shared_silence.py
@@ -68,9 +68,9 @@
 
     # -- what happens: called by the ledger -------------------------------------------------
 
-    def heard(self, machine: Machine) -> None:
+    def heartbeat_received(self, machine: Machine) -> None:
         """A report of the machine was news."""
-        self.sets.heard.add(machine.index)
+        self.sets.recently_heard.add(machine.index)
         if self.networks is not None:
             self.networks.note(machine.index, machine.endpoint)
 
@@ -126,7 +126,7 @@
         )
 
     def _groups(self) -> Iterator[Group]:
-        heard = self.sets.heard.members()
+        heard = self.sets.recently_heard.members()
         fleet = BitMap()
         for zone, present in enumerate(self.sets.present):
             known = present | self.sets.expired[zone].members()
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -39,9 +39,9 @@
         ledger = self.ledger
         jobs, self.since = await self.term.state_store.list_prefix(records.JOBS)
         parts, _ = await self.term.state_store.list_prefix(records.PARTS)
-        roster, _ = await self.term.state_store.list_prefix(records.ROSTER)
+        machine_registry, _ = await self.term.state_store.list_prefix(records.MACHINE_REGISTRY)
         now = self.now()
-        self.term.pages.parts, self.term.pages.roster = self.term.pages.new_pages()
+        self.term.pages.parts, self.term.pages.machine_registry = self.term.pages.new_pages()
         # After the jobs: a record and what continues it are written together.
         rows, _ = await self.term.state_store.list_prefix(records.AWAITS)
         rest = {key: value for key, (value, _) in rows.items()}
@@ -54,11 +54,11 @@
             {key: value for key, (value, _) in parts.items()},
             {key: revision for key, (_, revision) in parts.items()},
         )
-        for key, (value, revision) in roster.items():
-            self.term.pages.roster.load(key, value, revision)
+        for key, (value, revision) in machine_registry.items():
+            self.term.pages.machine_registry.load(key, value, revision)
             for name, (machine_type, zone, spot, endpoint) in value.items():
                 machine = ledger.add_machine(
-                    name, machine_type, zone, bool(spot), now, rostered=True
+                    name, machine_type, zone, bool(spot), now, registered=True
                 )
                 machine.endpoint = machine.endpoint or str(endpoint or "")
         await self.term.zone_permissions.load()
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/lead.py
@@ -118,7 +118,7 @@
             await self.term.controller.rest(1.0)
             now = self.term.now()
             heard, silent = self.term.ledger.hearing(now)
-            if silent <= heard or now - self.term.ledger.took_over < grace_s + 1.0:
+            if silent <= heard or now - self.term.ledger.term_started_at < grace_s + 1.0:
                 continue
             found = await asyncio.gather(
                 *(ask_reach(peer) for peer in self.term.controller.peers.values())
--- a/src/salthead/leader/rental.py
+++ b/src/salthead/leader/rental.py
@@ -262,7 +262,7 @@
                 decision.reason,
             )
             self.ledger.machine_gone(machine, now)
-            self.term.pages.roster.drop(machine.name)
+            self.term.pages.machine_registry.drop(machine.name)
 
     def _still_wanted(self, decision: ReturnDecision) -> bool:
         held = Fact.REASON_HOLDS if decision.holds() else Fact(0)
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -25,14 +25,14 @@
     def __init__(self, term: Term) -> None:
         self.term = term
         self.stretches = records.Stretches(term.limits.state.value_kb, term.state_limits.value_kb)
-        self.parts, self.roster = self.new_pages()
-        self.roster_at = -1e9
+        self.parts, self.machine_registry = self.new_pages()
+        self.registry_write_due_at = -1e9
         self.leftovers: dict[str, str] = {}  # keys that continue records of jobs that are over
 
     def new_pages(self) -> tuple[Pages, Pages]:
         """Empty pages of done tasks and of the roster."""
         kb = self.term.state_limits.value_kb
-        return Pages(records.PARTS, kb), Pages(records.ROSTER, kb)
+        return Pages(records.PARTS, kb), Pages(records.MACHINE_REGISTRY, kb)
 
     def tidy(self, job: Job) -> None:
         """What else is kept of a job that is over goes, when there is time for it."""
@@ -103,13 +103,13 @@
             pages.written(batch, revision)
         return batch
 
-    async def roster_loop(self) -> None:
+    async def registry_loop(self) -> None:
         """A machine is in the roster, durably, before the first start is sent to it."""
         while True:
             ledger = self.term.ledger
-            for machine in ledger.unrostered:
-                if machine.phase == UP or machine.seen:
-                    self.roster.set(
+            for machine in ledger.unregistered:
+                if machine.phase == UP or machine.seen_in_earlier_term:
+                    self.machine_registry.set(
                         machine.name,
                         [
                             ledger.type_names[machine.machine_type],
@@ -120,18 +120,20 @@
                     )
             # Those that are gone wait for the next one to come, or for a while.
             fresh = any(
-                self.roster.where.get(machine.name) in self.roster.dirty
-                for machine in ledger.unrostered
+                self.machine_registry.where.get(machine.name) in self.machine_registry.dirty
+                for machine in ledger.unregistered
             )
-            if fresh or (self.roster.dirty and self.term.now() >= self.roster_at):
+            if fresh or (
+                self.machine_registry.dirty and self.term.now() >= self.registry_write_due_at
+            ):
                 try:
-                    batch = await self.write_pages(self.roster)
-                    self.roster_at = self.term.now() + PART_GAP_S
+                    batch = await self.write_pages(self.machine_registry)
+                    self.registry_write_due_at = self.term.now() + PART_GAP_S
                     for _, content in batch.values():
                         for name in content:
                             found = ledger.machines.get(name)
-                            if found is not None and not found.rostered:
-                                ledger.set_rostered(found)
+                            if found is not None and not found.registered:
+                                ledger.mark_registered(found)
                                 found.freed = True
                     self.term.wake()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -156,14 +156,14 @@
             except RETRYABLE_ERRORS as error:
                 self.controller.note("load", error)
                 await self.controller.rest(0.3)
-        self.spawn(self.worker_calls.join_all(self.ledger.takeover.unheard()))
+        self.spawn(self.worker_calls.reconcile_all(self.ledger.failover.unreconciled_machines()))
         loops = [
             self.job_records.watch_loop(),
             self.job_records.await_loop(),
             self.decide_loop(),
             self.outcomes.loop(),
             self.pages.save_loop(),
-            self.pages.roster_loop(),
+            self.pages.registry_loop(),
             self.rental.list_loop(),
             self.rental.fleet_loop(),
             self.unknown_jobs_loop(),
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -177,7 +177,7 @@
 
     def _show_limits(self) -> None:
         """How much of each team's limit is booked, and how much is counted for silent machines."""
-        silent = 0.0 if self.ledger.ready else self.ledger.takeover.room()[0]
+        silent = 0.0 if self.ledger.ready else self.ledger.failover.unreconciled_capacity()[0]
         for team, name in enumerate(self.ledger.team_names.names):
             for count, cpus in (
                 ("booked", self.ledger.usage[team][0]),
@@ -185,5 +185,5 @@
                 ("limit", self.ledger.caps[team][0]),
             ):
                 metrics.TEAM_CPUS.labels(name, count).set(cpus)
-        for why, machines in self.ledger.takeover.by_reason().items():
-            metrics.UNHEARD.labels(why).set(machines)
+        for why, machines in self.ledger.failover.by_reason().items():
+            metrics.UNRECONCILED_MACHINES.labels(why).set(machines)
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -21,7 +21,7 @@
 
 # A machine that is well answers a direct call in milliseconds; a silent one is asked again, for
 # longer, when all others have been.
-JOIN_S, JOIN_AGAIN_S = 0.5, 2.0
+RECONCILE_TIMEOUT_S, RECONCILE_RETRY_TIMEOUT_S = 0.5, 2.0
 PROBE_S, STOP_S = 2.0, 2.0
 
 
@@ -47,23 +47,25 @@
         machine.links.command_answered(sent)
         return answer
 
-    async def join_all(self, machines: list[Machine]) -> None:
+    async def reconcile_all(self, machines: list[Machine]) -> None:
         """Some at a time: calls that queue for a slot would time out in the queue.
 
         Behind a cut hundreds are silent, and with one long time-out for each they would hold up
         those that answer at once.
         """
-        for timeout in (JOIN_S, JOIN_AGAIN_S):
-            left = iter([machine for machine in machines if not machine.joined])
+        for timeout in (RECONCILE_TIMEOUT_S, RECONCILE_RETRY_TIMEOUT_S):
+            left = iter([machine for machine in machines if not machine.reconciled])
 
             async def some(left: Iterator[Machine] = left, timeout: float = timeout) -> None:
                 for machine in left:
                     if machine.phase == UP:  # else its lease has ended while others were asked
-                        await self.join(machine, timeout)
+                        await self.reconcile(machine, timeout)
 
-            await asyncio.gather(*(some() for _ in range(self.term.controller.sockets.joins)))
+            await asyncio.gather(
+                *(some() for _ in range(self.term.controller.sockets.reconcile_slots))
+            )
 
-    async def join(self, machine: Machine, timeout: float) -> None:
+    async def reconcile(self, machine: Machine, timeout: float) -> None:
         """Ask a machine of the roster directly: its worker may be waiting for a dead leader.
 
         A call with our token and no orders makes the worker accept the token, after which no
@@ -71,7 +73,7 @@
         """
         incarnation = 1
         for _ in range(2):
-            if machine.joined or not machine.endpoint or not self.term.valid():
+            if machine.reconciled or not machine.endpoint or not self.term.valid():
                 return
             try:
                 answer = await self._command(machine, incarnation, [], timeout)
@@ -106,7 +108,9 @@
 
             # No more at a time than there are slots: what queues for one times out in the queue,
             # and a round for each report period would pile up on those before it.
-            await asyncio.gather(*(some() for _ in range(self.term.controller.sockets.joins)))
+            await asyncio.gather(
+                *(some() for _ in range(self.term.controller.sockets.reconcile_slots))
+            )
 
     async def reach_loop(self) -> None:
         """Machines that are silent, or hear no answers: whether direct calls reach them.
@@ -122,23 +126,23 @@
 
             async def some(left: Iterator[Machine] = left) -> None:
                 for machine in left:
-                    if self._may_join(machine):
-                        await self.join(machine, PROBE_S)
+                    if self._may_reconcile(machine):
+                        await self.reconcile(machine, PROBE_S)
                     else:
                         await self.probe(machine)
 
             await asyncio.gather(
-                *(some() for _ in range(max(1, self.term.controller.sockets.joins // 4)))
+                *(some() for _ in range(max(1, self.term.controller.sockets.reconcile_slots // 4)))
             )
 
-    def _may_join(self, machine: Machine) -> bool:
+    def _may_reconcile(self, machine: Machine) -> bool:
         """Whether a call that is answered may make the machine one of this term's.
 
         One whose lease is over is given work again only if its reports arrive as well: starts
         travel in the answers to these. Without the call a machine that was deaf for longer than a
         lease was never answered again (98 of them were returned on one-way-machines).
         """
-        if machine.joined:
+        if machine.reconciled:
             return False
         fresh_s = placement.FRESH_PERIODS * self.term.limits.workers.heartbeat_interval_s
         heartbeats_arrive = self.term.now() - machine.links.last_received_at <= fresh_s
@@ -154,7 +158,11 @@
             and machine.unresponsive_since is None  # those have a loop of their own
             and (
                 machine.phase == LOST
-                or (machine.phase == UP and machine.joined and now - machine.heard > fresh_s)
+                or (
+                    machine.phase == UP
+                    and machine.reconciled
+                    and now - machine.last_heartbeat_at > fresh_s
+                )
                 or (machine.phase == UP and machine.links.unheard_answers > 0)
             )
         ]
@@ -182,7 +190,7 @@
             if binding.stop is None or binding.stop_sent or not binding.phase:
                 continue  # what no report shows yet is stopped by the answer to one that does
             if (
-                machine.joined
+                machine.reconciled
                 and machine.endpoint
                 and (binding.phase != names.FLUSHING or binding.stop == 0.0)
             ):
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -60,7 +60,7 @@
     ["team", "count"],
     registry=REGISTRY,
 )
-UNHEARD = Gauge(
+UNRECONCILED_MACHINES = Gauge(
     "salthead_unheard_machines",
     "Machines that a new leader has not accounted for",
     ["why"],
--- a/src/salthead/state_store/records.py
+++ b/src/salthead/state_store/records.py
@@ -33,7 +33,7 @@
 JOBS = "job/"
 OVER = "over/"
 PARTS = "done/"
-ROSTER = "roster/"
+MACHINE_REGISTRY = "roster/"
 
 
 def job_key(job_id: str) -> str:
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -91,9 +91,9 @@
 
     # -- what happens -------------------------------------------------------------------
 
-    def heard(self, machine: Machine) -> None:
+    def heartbeat_received(self, machine: Machine) -> None:
         """A report of the machine was news."""
-        self.sets.heard.add(machine.index)
+        self.sets.recently_heard.add(machine.index)
         if self.networks is not None:
             self.networks.note(machine.index, machine.endpoint)
 
@@ -105,7 +105,7 @@
             machine.withheld = self._withholds(machine.zone) and not self._is_open(machine)
         elif machine.phase == LOST:
             self.sets.lease_over(machine.zone, machine.index)
-            if not machine.joined:
+            if not machine.reconciled:
                 self.unknown_losses.add(machine.zone)
         elif machine.phase == GONE:
             self.sets.gone(machine.zone, machine.index)
@@ -363,7 +363,9 @@
 
     def network_views(self) -> list[NetworkView]:
         """All declared networks, for operators."""
-        return [] if self.networks is None else self.networks.views(self.sets.heard.members())
+        return (
+            [] if self.networks is None else self.networks.views(self.sets.recently_heard.members())
+        )
 
     def views(self, now: float) -> list[ZoneView]:
         """All zones, for operators."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -162,7 +162,7 @@
         kind.get("zone", "north"),
         kind.get("spot", False),
         now,
-        rostered=True,
+        registered=True,
     )
     assert led.handle_heartbeat(heartbeat(name, 1, **kind), now) == []
     return led.machines[name]
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -76,7 +76,7 @@
     sockets = Sockets(most, 2)
     own = 16 + Sockets.CLOUD + 2 * Sockets.PEER + sockets.workers
     assert sockets.clients + sockets.peers_in + own < most
-    assert 0 < sockets.joins < sockets.workers, "stops never wait behind silent machines"
+    assert 0 < sockets.reconcile_slots < sockets.workers, "stops never wait behind silent machines"
     assert Sockets(0, 2).clients == 0, "no number named, no bound"
 
 
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -102,7 +102,7 @@
     heartbeats: list[tuple[int, float]], called: bool, lost_at: float
 ) -> None:
     led = with_policy(ledger())
-    found = led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
+    found = led.add_machine("m1", "small", "north", False, 0.0, registered=True)
     for sequence, at in heartbeats:
         (found.links.command_answered if called else found.links.command_failed)(at - 0.5)
         led.handle_heartbeat(heartbeat("m1", sequence, fencing_token=3), at)
@@ -113,7 +113,7 @@
 
 def test_a_report_that_went_to_another_node_shows_an_answer_unheard() -> None:
     led = with_policy(ledger())
-    found = led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
+    found = led.add_machine("m1", "small", "north", False, 0.0, registered=True)
     led.handle_heartbeat(heartbeat("m1", 5, fencing_token=3), 8.0)
     for sequence, over in ((5, 8.0 + LEASE_S), (6, LEASE_S)):
         heartbeats.heartbeat_seen_by_peer(led, "m1", (1, sequence), False, 9.0)
@@ -128,7 +128,7 @@
 
 def test_a_takeover_places_what_no_silent_machine_can_be_running() -> None:
     led = with_policy(ledger())
-    led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
+    led.add_machine("m1", "small", "north", False, 0.0, registered=True)
     machine(led, "m2", zone="south")
     anywhere, south = job(led, job_id="req-1"), job(led, job_id="req-2", zone="south")
     large = job(led, job_id="req-3", vcpus=20.0)
@@ -204,7 +204,9 @@
     # Few of the fleet, but all of a zone; the other way two that died.
     led = with_policy(ledger())
     for n in range(40):
-        led.add_machine(f"m{n}", "small", ("north", "south")[n < south], False, 0.0, rostered=True)
+        led.add_machine(
+            f"m{n}", "small", ("north", "south")[n < south], False, 0.0, registered=True
+        )
     assert led.shared_silence is not None
     led.shared_silence.look(1.0)
     assert not led.shared_silence.cut, "nobody has had the time to find this leader"
@@ -278,7 +280,7 @@
         ({"fencing_token": 8}, False, 2.0),
     ],
 )
-@pytest.mark.parametrize("before", ["", "deposed", "lost", "warned", "unrostered"])
+@pytest.mark.parametrize("before", ["", "deposed", "lost", "warned", "unregistered"])
 def test_the_short_way_of_a_report_is_taken_only_where_nothing_changes(
     given: dict[str, int], answered: bool, heard: float, before: str
 ) -> None:
@@ -292,15 +294,15 @@
         led.tick(20.0)
     elif before == "warned":
         found.warn_at = 5.0
-    elif before == "unrostered":
-        found.rostered = False
+    elif before == "unregistered":
+        found.registered = False
         led.bind(job(led, task_count=1), 0, found, 5, 2.0)
     more = {name: value for name, value in given.items() if name != "sequence"}
     answer = led.handle_heartbeat(heartbeat("m1", given.get("sequence", 4), **more), 9.0)
     lost = before == "lost" and given.get("incarnation") != 2
     refused = not answered or before == "deposed" or lost
     assert answer == (None if refused else [])
-    assert found.heard == (2.0 if refused else heard)
+    assert found.last_heartbeat_at == (2.0 if refused else heard)
     assert found.incarnation == (2 if given.get("incarnation") == 2 and not refused else 1)
     if not refused and heard == 9.0:
         assert (found.warn_at is None) == ("warning_s" not in given)
@@ -477,7 +479,7 @@
         await world.crash(name)
         while (leader := world.leader()) is None or not leader.term.ledger.loaded:
             await asyncio.sleep(0.05)
-        later = leader.term.ledger.leases.counted_from - leader.term.ledger.took_over
+        later = leader.term.ledger.leases.counted_from - leader.term.ledger.term_started_at
         await asyncio.sleep(2.0)
         soon = "kept/n9" in world.state.keys
         await asyncio.sleep(6.0)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -44,7 +44,7 @@
 
 def beside_silent_machines(led: Ledger) -> None:
     led.ready = False
-    led.add_machine("silent", "big", "north", False, 0.0, rostered=True)
+    led.add_machine("silent", "big", "north", False, 0.0, registered=True)
     bind(led)
 
 
@@ -120,7 +120,7 @@
 
 def test_what_an_earlier_leader_started_is_bound_beyond_the_limit() -> None:
     led = ledger()
-    led.add_machine("m1", "big", "north", False, 0.0, rostered=True)
+    led.add_machine("m1", "big", "north", False, 0.0, registered=True)
     one = job(led, team="red", task_count=9, vcpus=4.0)
     led.handle_heartbeat(
         heartbeat("m1", 1, *((f"req-1/{n}", n + 1, "running") for n in range(8))), 0.5
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -55,15 +55,15 @@
     """A fleet of which every third machine was not heard for longer than its lease."""
     led = full(machines)
     for n, found in enumerate(led.machines.values()):
-        found.heard = found.answered = 0.0 if n % 3 == 0 else 100.0
+        found.last_heartbeat_at = found.acknowledged_at = 0.0 if n % 3 == 0 else 100.0
     return led
 
 
-def takeover(machines: int) -> Ledger:
+def failover(machines: int) -> Ledger:
     """A new leader's ledger: the roster is read, and nobody has reported."""
     led = ledger(100.0)
     for n in range(machines):
-        led.add_machine(f"m{n}", "small", "north", False, 100.0, rostered=True)
+        led.add_machine(f"m{n}", "small", "north", False, 100.0, registered=True)
     return led
 
 
@@ -83,8 +83,11 @@
         (third_lost, lambda led: led.tick(100.0)),
         (third_lost, lambda led: (led.tick(100.0), plan(led, 101.0))),
         (third_lost, lambda led: (led.tick(100.0), come_back(led))),
-        (takeover, lambda led: (led.tick(101.0), led.takeover.room(), plan(led, 101.0))),
-        (takeover, lambda led: (led.takeover.look(103.0), led.takeover.by_reason())),
+        (
+            failover,
+            lambda led: (led.tick(101.0), led.failover.unreconciled_capacity(), plan(led, 101.0)),
+        ),
+        (failover, lambda led: (led.failover.sweep(103.0), led.failover.by_reason())),
         (full, lambda led: led.invariants.audit(1000.0)),
     ],
     ids=["plan", "loss", "plan after a loss", "return", "takeover", "takeover waits", "audit"],
@@ -150,7 +153,7 @@
         led.machine_gone(led.machines[name], 5.0)
     assert len(led.recently_gone) == LARGE > ledgers.GONE_KEPT
     assert all(led.handle_heartbeat(heartbeat(name, 2), 6.0) is None for name in names)
-    assert led.machines == {} and led.unrostered == {}
+    assert led.machines == {} and led.unregistered == {}
 
 
 def test_names_of_machines_that_went_long_ago_are_dropped() -> None:
@@ -163,16 +166,16 @@
 
 def test_the_roster_loop_looks_only_at_machines_that_the_service_does_not_know() -> None:
     led = full(LARGE)
-    assert led.unrostered == {}
+    assert led.unregistered == {}
     fresh = led.add_machine("m-new", "small", "north", False, 0.0)
-    assert list(led.unrostered) == [fresh]
-    led.set_rostered(fresh)
-    assert fresh.rostered and led.unrostered == {}
+    assert list(led.unregistered) == [fresh]
+    led.mark_registered(fresh)
+    assert fresh.registered and led.unregistered == {}
 
 
 @pytest.mark.parametrize(("value_kb", "most"), [(2.0, 160), (4.0, 80), (16.0, 20)])
 def test_the_roster_of_four_thousand_takes_few_values(value_kb: float, most: int) -> None:
-    pages = Pages(records.ROSTER, value_kb)
+    pages = Pages(records.MACHINE_REGISTRY, value_kb)
     for n in range(LARGE):
         pages.set(f"host-{n:06d}", ["small", "north", False, f"10.1.{n // 250}.{n % 250}:9000"])
     assert len(pages.pages) <= most
@@ -223,14 +226,14 @@
             machine(term.ledger, name, fencing_token=term.fencing_token) for name in ("m1", "m2")
         ]
         for one in found:
-            one.joined = False
+            one.reconciled = False
 
         async def join(one: Any, timeout: float) -> None:
             asked.append(one.name)
 
-        term.worker_calls.join = join  # type: ignore[method-assign]
+        term.worker_calls.reconcile = join  # type: ignore[method-assign]
         term.ledger.set_phase(found[0], "lost")
-        await term.worker_calls.join_all(found)
+        await term.worker_calls.reconcile_all(found)
         return asked
 
     assert set(run(day)) == {"m2"}
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -107,8 +107,8 @@
 class TestTakeover:
     def test_nothing_is_placed_before_every_rostered_machine_is_accounted_for(self) -> None:
         led = ledger()
-        led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
-        led.add_machine("m2", "small", "north", False, 0.0, rostered=True)
+        led.add_machine("m1", "small", "north", False, 0.0, registered=True)
+        led.add_machine("m2", "small", "north", False, 0.0, registered=True)
         job(led)
         # Still under the old token: commands of the old leader may yet be executed.
         led.handle_heartbeat(heartbeat("m1", 1, fencing_token=6), 0.5)
@@ -125,7 +125,7 @@
     def test_a_job_accepted_since_may_start_beside_a_silent_machine(self) -> None:
         # Seen on rough, moana-buoys: one hanging machine held up every start for a lease.
         led = ledger()
-        led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
+        led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         machine(led, "m2")
         old = job(led, job_id="req-1")
         new = led.add_job(spec(job_id="req-2", team="red"), 0.0, fresh=True)
@@ -142,7 +142,7 @@
 
     def test_an_answer_to_a_direct_call_joins_but_renews_nothing(self) -> None:
         led = ledger()
-        led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
+        led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         one = job(led, task_count=2)
         found = heartbeat("m1", 4, ("req-1/0", 3, "running"))
         led.handle_heartbeat(found, 1.0, direct=True)
@@ -159,7 +159,7 @@
     def test_tasks_found_are_adopted_and_not_started_again(self) -> None:
         led = ledger()
         for name in ("m1", "m2"):
-            led.add_machine(name, "small", "north", False, 0.0, rostered=True)
+            led.add_machine(name, "small", "north", False, 0.0, registered=True)
         one = job(led, task_count=2)
         led.handle_heartbeat(
             heartbeat("m1", 1, ("req-1/1", 33, "running"), ("req-1/0", 34, "fetching")), 0.5
@@ -201,7 +201,7 @@
         # Seen on a day of stand-ins with lost answers and quick restarts.
         led = ledger()
         for name in ("m1", "m2"):
-            led.add_machine(name, "small", "north", False, 0.0, rostered=True)
+            led.add_machine(name, "small", "north", False, 0.0, registered=True)
         one = job(led, shape="gang", task_count=2)
         led.handle_heartbeat(heartbeat("m1", 1, ("req-1/0", 5, "gathering")), 0.5)
         led.handle_heartbeat(heartbeat("m2", 1), 0.5)
@@ -369,12 +369,12 @@
     @pytest.mark.parametrize("late", [2.0, 30.0])
     def test_a_copy_of_an_earlier_term_shows_nothing(self, late: float) -> None:
         led = ledger()
-        led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
+        led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         one = job(led, task_count=1)
         copy = heartbeat("m1", 400, ("req-1/0", 3, "running"), fencing_token=6)
         assert led.handle_heartbeat(copy, late) == []
-        assert not one.bindings and not led.machines["m1"].joined
-        assert led.machines["m1"].heard < 0, "no sign of life"
+        assert not one.bindings and not led.machines["m1"].reconciled
+        assert led.machines["m1"].last_heartbeat_at < 0, "no sign of life"
 
     def test_a_copy_neither_revives_a_returned_machine_nor_hides_it(self) -> None:
         led = ready()
@@ -401,7 +401,7 @@
         attempt = one.bindings[0].attempt
         led.handle_heartbeat(heartbeat("m1", 5, ("req-1/0", attempt, "running")), 1.0)
         assert led.handle_heartbeat(heartbeat("m1", 2), 9.0) == []
-        assert one.bindings[0].phase == "running" and led.machines["m1"].heard == 1.0
+        assert one.bindings[0].phase == "running" and led.machines["m1"].last_heartbeat_at == 1.0
         # It may have been a report that a direct answer overtook: its answer renews the lease.
         led.tick(surely_over(1.0, led.limits.workers.lease_s) + 0.1)
         assert one.bindings
@@ -448,7 +448,7 @@
         assert led.handle_heartbeat(heartbeat("m1", 9, fencing_token=6), 5.0) == [], (
             "this renews its lease"
         )
-        led.add_machine("m1", "small", "north", False, 6.0, rostered=True)
+        led.add_machine("m1", "small", "north", False, 6.0, registered=True)
         led.leases.counted_from, led.loaded = 6.0, True
         led.tick(surely_over(5.0, led.limits.workers.lease_s))
         assert led.machines["m1"].phase == UP and not led.ready
@@ -477,7 +477,7 @@
 
     def test_a_task_that_an_earlier_leader_started_is_stopped_and_not_adopted(self) -> None:
         led = ledger()
-        led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
+        led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         one = job(led, task_count=3)
         led.request_cancel(one)
         orders = led.handle_heartbeat(heartbeat("m1", 2, ("req-1/1", 3, "running")), 1.0)
@@ -611,7 +611,7 @@
 
     def test_one_that_never_hears_a_new_leader_does_not_hold_up_the_takeover(self) -> None:
         led = ledger()
-        led.add_machine("m1", "small", "north", False, 0.0, rostered=True)
+        led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         lease_s, now, sequence = led.limits.workers.lease_s, 0.0, 1
         while not led.ready and now < 10 * lease_s:
             now, sequence = now + 2.0, sequence + 1
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -41,7 +41,7 @@
             "rental": term.rental,
             "views": term.views,
             "done pages": term.pages.parts,
-            "roster": term.pages.roster,
+            "roster": term.pages.machine_registry,
             "pages": term.pages,
             "withheld": term.ledger.withheld,
         }
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -43,13 +43,16 @@
     ("spoil", "fits"),
     [
         (lambda m: None, True),
-        (lambda m: setattr(m, "rostered", False), False),
-        (lambda m: setattr(m, "joined", False), False),
+        (lambda m: setattr(m, "registered", False), False),
+        (lambda m: setattr(m, "reconciled", False), False),
         (lambda m: setattr(m, "warn_at", 50.0), False),
         (lambda m: setattr(m, "condemned", "x"), False),
         (lambda m: setattr(m, "returning", True), False),
-        (lambda m: setattr(m, "heard", -7.0), False),  # three report periods are 6 s
-        (lambda m: setattr(m, "heard", -5.0), True),
+        (
+            lambda m: setattr(m, "last_heartbeat_at", -7.0),
+            False,
+        ),  # three heartbeat intervals are 6 s
+        (lambda m: setattr(m, "last_heartbeat_at", -5.0), True),
         (lambda m: (setattr(m, "held_for", "req-8"), setattr(m, "held_until", 9.0)), False),
         (lambda m: (setattr(m, "held_for", "req-8"), setattr(m, "held_until", -1.0)), True),
     ],
@@ -106,7 +109,7 @@
     assert place(led, 1.0) == [], "nothing has changed"
     assert place(led, 2.0) == [one] and one.pause_until == 4.0
     led.events.room_freed = lambda m, now: placement.offer(led, m, random.Random(1), now)
-    led.add_machine("m1", "small", "north", False, 2.5, rostered=True)
+    led.add_machine("m1", "small", "north", False, 2.5, registered=True)
     assert verbs(led.handle_heartbeat(heartbeat("m1", 1), 2.5)) == [("start", "req-1/0")]
     assert one.bindings and one.pause == 0.0, "room that came ends the pause"
 
@@ -306,8 +309,10 @@
         led = ready()
         one = self.gang(led, 3)
         for found in led.machines.values():
-            found.heard = 4.0
-        led.machines["m1"].heard = heard  # a period is 2 s, a quarter more, and a second
+            found.last_heartbeat_at = 4.0
+        led.machines[
+            "m1"
+        ].last_heartbeat_at = heard  # a period is 2 s, a quarter more, and a second
         place(led, 4.0)
         assert len(one.bindings) == placed
 
@@ -366,7 +371,7 @@
         kept = {m.name for m in led.room.kept_for(one.job_id, 1.0)}
         silent = sorted(kept)[0]
         for name in set(led.machines) - {silent}:
-            led.machines[name].heard = 5.0
+            led.machines[name].last_heartbeat_at = 5.0
         one.pause_until = 0.0
         preemption.preempt(led, place(led, 5.0), 5.0)
         assert {m.name for m in led.room.kept_for(one.job_id, 5.0)} == set(led.machines) - {silent}
@@ -522,7 +527,7 @@
     def test_a_new_leader_does_not_return_machines_that_it_has_not_heard_from_yet(self) -> None:
         # Seen on day rough: 15 running machines returned as never having come up.
         led = ready(now=500.0)
-        led.add_machine("m1", "small", "north", False, 500.0, rostered=True).hired_at = 0.0
+        led.add_machine("m1", "small", "north", False, 500.0, registered=True).hired_at = 0.0
         led.add_machine("m2", "small", "north", False, 500.0).hired_at = 0.0
         assert not self.plan(led, 501.0).returns
         led.tick(600.0)
@@ -554,7 +559,7 @@
         led = ready()
         led.ready = False
         for n in range(silent):
-            led.add_machine(f"s{n}", "small", "north", False, 0.0, rostered=True)
+            led.add_machine(f"s{n}", "small", "north", False, 0.0, registered=True)
         for n in range(heard):
             machine(led, f"m{n}")
         assert len(self.plan(led, now).returns) == returned
@@ -569,7 +574,7 @@
             led.bind(one, index, led.machines[name], 9, 0.0)
         assert not self.plan(led, 1.0).returns
         for name in ("m0", "m1", "cheap"):
-            led.machines[name].heard = 21.0
+            led.machines[name].last_heartbeat_at = 21.0
         assert not self.plan(led, 22.0).returns, "both still work"
         assert [m.name for m in led.machines.values() if m.cordoned] == ["m0", "m1"]
         led.handle_heartbeat(heartbeat("m0", 2, ("req-1/0", 9, "exited", "done")), 23.0)
@@ -654,7 +659,7 @@
         assert not small.bindings
         led.caps[gang.team] = (40.0, 0.0)
         for found in led.machines.values():
-            found.heard = 200.0
+            found.last_heartbeat_at = 200.0
         led.machines["m3"].cap = (40.0, 0.0, 99.0)
         led.room.reindex(led.machines["m3"])
         place(led, 200.0)
@@ -694,7 +699,7 @@
         old = job(led, job_id="req-9", task_count=1, vcpus=8.0, estimated_run_s=100.0)
         place(led)
         old.bindings[0].phase, old.bindings[0].started = "running", 300.0 - age
-        led.machines["m1"].heard = 300.0
+        led.machines["m1"].last_heartbeat_at = 300.0
         job(
             led,
             task_count=1,
@@ -751,7 +756,7 @@
         place(led, 5.9)
         assert len(small.bindings) == 8
         for name in led.machines:
-            led.machines[name].heard = 25.0
+            led.machines[name].last_heartbeat_at = 25.0
         place(led, 25.0)
         assert len(small.bindings) == 10
 
@@ -807,7 +812,7 @@
     one = job(led, job_id="req-1", team=team, task_count=1)
     placed = None
     for now in range(100):
-        found.heard = float(now)
+        found.last_heartbeat_at = float(now)
         hold(led, one, float(now))
         place(led, float(now))
         if one.bindings and placed is None:
@@ -823,7 +828,7 @@
     led.bind(runs, 0, found, 1, 0.0)
     one = job(led, job_id="req-1", task_count=1)
     for now in range(120):
-        found.heard = float(now)
+        found.last_heartbeat_at = float(now)
         led.room.keep(found, "req-8", now + 5.0)
         place(led, float(now))
     assert not one.bindings and one.held_since is None
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -225,7 +225,7 @@
         if silent:
             led.ready = False
             for n, found in enumerate(led.machines.values()):
-                found.joined = n % silent != 0
+                found.reconciled = n % silent != 0
         return calls(lambda: fleet.plan(led, 10.0, fleet.Refusals(), {}))
 
     assert cost(1000) <= cost(100) * 12
@@ -236,7 +236,7 @@
     [
         (lambda led, now: led.tick(now), 4),
         (lambda led, now: placement.redraw(led, random.Random(1), now), 4),
-        (lambda led, now: led.takeover.room(), 4),
+        (lambda led, now: led.failover.unreconciled_capacity(), 4),
     ],
     ids=["tick", "redraw", "silent"],
 )
@@ -247,8 +247,8 @@
     led = full(1000)
     led.ready = False
     for n, found in enumerate(led.machines.values()):
-        found.joined = n % 2 == 0
-        found.heard = 0.0 if n % 2 else 9.0
+        found.reconciled = n % 2 == 0
+        found.last_heartbeat_at = 0.0 if n % 2 else 9.0
     work(led, 10.0)  # what is drawn again is drawn again once
     assert calls(lambda: work(led, 10.0)) <= 1000 * most
 
@@ -336,7 +336,7 @@
         await world.submit(spec("req-99", task_count=1, vcpus=1.0, estimated_run_s=5.0))
         while "req-99" not in world.begun:
             await asyncio.sleep(0.05)
-        silent = len(new.term.ledger.takeover.unheard())
+        silent = len(new.term.ledger.failover.unreconciled_machines())
         waited = world.now() - began
         for worker in busy:
             worker.cut = False
@@ -509,7 +509,7 @@
     led = ready()
     led.caps = [(1e9, 1e9) for _ in led.caps]
     for n in range(25):
-        machine(led, f"m{n}").heard = 100.0
+        machine(led, f"m{n}").last_heartbeat_at = 100.0
     running = job(led, job_id="req-1", task_count=100, estimated_run_s=run_s)
     placement.place_array(led, running, random.Random(1), 0.0)
     for binding in running.bindings.values():
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -22,7 +22,7 @@
 CUT_POLICY = CUTS_ON.partial_cuts
 RNG = random.Random(1)
 # The cloud does not list one of the types any more.
-ROSTER = (("silent", "small"), ("retired", "not-listed"), ("heard", "big"))
+MACHINE_REGISTRY = (("silent", "small"), ("retired", "not-listed"), ("heard", "big"))
 
 
 def takeover_without_types() -> Ledger:
@@ -31,8 +31,8 @@
     assert CUT_POLICY is not None
     made.shared_silence = SharedSilence(made, CUT_POLICY, 0.0)
     made.events.room_freed = lambda found, now: placement.offer(made, found, RNG, now)
-    for name, machine_type in ROSTER:
-        made.add_machine(name, machine_type, "north", False, 0.0, rostered=True)
+    for name, machine_type in MACHINE_REGISTRY:
+        made.add_machine(name, machine_type, "north", False, 0.0, registered=True)
     made.loaded = True
     return made
 
@@ -80,7 +80,7 @@
         placement.place(led, RNG, 0.1)
         led.set_machine_types(FLAVORS)
         for at in (0.2, 8.0):  # no tick has come since at the first of these
-            for sequence, (name, machine_type) in enumerate(ROSTER, int(at) + 1):
+            for sequence, (name, machine_type) in enumerate(MACHINE_REGISTRY, int(at) + 1):
                 if name not in silent:
                     led.handle_heartbeat(heartbeat(name, sequence, machine_type=machine_type), at)
             placement.place(led, RNG, at)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -113,7 +113,7 @@
 def test_a_page_larger_than_permitted_is_split_and_loses_nothing_on_the_way(most: int) -> None:
     # It can be read, but never be written again: one item that changed was refused for ever.
     service = Service(OLD["roster"], 2.0)
-    pages = Pages(records.ROSTER, 2.0)
+    pages = Pages(records.MACHINE_REGISTRY, 2.0)
     for key, page in OLD["roster"].items():
         pages.load(key, page, 5)
     assert not pages.dirty, "what does not change is left as it is"
@@ -141,7 +141,7 @@
     for turn in range(12):
         kind, kb = (old.pages, 16.0) if turn % 2 else (Pages, 2.0)
         service = Service(rows, kb)
-        pages = kind(records.ROSTER, kb)
+        pages = kind(records.MACHINE_REGISTRY, kb)
         for revision, (key, page) in enumerate(sorted(rows.items())):
             pages.load(key, page, revision + 1)
         assert expected.keys() <= pages.where.keys(), turn
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -138,11 +138,11 @@
     sets = MachineSets(2, 4.0, 60.0, 0.0)
     for number in range(10):
         sets.up(number % 2, number)
-        sets.heard.add(number)
+        sets.recently_heard.add(number)
     assert sets.counts(0) == (5, 0, 0)
     sets.turn(4.0)
     sets.turn(8.0)
-    sets.heard.add(0)
+    sets.recently_heard.add(0)
     assert sets.counts(0) == (5, 4, 0)
     for number in (2, 4, 6, 8):
         sets.lease_over(0, number)
@@ -375,7 +375,7 @@
     led.events.room_freed = lambda m, now: placement.offer(led, m, rng, now)
     first = machine(led, "n-new1", zone="north")
     assert first.held_for == gang.job_id and not first.bindings
-    second = led.add_machine("n-new2", "small", "north", False, 0.0, rostered=True)
+    second = led.add_machine("n-new2", "small", "north", False, 0.0, registered=True)
     assert len(verbs(led.handle_heartbeat(heartbeat("n-new2", 1), 0.0))) == 1
     assert len(gang.bindings) == 2 and not array.bindings
     assert {b.machine for b in gang.bindings.values()} == {first, second}
@@ -427,7 +427,7 @@
         led.bind(gang, index, one, 77, 0.0)
     gang.attempt = 77
     recovery.states[1].enter(phase, "", 0.0)
-    found.heard = -100.0
+    found.last_heartbeat_at = -100.0
     placement.redraw(led, random.Random(1), 1.0)
     moved = len(gang.bindings) == 2
     assert moved is (phase is AVAILABLE)
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -175,7 +175,7 @@
             records.FENCING_TOKEN,
             records.KEEP,
             records.KEPT,
-            records.ROSTER,
+            records.MACHINE_REGISTRY,
             records.PARTS,
         ],
     }
@@ -201,15 +201,15 @@
     """What a leader sends to the state service, the cloud and the workers."""
     await term.outcomes.write([term.ledger.jobs["req-1"]])
     machine = term.ledger.machines["m1"]
-    machine.joined, machine.endpoint = False, "10.0.0.2:9"
-    await term.worker_calls.join(machine, 1.0)
+    machine.reconciled, machine.endpoint = False, "10.0.0.2:9"
+    await term.worker_calls.reconcile(machine, 1.0)
     await term.worker_calls.send(machine, [stop_order("req-1/0", 5, 2.5)])
     await term.rental.hire((0, 0, True), 3)
     assert machine.phase == UP
     await term.rental.give_back([ReturnDecision.of(machine, "not needed")])
     await term.rental.store_machine_types()
-    term.pages.roster.set("m1", ["small", "north", True, "10.0.0.2:9"])
-    await term.pages.write_pages(term.pages.roster)
+    term.pages.machine_registry.set("m1", ["small", "north", True, "10.0.0.2:9"])
+    await term.pages.write_pages(term.pages.machine_registry)
     term.pages.leftovers["awaits/req-8/0"] = "req-8"
     await term.pages.clear_leftovers()
     await term.zone_permissions.allow("n1", {"area": "north", "nonce": "x", "token": FENCING_TOKEN})
@@ -231,7 +231,7 @@
     clients, peers = ClientHandlers(controller), PeerHandlers(controller)
     found: dict[str, Any] = {}
     for n in range(2):
-        ledger.add_machine(f"m{n}", "small", "north", n == 1, NOW, rostered=True)
+        ledger.add_machine(f"m{n}", "small", "north", n == 1, NOW, registered=True)
         found[f"first heartbeat of m{n}"] = await reply_bytes(
             clients.heartbeat(request(heartbeat(f"m{n}", 1, spot=n == 1)))
         )
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -282,7 +282,7 @@
             for found in specs:
                 new.add_job(found, now)
             for one in heartbeats:
-                new.add_machine(one.worker, one.machine_type, one.zone, False, now, rostered=True)
+                new.add_machine(one.worker, one.machine_type, one.zone, False, now, registered=True)
             new.loaded = True
             for one in heartbeats:
                 new.handle_heartbeat(one, now, direct=True)
