--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -22,7 +22,7 @@
 from salthead.coordination import lease
 from salthead.errors import UnavailableError
 from salthead.event_log import event
-from salthead.evidence.gate import Action, Fact, permits
+from salthead.evidence.gate import Action, Precondition, permits
 from salthead.leader.term import Term
 from salthead.policy import NO_POLICY, Policy
 from salthead.protocol import names
@@ -42,10 +42,10 @@
 
 log = logging.getLogger("salthead.controller")
 
-LAG_EVERY_S, LAG_MOST_S = 0.25, 0.5
-FINALS_KEPT = 20_000
-AWAITS_TOLD = 20
-NOTHING_IN_DOUBT = int(Fact.NOTHING_IN_DOUBT)
+LAG_CHECK_INTERVAL_S, MAX_LAG_S = 0.25, 0.5
+MAX_REMEMBERED_OUTCOMES = 20_000
+MAX_LISTED_DEPENDENCIES = 20
+OUTCOMES_DETERMINATE = int(Precondition.OUTCOMES_DETERMINATE)
 
 
 class Controller:
@@ -115,13 +115,13 @@
         """Remember a job's outcome."""
         if at is not None or job_id not in self.finals:
             self.finals[job_id] = (phase, task_count, at)
-        if len(self.finals) > FINALS_KEPT:
+        if len(self.finals) > MAX_REMEMBERED_OUTCOMES:
             self.finals.popitem(last=False)
 
     def remember(self, spec: Submission) -> None:
         """Remember that a job was accepted, and what it depends on."""
         self.accepted[spec.job_id] = spec.depends_on or []
-        if len(self.accepted) > FINALS_KEPT:
+        if len(self.accepted) > MAX_REMEMBERED_OUTCOMES:
             self.accepted.popitem(last=False)
 
     def leading(self) -> Term | None:
@@ -143,8 +143,8 @@
     async def lag_loop(self) -> None:
         """How late this process's own timers are: the sign that it is asked too much."""
         while True:
-            due = self.now() + LAG_EVERY_S
-            await asyncio.sleep(LAG_EVERY_S)
+            due = self.now() + LAG_CHECK_INTERVAL_S
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             self.lag = self.now() - due
 
     def knocks_body(self, to_leader: bool = False) -> dict[str, Any]:
@@ -163,7 +163,7 @@
         More submissions in progress than the state service takes writes in a second can't be
         answered in time anyway.
         """
-        return self.lag > LAG_MOST_S or self.submitting >= max(4.0, self.state_limits.write_rps)
+        return self.lag > MAX_LAG_S or self.submitting >= max(4.0, self.state_limits.write_rps)
 
     async def promise(self, member: str) -> bool:
         """Promise a leader that lost the state service not to stand for a while.
@@ -260,7 +260,7 @@
         return status_body(
             job_id,
             *ledger.phase_of(ledger.jobs[job_id]),
-            depends_on=ledger.awaited_by(job_id, AWAITS_TOLD),
+            depends_on=ledger.awaited_by(job_id, MAX_LISTED_DEPENDENCIES),
         )
 
     def status_in_term(self, term: Term, job_id: str) -> dict[str, Any] | None:
@@ -268,11 +268,11 @@
         job = term.ledger.jobs.get(job_id)
         if job is None:
             return None
-        held = term.ledger.facts()
+        held = term.ledger.confirmed_preconditions()
         unsure = job.awaiting and term.ledger.pipelines.is_unsure(job_id)
         if not unsure and not term.outcomes.doubtful(job):
-            held |= NOTHING_IN_DOUBT
-        return self.told(term, job_id) if permits(Action.TELL_STATUS, held) else None
+            held |= OUTCOMES_DETERMINATE
+        return self.told(term, job_id) if permits(Action.REPORT_STATUS, held) else None
 
     async def poll_here(self, term: Term, job_id: str) -> dict[str, Any] | None:
         """A job's status at the leader; None when it was never accepted."""
--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead.coordination import lease
-from salthead.evidence.gate import Action, Fact, permits
+from salthead.evidence.gate import Action, Precondition, permits
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
@@ -115,8 +115,10 @@
     def _may_take_lead(self, own: bool, first_ever: bool) -> bool:
         """Asked right after the state service has answered."""
         promised = not self.controller.abstention.may_stand(self.controller.now(), own, first_ever)
-        held = Fact.STATE_SERVICE | (Fact(0) if promised else Fact.NO_PROMISE)
-        return permits(Action.TAKE_LEAD, held)
+        held = Precondition.STATE_SERVICE | (
+            Precondition(0) if promised else Precondition.VOTE_NOT_WITHHELD
+        )
+        return permits(Action.BECOME_LEADER, held)
 
     async def _take_lead(
         self, row: VersionedValue | None, fencing_token_row: VersionedValue | None
--- a/src/salthead/controller/job_lookups.py
+++ b/src/salthead/controller/job_lookups.py
@@ -19,7 +19,7 @@
     from salthead.controller.controller import Controller
 
 # Single reads in a walk over what a job needs, before all active jobs are read at once.
-LOOK_UPS = 12
+MAX_SINGLE_READS = 12
 
 
 class JobLookups:
@@ -66,7 +66,7 @@
                 raise UnavailableError("still looking up the jobs that it awaits")
             known, found = self._in_memory(job_id)
             if not known:
-                if reads == LOOK_UPS:  # deep or wide: all jobs that are not over at once
+                if reads == MAX_SINGLE_READS:  # deep or wide: all jobs that are not over at once
                     active, _ = await self.controller.state_store.list_prefix(records.JOBS)
                 reads += 1
                 row = active.get(records.job_key(job_id)) if active is not None else None
--- a/src/salthead/controller/machine_types.py
+++ b/src/salthead/controller/machine_types.py
@@ -13,7 +13,10 @@
 if TYPE_CHECKING:
     from salthead.controller.controller import Controller
 
-AGAIN_S, RETRY_S = 60.0, 2.0  # between readings that succeeded, and after one that did not
+REFRESH_INTERVAL_S, RETRY_S = (
+    60.0,
+    2.0,
+)  # between readings that succeeded, and after one that did not
 
 
 class MachineTypesLoop:
@@ -27,7 +30,7 @@
         while True:
             try:
                 self.take(await self._from_cloud())
-                await self.controller.rest(AGAIN_S)
+                await self.controller.rest(REFRESH_INTERVAL_S)
                 continue
             except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.controller.note("cloud flavors", error)
--- a/src/salthead/controller/reach.py
+++ b/src/salthead/controller/reach.py
@@ -25,8 +25,8 @@
 
 # For how long a report that came here may be news to the leader, which asks every two seconds; and
 # of how many it is told at a time: 64 KiB have room for twice as many.
-SEEN_WINDOW_S = 6.0
-SEEN_TOLD = 1500
+REDIRECTED_HEARTBEAT_WINDOW_S = 6.0
+MAX_LISTED_HEARTBEATS = 1500
 
 
 class RedirectedHeartbeat(NamedTuple):
@@ -86,7 +86,7 @@
             self._forget_old()
             told["seen"] = [
                 [worker, found.incarnation, found.sequence, found.fencing_token]
-                for worker, found in islice(reversed(self.seen.items()), SEEN_TOLD)
+                for worker, found in islice(reversed(self.seen.items()), MAX_LISTED_HEARTBEATS)
             ]
         return told
 
@@ -125,7 +125,7 @@
         self._forget_old()
 
     def _forget_old(self) -> None:
-        since = self.controller.now() - SEEN_WINDOW_S
+        since = self.controller.now() - REDIRECTED_HEARTBEAT_WINDOW_S
         while self.seen and next(iter(self.seen.values())).at < since:
             self.seen.popitem(last=False)
 
--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -9,7 +9,7 @@
 from salthead import metrics
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers, PeerHandlers
-from salthead.coordination.placement import FRESH_PERIODS
+from salthead.coordination.placement import FRESH_HEARTBEAT_INTERVALS
 from salthead.protocol.messages import MAX_BODY
 from salthead.settings import split_endpoint
 from salthead.transport.connections import Connections
@@ -48,7 +48,9 @@
     # now and then does as well.
     server.conn_params.header_timeout = None
     server.open = Connections(
-        most, FRESH_PERIODS * controller.limits.workers.heartbeat_interval_s, controller.now
+        most,
+        FRESH_HEARTBEAT_INTERVALS * controller.limits.workers.heartbeat_interval_s,
+        controller.now,
     )
     PeriodicCallback(server.open.sweep, SWEEP_S * 1000.0).start()
     router.connections = server.open
--- a/src/salthead/controller/sockets.py
+++ b/src/salthead/controller/sockets.py
@@ -16,12 +16,12 @@
     # For listening, the loop, logs and what a health check opens.
     SPARE = 16
     # Direct calls to workers: what so few sockets let be in progress, and a part of what many do.
-    WORKER_LEAST, WORKER_PART = 16, 1 / 32
+    MIN_WORKER_SLOTS, WORKER_SLOT_SHARE = 16, 1 / 32
     # Of those, what calls to join leave to stops, which must not wait behind silent machines.
     RECONCILE_SLOT_SHARE = 0.75
 
     def __init__(self, most: int, peers: int) -> None:
-        self.workers = max(self.WORKER_LEAST, int(most * self.WORKER_PART))
+        self.workers = max(self.MIN_WORKER_SLOTS, int(most * self.WORKER_SLOT_SHARE))
         self.reconcile_slots = int(self.workers * self.RECONCILE_SLOT_SHARE)
         # A peer that was cut off leaves as many half open as it opens anew.
         self.peers_in = 2 * self.PEER * peers if most else 0
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -21,7 +21,7 @@
 log = logging.getLogger("salthead.submissions")
 
 # A submission has 5 s; what was looked up by then is known when it comes again.
-LOOK_UP_S = 3.0
+MAX_LOOKUP_S = 3.0
 
 
 class Submissions:
@@ -131,7 +131,7 @@
             if job_id == job.job_id or not JOB_ID.match(job_id):
                 raise InvalidJobError(f"awaits: {job_id[:60]!r} is no job that was accepted")
         return await self.controller.lookups.depends_on_cancelled(
-            depends_on, self.controller.now() + LOOK_UP_S, every=True
+            depends_on, self.controller.now() + MAX_LOOKUP_S, every=True
         )
 
     async def _forward(self, job: Submission) -> tuple[int, dict[str, Any]]:
--- a/src/salthead/controller/zone_keeper.py
+++ b/src/salthead/controller/zone_keeper.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from salthead.controller.controller import Controller
 
-MISSED_MOST = 2  # calls to the leader in a row without an answer, before the zone is kept
+MAX_MISSED_CALLS = 2  # calls to the leader in a row without an answer, before the zone is kept
 
 
 class ZoneKeeper:
@@ -34,7 +34,7 @@
             await self.controller.rest(self.lease.ttl / 8.0)
             missed = 0 if await self._reaches_leader() else missed + 1
             try:
-                if missed >= MISSED_MOST:
+                if missed >= MAX_MISSED_CALLS:
                     written = True
                     await self._ask()
                 elif written:
--- a/src/salthead/coordination/refusals.py
+++ b/src/salthead/coordination/capacity_backoff.py
@@ -8,27 +8,27 @@
 from salthead.coordination.model import Kind
 
 # After a refusal the same kind is asked for again with doubling pauses.
-REFUSED_S, REFUSED_MAX_S = 5.0, 40.0
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 5.0, 40.0
 
 
 @dataclass
-class Refusals:
+class CapacityBackoff:
     """Kinds of machines that the cloud refused lately."""
 
     until: dict[Kind, float] = field(default_factory=dict)
     pause: dict[Kind, float] = field(default_factory=dict)
 
-    def refused(self, kind: Kind, now: float) -> None:
+    def record_shortage(self, kind: Kind, now: float) -> None:
         """The cloud had too few of a kind: ask again later, each time after twice as long."""
-        pause = min(REFUSED_MAX_S, self.pause.get(kind, REFUSED_S / 2) * 2)
+        pause = min(MAX_BACKOFF_S, self.pause.get(kind, FIRST_BACKOFF_S / 2) * 2)
         self.pause[kind] = pause
         self.until[kind] = now + pause
 
-    def granted(self, kind: Kind) -> None:
+    def record_success(self, kind: Kind) -> None:
         """The cloud had what was asked for."""
         self.pause.pop(kind, None)
         self.until.pop(kind, None)
 
-    def open(self, kind: Kind, now: float) -> bool:
+    def allows(self, kind: Kind, now: float) -> bool:
         """Whether a kind may be asked for now."""
         return now >= self.until.get(kind, -math.inf)
--- a/src/salthead/coordination/estimates.py
+++ b/src/salthead/coordination/estimates.py
@@ -30,7 +30,7 @@
 
 
 # One that has outlived its estimate goes on for this part of what it has run.
-OUTLIVED = 0.5
+OVERDUE_RUN_SHARE = 0.5
 
 
 def left_s(run_s: float, age_s: float) -> float:
@@ -40,7 +40,7 @@
     long. Seen on busy, prairie-ledger-fleet: the plan counted on the room of gangs that were
     overdue, and two others waited for it for 100 s in a fleet that was being given back.
     """
-    return run_s - age_s if age_s < run_s else age_s * OUTLIVED
+    return run_s - age_s if age_s < run_s else age_s * OVERDUE_RUN_SHARE
 
 
 class Arrivals:
--- a/src/salthead/coordination/failover.py
+++ b/src/salthead/coordination/failover.py
@@ -13,7 +13,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from salthead.coordination.model import ANYTHING, EPS, UP, Job, Kind, Machine, Vec
+from salthead.coordination.model import ANYTHING, EPSILON, UP, Job, Kind, Machine, Vec
 from salthead.event_log import event
 
 if TYPE_CHECKING:
@@ -106,6 +106,6 @@
             (job.spec.spot or not spot)
             and (job.allowed_types is None or type_index in job.allowed_types)
             and (job.zone is None or job.zone == zone)
-            and all(c + EPS >= n for c, n in zip(cap, job.need, strict=True))
+            and all(c + EPSILON >= n for c, n in zip(cap, job.need, strict=True))
             for (type_index, zone, spot), cap in self._kinds.items()
         )
--- a/src/salthead/coordination/fleet.py
+++ b/src/salthead/coordination/fleet_plan.py
@@ -8,11 +8,12 @@
 from dataclasses import dataclass, field
 
 from salthead.coordination import order, placement
+from salthead.coordination.capacity_backoff import CapacityBackoff
 from salthead.coordination.estimates import left_s
-from salthead.coordination.fleet_room import (
+from salthead.coordination.fleet_supply import (
     Pool,
     Slot,
-    least_boot_s,
+    min_boot_s,
     per_machine,
     price,
     suits,
@@ -20,35 +21,36 @@
 )
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.model import BOOTING, Job, Kind, Machine
-from salthead.coordination.refusals import Refusals
-from salthead.coordination.returns import (
-    LEAST_CHARGE_S,
+from salthead.coordination.scale_in import (
+    MIN_CHARGE_S,
     FleetCounts,
-    mark_surplus,
-    wanted_back,
+    cordon_surplus,
+    termination_reason,
 )
 
 log = logging.getLogger("salthead.fleet")
 
-HIRE_MOST = 50  # in one call
+MAX_PROVISION_BATCH = 50  # in one call
 # In one plan, of a kind: the least, and a part of the fleet, so that a fleet of any size can grow.
 # Up to 500 machines the least is what counts.
-PLAN_HIRES_LEAST, PLAN_HIRES_PART = 50, 0.1
+MIN_PROVISION_PER_PLAN, PROVISION_SHARE_PER_PLAN = 50, 0.1
 # A line longer than a boot counts once it has lasted for this part of a boot, while no more than
 # this part of the fleet is still on its way.
-LINE_BOOTS, LINE_BOOTING = 0.5, 0.25
+BACKLOG_BOOTS, MAX_BOOTING_SHARE = 0.5, 0.25
 
 
 @dataclass
 class Plan:
     """What to hire, by kind, and which machines to return."""
 
-    hires: dict[Kind, int] = field(default_factory=dict)
-    returns: list[Machine] = field(default_factory=list)
+    to_provision: dict[Kind, int] = field(default_factory=dict)
+    to_terminate: list[Machine] = field(default_factory=list)
     reasons: dict[str, str] = field(default_factory=dict)  # of the returns, by machine
 
 
-def kinds_for(ledger: Ledger, job: Job, refusals: Refusals, now: float) -> list[Kind]:
+def kinds_for(
+    ledger: Ledger, job: Job, capacity_backoff: CapacityBackoff, now: float
+) -> list[Kind]:
     """Kinds that suit the job, the cheapest place for one of its tasks first.
 
     Types that are the only ones for another class come last: their number is limited, and small
@@ -69,25 +71,25 @@
                 if spot and (not job.spec.spot or machine_type.spot_price is None):
                     continue
                 kind = (type_index, zone, spot)
-                if refusals.open(kind, now) and hire_most(ledger, zone) > 0:
+                if capacity_backoff.allows(kind, now) and max_provision(ledger, zone) > 0:
                     last = type_index in ledger.scarce and not job.choosy
                     found.append((last, price(ledger, kind) / fit, kind))
     found.sort()
     return [kind for _, _, kind in found]
 
 
-def plan_hires_most(ledger: Ledger) -> int:
+def max_provision_per_plan(ledger: Ledger) -> int:
     """How many machines of a kind one plan may hire."""
-    return max(PLAN_HIRES_LEAST, int(PLAN_HIRES_PART * len(ledger.machines)))
+    return max(MIN_PROVISION_PER_PLAN, int(PROVISION_SHARE_PER_PLAN * len(ledger.machines)))
 
 
-def hire_most(ledger: Ledger, zone: int) -> int:
+def max_provision(ledger: Ledger, zone: int) -> int:
     """How many machines of a kind may be hired in a zone by one plan."""
     if ledger.shared_silence is not None and zone in ledger.shared_silence.unheard_zones:
         return 0  # a machine that boots behind a cut serves nobody
     hooks = ledger.zone_hooks
-    bound = hooks.hire_most(zone) if hooks is not None else None
-    most = plan_hires_most(ledger)
+    bound = hooks.max_provision(zone) if hooks is not None else None
+    most = max_provision_per_plan(ledger)
     return most if bound is None else min(most, bound)
 
 
@@ -98,26 +100,26 @@
     boot. Seen on loss, moana-buoys-fleet: 12,000 tasks waited for up to a minute, with deadlines of
     fifty seconds, beside 1,700 CPUs that were not hired.
     """
-    boot_s = least_boot_s(ledger)
+    boot_s = min_boot_s(ledger)
     work = sum(job.waiting() * job.need[0] * ledger.run_s(job) for job in line if not job.gang)
     rate = order.rate_of(ledger)
     booting = sum([m.cap[0] for m in ledger.machines.values() if m.phase == BOOTING])
     # One array that comes, or a fleet that begins to boot, has a long line, too: what is hired for
     # that comes too late, and what is then too much was given back too deep.
-    if work <= boot_s * rate or booting > LINE_BOOTING * rate:
+    if work <= boot_s * rate or booting > MAX_BOOTING_SHARE * rate:
         ledger.line.long_since = None
-        return max(LEAST_CHARGE_S, boot_s)
+        return max(MIN_CHARGE_S, boot_s)
     if ledger.line.long_since is None:
         ledger.line.long_since = now
-    lasts = now - ledger.line.long_since >= LINE_BOOTS * boot_s
-    return boot_s if lasts else max(LEAST_CHARGE_S, boot_s)
+    lasts = now - ledger.line.long_since >= BACKLOG_BOOTS * boot_s
+    return boot_s if lasts else max(MIN_CHARGE_S, boot_s)
 
 
 def plan(
     ledger: Ledger,
     now: float,
-    refusals: Refusals,
-    coming: dict[Kind, int],
+    capacity_backoff: CapacityBackoff,
+    provisioning: dict[Kind, int],
 ) -> Plan:
     """The difference between the fleet that the queue wants and the one that is there."""
     result = Plan()
@@ -128,26 +130,28 @@
     slots: list[Slot] = []
     new: list[Slot] = []
     if ledger.ready:
-        slots, new = _provide_for_line(ledger, now, refusals, coming)
+        slots, new = _provide_for_line(ledger, now, capacity_backoff, provisioning)
     counts: dict[Kind, int] = defaultdict(int)
     for slot in new:
         counts[slot.kind] += 1
-    result.hires = {kind: min(count, hire_most(ledger, kind[1])) for kind, count in counts.items()}
+    result.to_provision = {
+        kind: min(count, max_provision(ledger, kind[1])) for kind, count in counts.items()
+    }
     needed = {slot.machine.name for slot in slots if slot.machine is not None and slot.taken}
     if ledger.ready:
-        mark_surplus(ledger, needed, now)
+        cordon_surplus(ledger, needed, now)
     counted = FleetCounts(ledger, now)
     for machine in ledger.machines.values():
-        if machine.returning:
+        if machine.terminating:
             continue
-        if reason := wanted_back(ledger, machine, needed, counted, now):
-            result.returns.append(machine)
+        if reason := termination_reason(ledger, machine, needed, counted, now):
+            result.to_terminate.append(machine)
             result.reasons[machine.name] = reason
     return result
 
 
 def _provide_for_line(
-    ledger: Ledger, now: float, refusals: Refusals, coming: dict[Kind, int]
+    ledger: Ledger, now: float, capacity_backoff: CapacityBackoff, provisioning: dict[Kind, int]
 ) -> tuple[list[Slot], list[Slot]]:
     """What there is, filled with those in line, and the machines that they lack."""
     slots: list[Slot] = []
@@ -160,23 +164,23 @@
     span = serving_span_s(ledger, line, now)
     soon = soon_ready(ledger, now)
     if line or soon:  # with nothing to place, free room need not be known
-        there = supply(ledger, now, coming)
+        there = supply(ledger, now, provisioning)
         slots = there.slots
         # A place that is still taken serves the line for what is left of the span. Counted as
         # free at once, a fleet of short tasks looked large enough for too long a line.
         span = max(1.0, span - there.mean_wait_s())
     pool = Pool(slots, min((job.need[0] for job in [*line, *soon]), default=0.0))
     for job in line:
-        _provide(ledger, job, job.waiting(), pool, new, left[job.team], span, refusals, now)
+        _provide(ledger, job, job.waiting(), pool, new, left[job.team], span, capacity_backoff, now)
     for job in soon:
         count = job.spec.task_count
-        _provide(ledger, job, count, pool, new, left[job.team], span, refusals, now)
+        _provide(ledger, job, count, pool, new, left[job.team], span, capacity_backoff, now)
     return slots, new
 
 
 def soon_ready(ledger: Ledger, now: float) -> list[Job]:
     """Jobs that will wait for nothing more by the time that a new machine could be up."""
-    boot_s = least_boot_s(ledger)
+    boot_s = min_boot_s(ledger)
     found = []
     for job_ids in ledger.pipelines.job_classes.values():
         for job_id in job_ids:
@@ -209,7 +213,7 @@
     new: list[Slot],
     left: list[float],
     span: float,
-    refusals: Refusals,
+    capacity_backoff: CapacityBackoff,
     now: float,
 ) -> None:
     for n in range(2):
@@ -226,39 +230,39 @@
         )
     for n in range(2):
         left[n] -= count * job.need[n]
-    hirable = kinds_for(ledger, job, refusals, now)
+    provisionable = kinds_for(ledger, job, capacity_backoff, now)
     # What would be hired first is filled first, so that it is what is dear that falls empty.
-    there = hirable + sorted(
-        (kind for kind in pool.slots if kind not in hirable and suits(job, kind)),
+    there = provisionable + sorted(
+        (kind for kind in pool.slots if kind not in provisionable and suits(job, kind)),
         key=lambda kind: (
             price(ledger, kind) if kind[0] in ledger.machine_types else math.inf,
             kind,
         ),
     )
     if job.gang and job.spec.single_zone:
-        zone = _best_zone(job, pool, there, hirable, count)
+        zone = _best_zone(job, pool, there, provisionable, count)
         if zone is None:
             return
         there = [kind for kind in there if kind[1] == zone]
-        hirable = [kind for kind in hirable if kind[1] == zone]
+        provisionable = [kind for kind in provisionable if kind[1] == zone]
     if not job.spec.spread_zones:
-        _fill_or_hire(ledger, job, count, there, hirable, pool, new)
+        _fill_or_provision(ledger, job, count, there, provisionable, pool, new)
         return
     # The cheapest kinds alone would all be in one zone, where half of the job may not be.
     most, counts = (job.spec.task_count + 1) // 2, placement.zone_counts(job)
     for zone in dict.fromkeys(kind[1] for kind in there):
         part = max(0, min(count, most - counts.get(zone, 0)))
         here = [kind for kind in there if kind[1] == zone]
-        hirable_here = [kind for kind in hirable if kind[1] == zone]
-        count -= part - _fill_or_hire(ledger, job, part, here, hirable_here, pool, new)
+        provisionable_here = [kind for kind in provisionable if kind[1] == zone]
+        count -= part - _fill_or_provision(ledger, job, part, here, provisionable_here, pool, new)
 
 
-def _fill_or_hire(
+def _fill_or_provision(
     ledger: Ledger,
     job: Job,
     count: int,
     there: list[Kind],
-    hirable: list[Kind],
+    provisionable: list[Kind],
     pool: Pool,
     new: list[Slot],
 ) -> int:
@@ -266,15 +270,15 @@
     for kind in there:
         if count:
             count = pool.fill(kind, job.need, count)
-    for kind in hirable:
-        most = hire_most(ledger, kind[1])
-        count = _plan_hires(ledger, job, count, kind, most, pool, new)
-        if not count or most == plan_hires_most(ledger):
+    for kind in provisionable:
+        most = max_provision(ledger, kind[1])
+        count = _plan_provisioning(ledger, job, count, kind, most, pool, new)
+        if not count or most == max_provision_per_plan(ledger):
             break  # the next kind is for what a zone that returns may not hire yet
     return count
 
 
-def _plan_hires(
+def _plan_provisioning(
     ledger: Ledger, job: Job, count: int, kind: Kind, most: int, pool: Pool, new: list[Slot]
 ) -> int:
     """Add machines of a kind for a job's tasks; how many tasks are left.
@@ -297,13 +301,13 @@
     job: Job,
     pool: Pool,
     there: list[Kind],
-    hirable: list[Kind],
+    provisionable: list[Kind],
     count: int,
 ) -> int | None:
     """The zone in which a gang that must stay together lacks the fewest machines."""
     have: dict[int, int] = defaultdict(int)
     for kind in there:
         have[kind[1]] += pool.places(kind, job.need)
-    can_hire = {kind[1] for kind in hirable}
-    usable = [z for z in have if have[z] >= count or z in can_hire]
+    provisionable_zones = {kind[1] for kind in provisionable}
+    usable = [z for z in have if have[z] >= count or z in provisionable_zones]
     return max(usable, key=lambda z: (min(have[z], count), -z), default=None)
--- a/src/salthead/coordination/fleet_room.py
+++ b/src/salthead/coordination/fleet_supply.py
@@ -99,7 +99,7 @@
     )
 
 
-def least_boot_s(ledger: Ledger) -> float:
+def min_boot_s(ledger: Ledger) -> float:
     """The shortest boot of any machine type."""
     return min((machine_type.boot_s for machine_type in ledger.machine_types.values()), default=0.0)
 
@@ -117,10 +117,10 @@
         return self.frees_in / self.cpus if self.cpus > 0 else 0.0
 
 
-def supply(ledger: Ledger, now: float, coming: dict[Kind, int]) -> Supply:
+def supply(ledger: Ledger, now: float, provisioning: dict[Kind, int]) -> Supply:
     """What there is, will soon be free, boots, or is being hired."""
     found = Supply()
-    soon_s = 0.7 * least_boot_s(ledger)
+    soon_s = 0.7 * min_boot_s(ledger)
     runs = {job.job_id: ledger.run_s(job) for job in ledger.live.values()}
     for machine in ledger.machines.values():
         if not _counts(ledger, machine, now):
@@ -130,14 +130,14 @@
         elif machine.phase == UP:
             room = _room_soon(machine, runs, soon_s, found, now)
             found.slots.append(Slot(machine.kind, room, machine))
-    for kind, count in coming.items():
+    for kind, count in provisioning.items():
         found.slots += [Slot(kind, list(ledger.capacity(kind[0]))) for _ in range(count)]
     return found
 
 
 def _counts(ledger: Ledger, machine: Machine, now: float) -> bool:
     """Whether a machine is one on which anything may start in the time that a plan looks at."""
-    if machine.condemned or machine.returning or machine.warn_at is not None:
+    if machine.condemned or machine.terminating or machine.warn_at is not None:
         return False
     if machine.unresponsive_since is not None:
         return False  # so that another is hired in its place
--- a/src/salthead/coordination/gangs.py
+++ b/src/salthead/coordination/gangs.py
@@ -12,7 +12,7 @@
 from salthead.coordination import order, placement
 from salthead.coordination.estimates import left_s
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import EPS, Job, Machine
+from salthead.coordination.model import EPSILON, Job, Machine
 from salthead.coordination.start_rules import quota_left
 
 log = logging.getLogger("salthead.gangs")
@@ -20,7 +20,7 @@
 
 def room_at(ledger: Ledger, machine: Machine, job: Job, now: float) -> float | None:
     """When the machine should have room for one task of the job; None if never."""
-    if any(c + EPS < n for c, n in zip(machine.cap, job.need, strict=True)):
+    if any(c + EPSILON < n for c, n in zip(machine.cap, job.need, strict=True)):
         return None
     left = list(machine.room())
     ends = []
@@ -36,12 +36,12 @@
     ends.sort(key=lambda pair: pair[0])
     at = now
     for end, need in ends:
-        if all(left[n] + EPS >= job.need[n] for n in range(3)):
+        if all(left[n] + EPSILON >= job.need[n] for n in range(3)):
             break
         at = end
         for n in range(3):
             left[n] += need[n]
-    return at if all(left[n] + EPS >= job.need[n] for n in range(3)) else None
+    return at if all(left[n] + EPSILON >= job.need[n] for n in range(3)) else None
 
 
 def keep_room(ledger: Ledger, starved: list[Job], now: float) -> None:
--- a/src/salthead/coordination/heartbeats.py
+++ b/src/salthead/coordination/heartbeats.py
@@ -9,7 +9,7 @@
 from salthead.coordination.machine_health import mark_unresponsive
 from salthead.coordination.model import BOOTING, LOST, UP, Machine, Proof
 from salthead.coordination.task_reconciliation import orders_for
-from salthead.evidence.gate import Action, Fact, lacking
+from salthead.evidence.gate import Action, Precondition, missing_preconditions
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat
 
@@ -18,8 +18,14 @@
 
 log = logging.getLogger("salthead.reports")
 
-JOBS_KNOWN, MACHINE_THERE = int(Fact.JOBS_KNOWN), int(Fact.MACHINE_THERE)
-INCARNATION_CURRENT, ANSWERS_HEARD = int(Fact.INCARNATION_CURRENT), int(Fact.ANSWERS_HEARD)
+JOBS_KNOWN, MACHINE_NOT_TERMINATED = (
+    int(Precondition.JOBS_KNOWN),
+    int(Precondition.MACHINE_NOT_TERMINATED),
+)
+INCARNATION_CURRENT, RESPONSES_DELIVERED = (
+    int(Precondition.INCARNATION_CURRENT),
+    int(Precondition.RESPONSES_DELIVERED),
+)
 
 
 def handle(
@@ -83,7 +89,7 @@
         ledger.deposed_by = max(ledger.deposed_by, heartbeat.fencing_token)
     if machine is not None and not direct:
         _record_acknowledgements(ledger, machine, heartbeat, current, now)
-    missing = lacking(
+    missing = missing_preconditions(
         Action.ACKNOWLEDGE_HEARTBEAT,
         _answer_facts(ledger, machine, heartbeat, current or direct, now),
     )
@@ -170,19 +176,19 @@
 
     ``heeds``: it has shown this term's token, or it answers a call of ours.
     """
-    held = ledger.facts()
+    held = ledger.confirmed_preconditions()
     if now - ledger.term_started_at <= ledger.blind_s:
         # Which jobs were cancelled may not be known here yet. In an outage of the state service
         # that may go on for longer than their tasks may be kept alive by answers.
         held |= JOBS_KNOWN
     if heartbeat.worker not in ledger.recently_gone:
-        held |= MACHINE_THERE
+        held |= MACHINE_NOT_TERMINATED
     if machine is None:
-        return held | INCARNATION_CURRENT | ANSWERS_HEARD
+        return held | INCARNATION_CURRENT | RESPONSES_DELIVERED
     if heartbeat.incarnation >= machine.min_incarnation:
         held |= INCARNATION_CURRENT
     if heeds or machine.reconciled or _may_hear(ledger, machine, now):
-        held |= ANSWERS_HEARD
+        held |= RESPONSES_DELIVERED
     return held
 
 
@@ -233,7 +239,7 @@
 
 
 def _came_up(ledger: Ledger, machine: Machine, now: float) -> None:
-    log.info("machine %s up, %.1f s after its hire", machine.name, now - machine.hired_at)
+    log.info("machine %s up, %.1f s after its hire", machine.name, now - machine.provisioned_at)
     if machine.phase == LOST:
         # That it was not needed was found while others did its work: seen on one-way-machines,
         # moana-buoys-hunt, 7 and 19 machines returned within seconds of coming back.
--- a/src/salthead/coordination/invariants.py
+++ b/src/salthead/coordination/invariants.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from salthead import metrics
-from salthead.coordination.model import EPS, Binding, Job, Machine
+from salthead.coordination.model import EPSILON, Binding, Job, Machine
 from salthead.errors import SaltheadError
 from salthead.event_log import event
 
@@ -20,9 +20,9 @@
 
 log = logging.getLogger("salthead.invariants")
 
-AUDIT_GAP_S = 30.0  # between sums over the bookings of teams
-AUDIT_PARTS = 60  # looks, two a second, in which each machine is looked at once
-AUDIT_EPS = 1e-3  # what rounding may add up to over many bookings
+AUDIT_INTERVAL_S = 30.0  # between sums over the bookings of teams
+SWEEPS_PER_AUDIT = 60  # looks, two a second, in which each machine is looked at once
+AUDIT_TOLERANCE = 1e-3  # what rounding may add up to over many bookings
 
 
 class Invariant(StrEnum):
@@ -84,7 +84,7 @@
         silent = (0.0, 0.0) if ledger.ready else ledger.failover.unreconciled_capacity()
         usage, most = ledger.usage[job.team], ledger.caps[job.team]
         fits = all(
-            not job.need[n] or usage[n] + silent[n] + job.need[n] <= most[n] + EPS * 10
+            not job.need[n] or usage[n] + silent[n] + job.need[n] <= most[n] + EPSILON * 10
             for n in range(2)
         )
         if fits and not ledger.unknown_jobs:
@@ -122,11 +122,11 @@
         """
         if not self.unaudited:
             self.unaudited = list(self.ledger.machines.values())
-        part = len(self.ledger.machines) // AUDIT_PARTS + 1
+        part = len(self.ledger.machines) // SWEEPS_PER_AUDIT + 1
         for machine in self.unaudited[-part:]:
             self._audit_machine(machine)
         del self.unaudited[-part:]
-        if now - self.teams_audited_at >= AUDIT_GAP_S:
+        if now - self.teams_audited_at >= AUDIT_INTERVAL_S:
             self.teams_audited_at = now
             self._audit_teams()
 
@@ -135,7 +135,7 @@
         for binding in (*machine.bindings.values(), *machine.strays.values()):
             for n, amount in enumerate(binding.need):
                 total[n] += amount
-        if any(abs(a - b) > AUDIT_EPS for a, b in zip(total, machine.used, strict=True)):
+        if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, machine.used, strict=True)):
             self._broken(Invariant.SUMS_AGREE, machine=machine.name, sum=total, booked=machine.used)
 
     def _audit_teams(self) -> None:
@@ -149,6 +149,6 @@
                 for n in range(2 if stray.team >= 0 else 0):
                     totals[stray.team][n] += stray.need[n]
         for team, (total, usage) in enumerate(zip(totals, ledger.usage, strict=True)):
-            if any(abs(a - b) > AUDIT_EPS for a, b in zip(total, usage, strict=True)):
+            if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, usage, strict=True)):
                 name = ledger.team_names[team]
                 self._broken(Invariant.SUMS_AGREE, team=name, sum=total, booked=usage)
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -24,7 +24,7 @@
 from salthead.coordination.machine_room import MachineRoom
 from salthead.coordination.model import (
     BOOTING,
-    EPS,
+    EPSILON,
     GONE,
     LOST,
     NOTHING,
@@ -39,8 +39,8 @@
 from salthead.coordination.worker_leases import WorkerLeases
 from salthead.coordination.zone_hooks import ZoneHooks
 from salthead.event_log import event
-from salthead.evidence.gate import Action, Fact, permits
-from salthead.evidence.withheld import WithheldActions
+from salthead.evidence.gate import Action, Precondition, permits
+from salthead.evidence.withheld import BlockedActions
 from salthead.protocol import names
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import (
@@ -55,17 +55,17 @@
 
 log = logging.getLogger("salthead.ledger")
 
-LEAD_LEASE, TOKEN_CURRENT = int(Fact.LEAD_LEASE), int(Fact.TOKEN_CURRENT)
-JOBS_KNOWN, FLEET_ACCOUNTED = int(Fact.JOBS_KNOWN), int(Fact.FLEET_ACCOUNTED)
-WORKER_LEASE_OVER = int(Fact.WORKER_LEASE_OVER)
+LEADER_LEASE, TOKEN_CURRENT = int(Precondition.LEADER_LEASE), int(Precondition.TOKEN_CURRENT)
+JOBS_KNOWN, FLEET_RECONCILED = int(Precondition.JOBS_KNOWN), int(Precondition.FLEET_RECONCILED)
+WORKER_LEASE_OVER = int(Precondition.WORKER_LEASE_OVER)
 
 # An attempt is the term's token and a counter, so no two starts of any terms share one.
 ATTEMPT_BITS = 24
 # Ended jobs whose team is remembered, for stray tasks of theirs, and returned machines, for late
 # copies of their reports and for a machine list that lags. These are the least: a fleet of which
 # everything can go at once needs room for all of it, or its machines are taken for new ones.
-TEAMS_KEPT, GONE_KEPT = 5000, 2000
-KEPT_FLEETS = 2  # how many times the largest fleet of this term is remembered
+MIN_REMEMBERED_JOBS, MIN_REMEMBERED_MACHINES = 5000, 2000
+REMEMBERED_FLEETS = 2  # how many times the largest fleet of this term is remembered
 
 
 @dataclass
@@ -153,7 +153,7 @@
         self.recently_gone: dict[str, float] = {}
         self.zone_hooks: ZoneHooks | None = None  # where the policy enables them
         self.shared_silence: SharedSilence | None = None  # where the policy enables it
-        self.withheld = WithheldActions()
+        self.withheld = BlockedActions()
         # A worker whose report is not answered turns to one of them.
         self.other_controllers = limits.initial_size > 1
         # Whether the lease on the lead is certain now; the term knows.
@@ -161,15 +161,16 @@
 
     # -- evidence -----------------------------------------------------------------------
 
-    def facts(self) -> int:
-        """What is confirmed now of the lead, the jobs and the fleet, as bits of ``Fact``."""
-        held = LEAD_LEASE if self.lead_certain() else 0
+    def confirmed_preconditions(self) -> int:
+        """What is confirmed now of the lead, the jobs and the fleet, as bits of
+        ``Precondition``."""
+        held = LEADER_LEASE if self.lead_certain() else 0
         if not self.deposed_by:
             held |= TOKEN_CURRENT
         if self.loaded:
             held |= JOBS_KNOWN
         if self.ready:
-            held |= FLEET_ACCOUNTED
+            held |= FLEET_RECONCILED
         return held
 
     # -- machine types and jobs ---------------------------------------------------------------
@@ -239,7 +240,9 @@
             type_index
             for type_index in self.machine_types
             if (job.allowed_types is None or type_index in job.allowed_types)
-            and all(c + EPS >= n for c, n in zip(self.capacity(type_index), job.need, strict=True))
+            and all(
+                c + EPSILON >= n for c, n in zip(self.capacity(type_index), job.need, strict=True)
+            )
         }
 
     def load_done(self, job: Job, indices: Iterable[int]) -> None:
@@ -300,7 +303,7 @@
     def _forget(self, job: Job) -> None:
         if job.over and not job.bindings and self.jobs.get(job.job_id) is job:
             self.team_of[job.job_id] = (job.team, job.need)
-            if len(self.team_of) > max(TEAMS_KEPT, KEPT_FLEETS * self.largest_fleet):
+            if len(self.team_of) > max(MIN_REMEMBERED_JOBS, REMEMBERED_FLEETS * self.largest_fleet):
                 self.team_of.pop(next(iter(self.team_of)))
             del self.jobs[job.job_id]
             self.live.pop(job.job_id, None)
@@ -389,7 +392,7 @@
             if not job.bindings:
                 job.failed = False
         else:
-            job.give_back(binding.index)
+            job.requeue_task(binding.index)
         self._forget(job)
         self.events.changed()
 
@@ -458,7 +461,7 @@
                 self.zones.intern(zone),
                 spot,
                 self.capacity(index),
-                hired_at=now,
+                provisioned_at=now,
             )
             machine.index = self.machines_seen
             self.machines_seen += 1
@@ -488,13 +491,15 @@
 
     def machine_gone(self, machine: Machine, now: float) -> None:
         """The cloud confirmed the return: the machine and all on it are gone."""
-        self.lose_tasks(machine, now, Proof.RETURNED)
+        self.lose_tasks(machine, now, Proof.TERMINATED)
         self.set_phase(machine, GONE)
         self.room.kept.pop(machine, None)
         self.machines.pop(machine.name, None)
         self.unregistered.pop(machine, None)
         self.recently_gone[machine.name] = now
-        if len(self.recently_gone) > max(GONE_KEPT, KEPT_FLEETS * self.largest_fleet):
+        if len(self.recently_gone) > max(
+            MIN_REMEMBERED_MACHINES, REMEMBERED_FLEETS * self.largest_fleet
+        ):
             self.recently_gone.pop(next(iter(self.recently_gone)))
         self.events.changed()
 
@@ -504,7 +509,7 @@
         self.invariants.audit(now)
         # Of a leader without its lease workers may be another one's by now: what it last heard
         # says nothing of them. It had judged 135 machines lost that reported to the next leader.
-        if permits(Action.JUDGE_LOST, self.facts() | WORKER_LEASE_OVER):
+        if permits(Action.DECLARE_LOST, self.confirmed_preconditions() | WORKER_LEASE_OVER):
             for machine in self.machines.values():
                 if machine.phase == UP and now > self.leases.over_at(machine):
                     self._lose(machine, now)
--- a/src/salthead/coordination/machine_health.py
+++ b/src/salthead/coordination/machine_health.py
@@ -13,10 +13,10 @@
 log = logging.getLogger("salthead.reports")
 
 # Errors of different jobs in a row, with nothing completed between, that condemn a machine.
-SICK_ERRORS = 2
+QUARANTINE_ERRORS = 2
 # A job that fails on this many machines and completes nowhere is taken to be at fault itself.
-JOB_AT_FAULT = 3
-ERROR_PAUSE_S, ERROR_MOST_S = 5.0, 30.0
+FAULTY_JOB_MACHINES = 3
+ERROR_PAUSE_STEP_S, MAX_ERROR_PAUSE_S = 5.0, 30.0
 
 
 def mark_unresponsive(ledger: Ledger, machine: Machine, now: float, why: str) -> None:
@@ -49,14 +49,14 @@
         ledger.zone_hooks.failed(machine)
     job.error_machines.add(machine.name)
     machine.error_jobs.add(job.job_id)
-    machine.error_until = now + min(ERROR_MOST_S, ERROR_PAUSE_S * len(machine.error_jobs))
+    machine.error_until = now + min(MAX_ERROR_PAUSE_S, ERROR_PAUSE_STEP_S * len(machine.error_jobs))
     job.wait_until = max(job.wait_until, now + min(30.0, 1.0 * len(job.error_machines)))
     blamed = [
         job_id
         for job_id in machine.error_jobs
         if (other := ledger.jobs.get(job_id)) is None
         or other.n_done > 0
-        or len(other.error_machines) < JOB_AT_FAULT
+        or len(other.error_machines) < FAULTY_JOB_MACHINES
     ]
     log.info(
         "task of %s failed on %s (%d jobs failed there)",
@@ -64,5 +64,5 @@
         machine.name,
         len(machine.error_jobs),
     )
-    if len(blamed) >= SICK_ERRORS and not machine.condemned:
+    if len(blamed) >= QUARANTINE_ERRORS and not machine.condemned:
         machine.condemned = "fails its tasks"
--- a/src/salthead/coordination/machine_room.py
+++ b/src/salthead/coordination/machine_room.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from salthead.coordination.model import EPS, UP, Kind, Machine, Vec
+from salthead.coordination.model import EPSILON, UP, Kind, Machine, Vec
 
 
 class MachineRoom:
@@ -20,7 +20,7 @@
         """Note how much is free on the machine now."""
         whole = -1
         if machine.phase == UP:
-            whole = max(0, int(machine.cap[0] - machine.used[0] + EPS))
+            whole = max(0, int(machine.cap[0] - machine.used[0] + EPSILON))
         if whole == machine.whole:
             return
         rows = self.free.setdefault(machine.kind, [])
--- a/src/salthead/coordination/model.py
+++ b/src/salthead/coordination/model.py
@@ -15,7 +15,7 @@
 Kind = tuple[int, int, bool]  # type, zone, spot
 NOTHING: Vec = (0.0, 0.0, 0.0)
 ANYTHING: Vec = (math.inf, math.inf, math.inf)
-EPS = 1e-6
+EPSILON = 1e-6
 
 UP, BOOTING, LOST, GONE = "up", "booting", "lost", "gone"
 
@@ -29,7 +29,7 @@
     NEVER_TOLD = "never_told"  # no answer carried its start
     LEASE_OVER = "lease_over"
     NEW_INCARNATION = "new_session"
-    RETURNED = "returned"  # the cloud confirmed that the machine is gone
+    TERMINATED = "returned"  # the cloud confirmed that the machine is gone
 
 
 @dataclass(slots=True, eq=False)
@@ -82,7 +82,7 @@
     warn_at: float | None = None
     bindings: dict[tuple[str, int], Binding] = field(default_factory=dict)
     strays: dict[tuple[str, int, int], Binding] = field(default_factory=dict)
-    hired_at: float = 0.0
+    provisioned_at: float = 0.0
     lost_at: float = 0.0
     endpoint: str = ""
     condemned: str = ""  # why it takes no more tasks and is to be returned
@@ -90,7 +90,7 @@
     error_until: float = 0.0
     held_for: str = ""  # the job for which room is being made here
     held_until: float = 0.0
-    returning: bool = False
+    terminating: bool = False
     surplus_since: float | None = None  # since when all there is to do would fit elsewhere
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # in its cache, by use
     cordoned: bool = False  # takes no more tasks, so that it empties and can be returned
@@ -121,9 +121,9 @@
         """Whether there is room for a task."""
         cap, used = self.cap, self.used
         return (
-            used[0] + need[0] <= cap[0] + EPS
-            and used[1] + need[1] <= cap[1] + EPS
-            and used[2] + need[2] <= cap[2] + EPS
+            used[0] + need[0] <= cap[0] + EPSILON
+            and used[1] + need[1] <= cap[1] + EPSILON
+            and used[2] + need[2] <= cap[2] + EPSILON
         )
 
     def fullest(self) -> float:
@@ -234,7 +234,7 @@
                 return index
         return None
 
-    def give_back(self, index: int) -> None:
+    def requeue_task(self, index: int) -> None:
         """A task has lost its machine and waits again."""
         if not self.gang and index < self.next_fresh and not self.done[index]:
             self.again.append(index)
--- a/src/salthead/coordination/order.py
+++ b/src/salthead/coordination/order.py
@@ -13,12 +13,12 @@
 import math
 
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import EPS, Job
+from salthead.coordination.model import EPSILON, Job
 
 # The protocol: the largest jobs of a class, too, begin within four minutes.
 BEGIN_WITHIN_S = 240.0
 # The part of it after which quota is kept for a gang, one at a time.
-RESERVE_PART = 0.25
+RESERVE_AFTER_SHARE = 0.25
 
 
 def overdue(job: Job, now: float) -> bool:
@@ -54,7 +54,7 @@
     waits = job.gang and not job.bindings and job.first_start is None
     return (
         waits
-        and age > RESERVE_PART * BEGIN_WITHIN_S
+        and age > RESERVE_AFTER_SHARE * BEGIN_WITHIN_S
         and (age < 2.0 * BEGIN_WITHIN_S or int(age / BEGIN_WITHIN_S) % 2 == 0)
     )
 
@@ -140,7 +140,7 @@
         fleet_load.add(at, row[3])
         # The last of its tasks starts when all work ahead of it is done.
         for load, other in ((own, fleet_load), (fleet_load, None)):
-            if load.total > EPS and now + load.total / max(load.rate, 1.0) > row[0]:
+            if load.total > EPSILON and now + load.total / max(load.rate, 1.0) > row[0]:
                 largest, work = load.pop(put_off)
                 put_off.add(largest)
                 other = other or loads[rows[largest][4].team]
--- a/src/salthead/coordination/pipelines.py
+++ b/src/salthead/coordination/pipelines.py
@@ -92,11 +92,11 @@
         if not waiting:
             self.job_classes.pop(job_class, None)
 
-    ENDED_KEPT = 20_000
+    MAX_REMEMBERED_ENDED = 20_000
 
     def _note(self, job_id: str, at: float) -> None:
         self.ended[job_id] = at
-        if len(self.ended) > self.ENDED_KEPT:
+        if len(self.ended) > self.MAX_REMEMBERED_ENDED:
             self.ended.pop(next(iter(self.ended)))
 
     def aborted(self, job_id: str) -> list[str]:
--- a/src/salthead/coordination/placement.py
+++ b/src/salthead/coordination/placement.py
@@ -9,18 +9,18 @@
 
 from salthead.coordination import order
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import EPS, UP, Job, Kind, Machine, Proof
+from salthead.coordination.model import EPSILON, UP, Job, Kind, Machine, Proof
 from salthead.coordination.start_rules import quota_left, startable, wanted
 from salthead.event_log import event
 from salthead.protocol import names
 
 log = logging.getLogger("salthead.placement")
 
-FRESH_PERIODS = 3.0
+FRESH_HEARTBEAT_INTERVALS = 3.0
 FIRST_PAUSE_S = 2.0
 # Whatever keeps room or quota for others keeps a job waiting for no longer than this beside room
 # that it could have. The users allow 90 s; the rest is for a pause and for the start to be told.
-HELD_MOST_S = 75.0
+MAX_HELD_BACK_S = 75.0
 LIMIT_LOGGED_S = 10.0
 
 
@@ -37,7 +37,7 @@
         total, size, most = sums[job.team], job.size(), ledger.guarantees[job.team]
         total[0] += size[0]
         total[1] += size[1]
-        if total[0] <= most[0] + EPS and total[1] <= most[1] + EPS:
+        if total[0] <= most[0] + EPSILON and total[1] <= most[1] + EPSILON:
             within.add(job.job_id)
     return within
 
@@ -77,7 +77,7 @@
         ("cordoned", machine.cordoned),
         ("withheld", machine.withheld),
         ("condemned", bool(machine.condemned)),
-        ("going", machine.returning or machine.warn_at is not None),
+        ("going", machine.terminating or machine.warn_at is not None),
         ("failing", now < machine.error_until),
         ("unresponsive", not machine.responsive(now)),
         ("unheard", not usable(ledger, machine, now)),
@@ -101,11 +101,11 @@
         and machine.registered
         and machine.reconciled
         and not machine.condemned
-        and not machine.returning
+        and not machine.terminating
         and not machine.cordoned
         and machine.warn_at is None
         and now - machine.last_heartbeat_at
-        <= FRESH_PERIODS * ledger.limits.workers.heartbeat_interval_s
+        <= FRESH_HEARTBEAT_INTERVALS * ledger.limits.workers.heartbeat_interval_s
         and now >= machine.error_until
         and machine.responsive(now)
     )
@@ -123,7 +123,7 @@
 
 def insistent(job: Job, now: float) -> bool:
     """Whether the job has been held back by what is kept for others for as long as may be."""
-    return job.held_since is not None and now - job.held_since >= HELD_MOST_S
+    return job.held_since is not None and now - job.held_since >= MAX_HELD_BACK_S
 
 
 def held_back(ledger: Ledger, job: Job, now: float) -> bool:
@@ -135,7 +135,7 @@
         if usable(ledger, machine, now):
             left -= int(
                 min(
-                    (c - u + EPS) / n
+                    (c - u + EPSILON) / n
                     for c, u, n in zip(machine.cap, machine.used, job.need, strict=True)
                     if n > 0
                 )
@@ -434,7 +434,7 @@
     if ledger.zone_hooks is not None:
         ledger.zone_hooks.claim(machine, now)
     for job in ledger.line.jobs:
-        if machine.cap[0] - machine.used[0] + EPS < ledger.line.least_cpus:
+        if machine.cap[0] - machine.used[0] + EPSILON < ledger.line.least_cpus:
             return
         if (
             now < job.wait_until
--- a/src/salthead/coordination/returns.py
+++ b/src/salthead/coordination/scale_in.py
@@ -5,27 +5,27 @@
 import logging
 from dataclasses import dataclass
 
-from salthead.coordination.fleet_room import Pool, Slot, price, suits
+from salthead.coordination.fleet_supply import Pool, Slot, price, suits
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.model import BOOTING, LOST, UP, Machine
 
 log = logging.getLogger("salthead.returns")
 
 # A deleted machine costs at least this long (protocol), so nothing shorter is worth a hire.
-LEAST_CHARGE_S = 60.0
+MIN_CHARGE_S = 60.0
 # A boot this many times longer than the cloud names is taken for one that never ends.
 BOOT_PATIENCE = 2.5
 # Up to this part of the roster, silence after a takeover is the machines' own fault.
-SILENT_FEW = 0.15
+MAX_SILENT_SHARE = 0.15
 # Reasons for a return that news of the machine takes away.
 LOST_REASON, SILENT_REASON = "lost", "silent after a takeover"
-SILENCE = frozenset({LOST_REASON, SILENT_REASON})
+SILENCE_REASONS = frozenset({LOST_REASON, SILENT_REASON})
 # A machine that was not needed for this part of a boot is worth less than its rent: the second
 # where all work within guarantees begins in time, so that less spare room would do as well.
 SURPLUS_BOOTS, SURPLUS_BOOTS_SPARE = 1.0, 0.3
 
 
-def mark_surplus(ledger: Ledger, needed: set[str], now: float) -> None:
+def cordon_surplus(ledger: Ledger, needed: set[str], now: float) -> None:
     """Cordon machines without which all that runs and waits would have fitted for a while.
 
     The pair draw spreads tasks over all machines, so that none is ever idle for long and a
@@ -58,7 +58,7 @@
         for m in ledger.machines.values()
         if m.phase == UP
         and not m.condemned
-        and not m.returning
+        and not m.terminating
         and m.warn_at is None
         and m.machine_type in ledger.machine_types
     ]
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReturnDecision:
+class TerminationDecision:
     """A machine that is to be returned, why, and what that rests on."""
 
     machine: Machine
@@ -96,7 +96,7 @@
     last_heartbeat_at: float  # when the last news of the machine came
 
     @classmethod
-    def of(cls, machine: Machine, reason: str) -> ReturnDecision:
+    def of(cls, machine: Machine, reason: str) -> TerminationDecision:
         """A decision made now."""
         return cls(machine, reason, machine.phase, machine.last_heartbeat_at)
 
@@ -108,7 +108,10 @@
         machine = self.machine
         if machine.phase != self.phase:
             return False
-        return machine.last_heartbeat_at == self.last_heartbeat_at or self.reason not in SILENCE
+        return (
+            machine.last_heartbeat_at == self.last_heartbeat_at
+            or self.reason not in SILENCE_REASONS
+        )
 
 
 class FleetCounts:
@@ -116,7 +119,7 @@
     a thousand are silent took a million steps a plan."""
 
     def __init__(self, ledger: Ledger, now: float) -> None:
-        most = max(1.0, SILENT_FEW * sum(1 for m in ledger.machines.values() if m.registered))
+        most = max(1.0, MAX_SILENT_SHARE * sum(1 for m in ledger.machines.values() if m.registered))
         # Whether so many machines are lost at once that a cut is likelier than their deaths. They
         # are up behind the cut, with no tasks left; waiting for them for as long as a boot takes
         # is cheaper than to return them and boot as many.
@@ -135,7 +138,7 @@
                 self.silent_few = {machine.name for machine in silent}
 
 
-def wanted_back(
+def termination_reason(
     ledger: Ledger,
     machine: Machine,
     needed: set[str],
@@ -203,10 +206,10 @@
 def _never_came_up(ledger: Ledger, machine: Machine, now: float) -> str:
     """It boots for so long that it is taken never to come up."""
     machine_type = ledger.machine_types.get(machine.machine_type)
-    boot_s = machine_type.boot_s if machine_type else LEAST_CHARGE_S
+    boot_s = machine_type.boot_s if machine_type else MIN_CHARGE_S
     if now - ledger.term_started_at < ledger.limits.workers.lease_s:
         return ""  # it may be up and not have found this leader yet
-    return "never came up" if now - machine.hired_at > BOOT_PATIENCE * boot_s + 10.0 else ""
+    return "never came up" if now - machine.provisioned_at > BOOT_PATIENCE * boot_s + 10.0 else ""
 
 
 def _idle(ledger: Ledger, machine: Machine, needed: set[str], now: float) -> str:
--- a/src/salthead/coordination/start_rules.py
+++ b/src/salthead/coordination/start_rules.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from salthead.coordination.model import EPS, Binding, Job
+from salthead.coordination.model import EPSILON, Binding, Job
 
 if TYPE_CHECKING:
     from salthead.coordination.ledger import Ledger
@@ -52,7 +52,7 @@
             # Any team may be using all of the machines that have not been heard from.
             silent = 0.0 if ledger.ready else ledger.failover.unreconciled_capacity()[n]
             free = most[n] - usage[n] - silent - (job.behind[n] if heed else 0.0)
-            if free + EPS < job.need[n]:
+            if free + EPSILON < job.need[n]:
                 return 0  # of an unlimited silent room a division would make no number
-            left = min(left, (free + EPS) // job.need[n])
+            left = min(left, (free + EPSILON) // job.need[n])
     return max(0, int(left))
--- a/src/salthead/coordination/task_reconciliation.py
+++ b/src/salthead/coordination/task_reconciliation.py
@@ -11,7 +11,7 @@
 from salthead.coordination.model import Binding, Machine, Proof
 from salthead.coordination.start_rules import wanted
 from salthead.event_log import event
-from salthead.evidence.gate import Action, Fact, permits
+from salthead.evidence.gate import Action, Precondition, permits
 from salthead.protocol import names
 from salthead.protocol.messages import (
     Heartbeat,
@@ -29,14 +29,17 @@
 log = logging.getLogger("salthead.reports")
 
 # Keeps an answer to a worker well under 64 KiB; the rest follows in the next answer.
-MAX_ORDERS = 400
+MAX_COMMANDS = 400
 # Answers with the same start of which none was executed, before a machine is unresponsive.
-UNHEARD_ANSWERS = 3
+MAX_UNEXECUTED_STARTS = 3
 
 TaskKey = tuple[str, int]  # job and task number
 
-MACHINE_REGISTERED, TOKEN_ACCEPTED = int(Fact.MACHINE_REGISTERED), int(Fact.TOKEN_ACCEPTED)
-OUTCOME_DURABLE = int(Fact.OUTCOME_DURABLE)
+MACHINE_REGISTERED, TOKEN_ACCEPTED = (
+    int(Precondition.MACHINE_REGISTERED),
+    int(Precondition.TOKEN_ACCEPTED),
+)
+OUTCOME_DURABLE = int(Precondition.OUTCOME_DURABLE)
 
 
 def orders_for(
@@ -53,8 +56,8 @@
         machine.freed = False
         ledger.events.room_freed(machine, now)
     if not direct:
-        orders += _starts(ledger, machine, MAX_ORDERS - len(orders))
-    return orders[:MAX_ORDERS]
+        orders += _starts(ledger, machine, MAX_COMMANDS - len(orders))
+    return orders[:MAX_COMMANDS]
 
 
 def _take_tasks(
@@ -129,7 +132,7 @@
             ledger.release(binding, now, Proof.NOT_SHOWN)
         elif direct:
             continue
-        elif binding.stop is not None or binding.start_sends >= UNHEARD_ANSWERS:
+        elif binding.stop is not None or binding.start_sends >= MAX_UNEXECUTED_STARTS:
             # One report is in flight at a time and late answers are dropped, so a report
             # without the task, newer than the answers that ordered it, is proof.
             if binding.stop is None:
@@ -145,7 +148,7 @@
 def _starts(ledger: Ledger, machine: Machine, most: int) -> list[dict[str, Any]]:
     """Starts for what is bound to the machine and not seen on it yet."""
     orders: list[dict[str, Any]] = []
-    held = ledger.facts()
+    held = ledger.confirmed_preconditions()
     held |= (MACHINE_REGISTERED if machine.registered else 0) | (
         TOKEN_ACCEPTED if machine.reconciled else 0
     )
--- a/src/salthead/coordination/zone_hooks.py
+++ b/src/salthead/coordination/zone_hooks.py
@@ -38,5 +38,5 @@
     def restarts_whole(self, machine: Machine) -> bool:
         """Whether a gang that lost this machine must not be completed elsewhere."""
 
-    def hire_most(self, zone: int) -> int | None:
+    def max_provision(self, zone: int) -> int | None:
         """How many machines of a kind may be hired in the zone at a time; None: no bound."""
--- a/src/salthead/coordination/zone_leases.py
+++ b/src/salthead/coordination/zone_leases.py
@@ -23,14 +23,14 @@
     return seen + ttl * (1.0 + DRIFT) + 0.1
 
 
-SENT_ON_KEPT = 5000  # workers, at the least, before those of long ago are looked for
+MIN_REMEMBERED_REDIRECTS = 5000  # workers, at the least, before those of long ago are looked for
 
 
 class ZoneLease:
     """The controller's side: when it may answer in the leader's name."""
 
     # A worker that comes back within this long after it was sent to the leader can't reach it.
-    BACK_S = 15.0
+    RETURN_WINDOW_S = 15.0
 
     def __init__(self, ttl: float) -> None:
         self.ttl = ttl
@@ -39,7 +39,7 @@
         self.asked = -math.inf
         self.until = -math.inf
         self.sent_on: dict[str, float] = {}  # workers, and when they were sent to the leader
-        self.sent_on_most = SENT_ON_KEPT
+        self.sent_on_most = MIN_REMEMBERED_REDIRECTS
 
     def ask(self, fencing_token: int, nonce: str, area: str, now: float) -> dict[str, Any]:
         """What to write, before it is written."""
@@ -72,8 +72,10 @@
         """Note that a worker is here; whether it had been sent to the leader shortly before."""
         before = self.sent_on.get(worker, -math.inf)
         if len(self.sent_on) > self.sent_on_most:
-            self.sent_on = {w: at for w, at in self.sent_on.items() if now - at < self.BACK_S}
+            self.sent_on = {
+                w: at for w, at in self.sent_on.items() if now - at < self.RETURN_WINDOW_S
+            }
             # Twice as many as there are now: a larger fleet must not be walked at each report.
-            self.sent_on_most = max(SENT_ON_KEPT, 2 * len(self.sent_on))
+            self.sent_on_most = max(MIN_REMEMBERED_REDIRECTS, 2 * len(self.sent_on))
         self.sent_on[worker] = now
-        return now - before < self.BACK_S
+        return now - before < self.RETURN_WINDOW_S
--- a/src/salthead/evidence/diagnosis.py
+++ b/src/salthead/evidence/diagnosis.py
@@ -64,7 +64,9 @@
         group, state = group_of(machine), link_state(machine, now, fresh_s)
         counts[group][state] += 1
         if state is not LinkState.BOTH_WAYS:
-            confirmed = max(machine.last_heartbeat_at, machine.links.answers_at, machine.hired_at)
+            confirmed = max(
+                machine.last_heartbeat_at, machine.links.answers_at, machine.provisioned_at
+            )
             longest[group] = max(longest[group], now - confirmed)
     return [
         LinkView(group, found.total(), dict(found), longest[group])
--- a/src/salthead/evidence/shared_silence.py
+++ b/src/salthead/evidence/shared_silence.py
@@ -25,7 +25,7 @@
 log = logging.getLogger("salthead.evidence")
 
 # Two generations of two report periods each: silence is seen after two to four of them.
-HEARD_PERIODS = 2.0
+WINDOW_HEARTBEAT_INTERVALS = 2.0
 # For how long the end of a lease counts towards a cut, in leases: all leases that one cut ends are
 # over within one lease and a report period, and what was returned meanwhile has left the fleet.
 EXPIRED_LEASES = 1.5
@@ -57,7 +57,7 @@
         workers = ledger.limits.workers
         self.sets = MachineSets(
             len(ledger.zones),
-            HEARD_PERIODS * workers.heartbeat_interval_s,
+            WINDOW_HEARTBEAT_INTERVALS * workers.heartbeat_interval_s,
             EXPIRED_LEASES * workers.lease_s,
             now,
         )
--- a/src/salthead/evidence/withheld.py
+++ b/src/salthead/evidence/withheld.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 
 from salthead import metrics
-from salthead.evidence.gate import Action, Fact, action_name, fact_names
+from salthead.evidence.gate import Action, Precondition, action_name, precondition_names
 
 
 @dataclass(slots=True)
-class Withheld:
+class BlockedAction:
     """How often an action was withheld for one set of facts, and when first and last."""
 
     count: int = 0
@@ -18,24 +18,26 @@
     last_at: float = -math.inf
 
 
-class WithheldActions:
+class BlockedActions:
     """Counts by action and by what was lacking; there are no more rows than these can form."""
 
     def __init__(self) -> None:
-        self.rows: dict[tuple[Action, int], Withheld] = {}
+        self.rows: dict[tuple[Action, int], BlockedAction] = {}
 
-    def note(self, action: Action, lacking: int, now: float) -> None:
+    def note(self, action: Action, missing_preconditions: int, now: float) -> None:
         """An action was withheld since these facts, as bits, do not hold."""
-        row = self.rows.setdefault((action, lacking), Withheld(first_at=now))
+        row = self.rows.setdefault((action, missing_preconditions), BlockedAction(first_at=now))
         row.count += 1
         row.last_at = now
-        metrics.WITHHELD.labels(action_name(action), "+".join(fact_names(lacking))).inc()
+        metrics.BLOCKED_ACTIONS.labels(
+            action_name(action), "+".join(precondition_names(missing_preconditions))
+        ).inc()
 
-    def recent(self, since: float) -> list[tuple[Action, Fact, Withheld]]:
+    def recent(self, since: float) -> list[tuple[Action, Precondition, BlockedAction]]:
         """Rows that were added to since then, the latest first."""
         found = [
-            (action, Fact(lacking), row)
-            for (action, lacking), row in self.rows.items()
+            (action, Precondition(missing_preconditions), row)
+            for (action, missing_preconditions), row in self.rows.items()
             if row.last_at >= since
         ]
         return sorted(found, key=lambda entry: -entry[2].last_at)
--- a/src/salthead/leader/rental.py
+++ b/src/salthead/leader/autoscaler.py
@@ -9,17 +9,17 @@
 
 import msgspec
 
-from salthead.coordination import fleet
+from salthead.coordination import fleet_plan
+from salthead.coordination.capacity_backoff import CapacityBackoff
 from salthead.coordination.model import BOOTING, Kind
-from salthead.coordination.refusals import Refusals
-from salthead.coordination.returns import ReturnDecision
-from salthead.evidence.gate import Action, Fact
+from salthead.coordination.scale_in import TerminationDecision
+from salthead.evidence.gate import Action, Precondition
 from salthead.protocol import names
 from salthead.protocol.messages import (
     MachineList,
     MachineType,
     MalformedMessageError,
-    RentedMachines,
+    ProvisionedMachines,
     shape,
 )
 from salthead.state_store import records
@@ -40,18 +40,18 @@
 
 # A loop whose rounds take long pauses for this many times as long, so that reports have the
 # processor for most of the time whatever the size of the fleet and the queue.
-REST_FACTOR = 9.0
-RETURN_MOST = 100  # machines in one call
-HIRE_TRIES = 4
+PAUSE_FACTOR = 9.0
+MAX_TERMINATE_BATCH = 100  # machines in one call
+PROVISION_ATTEMPTS = 4
 # Plans come at once for a job that finds no machine, and otherwise now and then.
-PLAN_GAP_S, PLAN_LEAST_GAP_S = 1.0, 0.4
+PLAN_INTERVAL_S, MIN_PLAN_INTERVAL_S = 1.0, 0.4
 # Between two readings of the machine list: at least this, and so long that the list, which has a
 # call for each 500 machines, takes no more than this part of the calls; hires and returns wait for
 # their turn behind them.
-LIST_GAP_S, LIST_PART = 2.0, 1 / 3
+LIST_INTERVAL_S, MAX_LIST_CALL_SHARE = 2.0, 1 / 3
 
 
-class Rental:
+class Autoscaler:
     """The loops that hire and return machines for one term."""
 
     def __init__(self, term: Term) -> None:
@@ -59,10 +59,10 @@
         self.ledger = term.ledger
         self.now = term.now
         self.limits = term.limits
-        self.hire_count = 0
-        self.wanted = asyncio.Event()  # a job has come for which there is no machine
-        self.coming: dict[Kind, int] = {}
-        self.refusals = Refusals()
+        self.provision_request_count = 0
+        self.plan_requested = asyncio.Event()  # a job has come for which there is no machine
+        self.provisioning: dict[Kind, int] = {}
+        self.capacity_backoff = CapacityBackoff()
         # A quarter is left for the other controllers' reads of machine types.
         self.cloud_budget = Budget(term.limits.cloud.rps * 0.7, term.limits.cloud.rps, term.now)
         self.machine_types_stored: list[MachineType] = []
@@ -99,12 +99,16 @@
                 calls = await self.read_list()
             except RETRYABLE_ERRORS as error:
                 self.term.controller.note("cloud list", error)
-            await self.term.controller.rest(self.list_gap_s(calls))
+            await self.term.controller.rest(self.list_interval_s(calls))
 
-    def list_gap_s(self, calls: int) -> float:
+    def list_interval_s(self, calls: int) -> float:
         """The pause after a reading of the list that took so many calls."""
         reading_s = calls / self.cloud_budget.rate
-        return max(LIST_GAP_S, 2.0 / self.limits.cloud.rps, reading_s * (1.0 / LIST_PART - 1.0))
+        return max(
+            LIST_INTERVAL_S,
+            2.0 / self.limits.cloud.rps,
+            reading_s * (1.0 / MAX_LIST_CALL_SHARE - 1.0),
+        )
 
     async def read_list(self) -> int:
         """Take in the cloud's list of machines; how many calls that took."""
@@ -133,9 +137,9 @@
                 )
                 if not known:
                     log.info("machine %s found in the list (%s)", host.name, host.phase)
-                    machine.hired_at = now - host.age_s
+                    machine.provisioned_at = now - host.age_s
                 elif machine.phase == BOOTING:
-                    machine.hired_at = min(machine.hired_at, now - host.age_s)
+                    machine.provisioned_at = min(machine.provisioned_at, now - host.age_s)
                 if host.phase == names.FAILED and not machine.condemned:
                     machine.condemned = "failed"
                     log.info("machine %s failed", host.name)
@@ -147,35 +151,39 @@
         while True:
             # Not wait_for, as in the term's decide_loop.
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(PLAN_GAP_S):
-                    await self.wanted.wait()
-            self.wanted.clear()
+                async with asyncio.timeout(PLAN_INTERVAL_S):
+                    await self.plan_requested.wait()
+            self.plan_requested.clear()
             began = self.now()
             if not self.term.valid():
                 continue
-            plan = fleet.plan(self.ledger, self.now(), self.refusals, self.coming)
-            for kind, count in plan.hires.items():
-                for at in range(0, count, fleet.HIRE_MOST):
-                    self.term.spawn(self.hire(kind, min(count - at, fleet.HIRE_MOST)))
-            if plan.returns:
+            plan = fleet_plan.plan(
+                self.ledger, self.now(), self.capacity_backoff, self.provisioning
+            )
+            for kind, count in plan.to_provision.items():
+                for at in range(0, count, fleet_plan.MAX_PROVISION_BATCH):
+                    self.term.spawn(
+                        self.provision(kind, min(count - at, fleet_plan.MAX_PROVISION_BATCH))
+                    )
+            if plan.to_terminate:
                 decisions = [
-                    ReturnDecision.of(machine, plan.reasons[machine.name])
-                    for machine in plan.returns[:RETURN_MOST]
+                    TerminationDecision.of(machine, plan.reasons[machine.name])
+                    for machine in plan.to_terminate[:MAX_TERMINATE_BATCH]
                 ]
                 for decision in decisions:
-                    decision.machine.returning = True
-                self.term.spawn(self.give_back(decisions))
+                    decision.machine.terminating = True
+                self.term.spawn(self.terminate(decisions))
             self.term.views.show()
             await self.term.controller.rest(
-                max(PLAN_LEAST_GAP_S, REST_FACTOR * (self.now() - began))
+                max(MIN_PLAN_INTERVAL_S, PAUSE_FACTOR * (self.now() - began))
             )
 
-    async def hire(self, kind: Kind, count: int) -> None:
+    async def provision(self, kind: Kind, count: int) -> None:
         """Rent machines of a kind; the same request is repeated until it is answered."""
         machine_type, zone, spot = kind
-        self.hire_count += 1
-        name = f"{self.term.fencing_token}-{self.hire_count}"
-        self.coming[kind] = self.coming.get(kind, 0) + count
+        self.provision_request_count += 1
+        name = f"{self.term.fencing_token}-{self.provision_request_count}"
+        self.provisioning[kind] = self.provisioning.get(kind, 0) + count
         type_name, zone_name = self.ledger.type_names[machine_type], self.ledger.zones[zone]
         body = {
             "hire": name,
@@ -187,10 +195,10 @@
         got = 0
         try:
             # The same name again rents nothing twice, so an unanswered request is repeated.
-            for _ in range(HIRE_TRIES):
+            for _ in range(PROVISION_ATTEMPTS):
                 await self.cloud_budget.wait()
                 # Since it was decided the lead, or the picture that it rests on, may have gone.
-                if not self.term.permits(Action.HIRE):
+                if not self.term.permits(Action.PROVISION):
                     break
                 try:
                     answer = await self.term.controller.cloud.call(
@@ -204,7 +212,7 @@
                     if answer.body.get("error") != "no capacity":
                         self.term.controller.note("hire", f"{answer.status} {answer.body}")
                     break
-                hosts = shape(answer.body, RentedMachines).machines
+                hosts = shape(answer.body, ProvisionedMachines).machines
                 now = self.now()
                 for host in hosts:
                     self.ledger.add_machine(host, type_name, zone_name, spot, now)
@@ -213,7 +221,7 @@
         except MalformedMessageError as error:
             self.term.controller.note("hire", error)
         finally:
-            self.coming[kind] -= count
+            self.provisioning[kind] -= count
         log.info(
             "hire %s: %d of %d %s in %s%s",
             name,
@@ -224,16 +232,16 @@
             " spot" if spot else "",
         )
         if got < count:
-            self.refusals.refused(kind, self.now())
+            self.capacity_backoff.record_shortage(kind, self.now())
         else:
-            self.refusals.granted(kind)
+            self.capacity_backoff.record_success(kind)
         self.term.wake()
 
-    async def give_back(self, decisions: list[ReturnDecision]) -> None:
+    async def terminate(self, decisions: list[TerminationDecision]) -> None:
         """Return machines; they are gone once the cloud has answered."""
         await self.cloud_budget.wait()
         # Looked at again when it is sent: a cut may have healed while the call waited.
-        sent = [one for one in decisions if self._still_wanted(one)]
+        sent = [one for one in decisions if self._still_justified(one)]
         try:
             if not sent:
                 return
@@ -251,19 +259,19 @@
             return
         finally:
             for decision in decisions:
-                decision.machine.returning = False
+                decision.machine.terminating = False
         now = self.now()
         for decision in sent:
             machine = decision.machine
             log.info(
                 "returned %s after %.0f s: %s",
                 machine.name,
-                now - machine.hired_at,
+                now - machine.provisioned_at,
                 decision.reason,
             )
             self.ledger.machine_gone(machine, now)
             self.term.pages.machine_registry.drop(machine.name)
 
-    def _still_wanted(self, decision: ReturnDecision) -> bool:
-        held = Fact.REASON_HOLDS if decision.holds() else Fact(0)
-        return self.term.permits(Action.RETURN, held)
+    def _still_justified(self, decision: TerminationDecision) -> bool:
+        held = Precondition.REASON_HOLDS if decision.holds() else Precondition(0)
+        return self.term.permits(Action.TERMINATE, held)
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -21,7 +21,7 @@
 log = logging.getLogger("salthead.job_records")
 
 # Between looks at what became of awaited jobs.
-AWAIT_GAP_S = 0.2
+DEPENDENCY_CHECK_INTERVAL_S = 0.2
 
 
 class JobRecords:
@@ -198,7 +198,7 @@
                 except RETRYABLE_ERRORS as error:
                     self.term.controller.note("awaited job", error)
                     await self.term.controller.rest(0.5)
-            await self.term.controller.rest(AWAIT_GAP_S)
+            await self.term.controller.rest(DEPENDENCY_CHECK_INTERVAL_S)
 
     async def look_up(self, job_id: str) -> None:
         """Find out what became of a job that another depends on."""
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/lead.py
@@ -9,7 +9,7 @@
 from salthead import metrics
 from salthead.coordination.lease import promise_s
 from salthead.event_log import event
-from salthead.evidence.gate import Action, Fact
+from salthead.evidence.gate import Action, Precondition
 from salthead.leader.peer_calls import ask_promise, ask_reach
 from salthead.state_store.client import RETRYABLE_ERRORS, LeaseExpiredError
 
@@ -18,7 +18,7 @@
 
 log = logging.getLogger("salthead.lead")
 
-SHOW_GAP_S = 0.25  # between looks at whether the lease is certain
+LEASE_CHECK_INTERVAL_S = 0.25  # between looks at whether the lease is certain
 
 
 class Lead:
@@ -97,7 +97,7 @@
         """
         certain = True
         while True:
-            await asyncio.sleep(SHOW_GAP_S)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self.term.valid() == certain:
                 continue
             certain = not certain
@@ -124,7 +124,11 @@
                 *(ask_reach(peer) for peer in self.term.controller.peers.values())
             )
             elsewhere = max((reach.redirected for reach in found if reach is not None), default=0)
-            held = Fact.PEER_HEARS_MORE if self.clearly_more(elsewhere, heard) else Fact(0)
+            held = (
+                Precondition.PEER_HEARS_MORE_WORKERS
+                if self.clearly_more(elsewhere, heard)
+                else Precondition(0)
+            )
             if self.term.permits(Action.RESIGN, held):
                 self._ending(
                     "resigning", heard=heard, silent=silent, heartbeats_elsewhere=elsewhere
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -9,19 +9,19 @@
 from salthead import metrics
 from salthead.coordination import heartbeats
 from salthead.coordination.model import Machine
-from salthead.coordination.placement import FRESH_PERIODS
+from salthead.coordination.placement import FRESH_HEARTBEAT_INTERVALS
 from salthead.evidence.diagnosis import LinkState, LinkView, link_views
-from salthead.evidence.gate import action_name, fact_names
+from salthead.evidence.gate import action_name, precondition_names
 from salthead.evidence.shared_silence import SharedSilence
+from salthead.leader.autoscaler import PAUSE_FACTOR
 from salthead.leader.peer_calls import PeerReach, ask_reach
-from salthead.leader.rental import REST_FACTOR
 from salthead.policy import Network, PartialCutPolicy
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
 
-ASK_GAP_S = 2.0
-WITHHELD_SHOWN_S = 60.0
+PEER_CHECK_INTERVAL_S = 2.0
+BLOCKED_SHOWN_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
                 if self.term.valid():
                     self._show()
                 await self.term.controller.rest(
-                    max(ASK_GAP_S, REST_FACTOR * (self.term.now() - began))
+                    max(PEER_CHECK_INTERVAL_S, PAUSE_FACTOR * (self.term.now() - began))
                 )
         finally:
             metrics.forget_links()
@@ -101,7 +101,7 @@
 
     def worker_views(self) -> list[LinkView]:
         """The links to machines by declared network, or else by zone."""
-        fresh_s = FRESH_PERIODS * self.term.limits.workers.heartbeat_interval_s
+        fresh_s = FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
         return link_views(self.ledger.machines.values(), self._group_of, self.term.now(), fresh_s)
 
     def overview(self) -> dict[str, Any]:
@@ -130,12 +130,12 @@
             "withheld": [
                 {
                     "action": action_name(action),
-                    "lacking": ", ".join(fact_names(missing)),
+                    "lacking": ", ".join(precondition_names(missing)),
                     "count": row.count,
                     "since_s": round(now - row.first_at, 1),
                     "last_s": round(now - row.last_at, 1),
                 }
-                for action, missing, row in self.ledger.withheld.recent(now - WITHHELD_SHOWN_S)
+                for action, missing, row in self.ledger.withheld.recent(now - BLOCKED_SHOWN_S)
             ],
             "cuts": [
                 {"group": name, "since_s": round(now - since, 1)}
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -15,7 +15,7 @@
     from salthead.leader.term import Term
 
 # Tasks of an unfinished job are saved at most this often; their ends are kept by the worker.
-PART_GAP_S = 2.0
+SAVE_INTERVAL_S = 2.0
 BATCH_KB = 56.0  # of a transaction's 64 KiB
 
 
@@ -45,7 +45,7 @@
     async def save_loop(self) -> None:
         """Done tasks of jobs that go on; outcomes do not wait for these."""
         while True:
-            await self.term.controller.rest(PART_GAP_S)
+            await self.term.controller.rest(SAVE_INTERVAL_S)
             try:
                 await self.clear_leftovers()
                 await self.save_parts()
@@ -128,7 +128,7 @@
             ):
                 try:
                     batch = await self.write_pages(self.machine_registry)
-                    self.registry_write_due_at = self.term.now() + PART_GAP_S
+                    self.registry_write_due_at = self.term.now() + SAVE_INTERVAL_S
                     for _, content in batch.values():
                         for name in content:
                             found = ledger.machines.get(name)
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -13,11 +13,11 @@
 from salthead.coordination.lease import LeaseClock
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.model import Machine
-from salthead.evidence.gate import Action, Fact, lacking
+from salthead.evidence.gate import Action, Precondition, missing_preconditions
+from salthead.leader.autoscaler import PAUSE_FACTOR, Autoscaler
 from salthead.leader.job_records import JobRecords
 from salthead.leader.lead import Lead
 from salthead.leader.outcomes import Outcomes
-from salthead.leader.rental import REST_FACTOR, Rental
 from salthead.leader.saved_pages import SavedPages
 from salthead.leader.views import Views
 from salthead.leader.worker_calls import WorkerCalls
@@ -41,12 +41,12 @@
 
 # Between passes over the queue, when something has changed and when nothing has. Room that frees is
 # filled with the report that shows it, so that a pass is for jobs that come and pauses that end.
-DECIDE_GAP_S, IDLE_GAP_S = 0.25, 0.5
+MIN_PASS_INTERVAL_S, MAX_PASS_INTERVAL_S = 0.25, 0.5
 # A look at each machine, for what no report brings: a fifth of the processor time of a leader of
 # 570 machines went into doing that with each pass.
-LOOK_GAP_S = 0.5
+SWEEP_INTERVAL_S = 0.5
 # Placement itself looks only at tasks that no machine can be running (``Ledger.may_place``).
-TASK_NOWHERE = int(Fact.TASK_NOWHERE)
+TASK_NOWHERE = int(Precondition.TASK_NOWHERE)
 
 
 class Term:
@@ -82,7 +82,7 @@
         self.background: set[asyncio.Task[None]] = set()
         self.starved: set[str] = set()  # jobs that found no machine at the last pass
         self.job_records = JobRecords(self)
-        self.rental = Rental(self)
+        self.autoscaler = Autoscaler(self)
         self.lead = Lead(self)
         self.worker_calls = WorkerCalls(self)
         self.zone_permissions = ZonePermissions(self)
@@ -114,7 +114,7 @@
 
     def permits(self, action: Action, more: int = 0) -> bool:
         """Whether an action is permitted now, by what is confirmed here and ``more`` facts."""
-        missing = lacking(action, self.ledger.facts() | more)
+        missing = missing_preconditions(action, self.ledger.confirmed_preconditions() | more)
         if missing:
             self.ledger.withheld.note(action, missing, self.now())
         return not missing
@@ -164,8 +164,8 @@
             self.outcomes.loop(),
             self.pages.save_loop(),
             self.pages.registry_loop(),
-            self.rental.list_loop(),
-            self.rental.fleet_loop(),
+            self.autoscaler.list_loop(),
+            self.autoscaler.fleet_loop(),
             self.unknown_jobs_loop(),
             self.worker_calls.unresponsive_loop(),
             self.zone_permissions.loop(),
@@ -227,36 +227,36 @@
             # Not wait_for: when the event is set as the term ends, that returns the result and
             # loses the cancellation, and this loop would keep the controller from standing again.
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(IDLE_GAP_S):
+                async with asyncio.timeout(MAX_PASS_INTERVAL_S):
                     await self.changed.wait()
             self.changed.clear()
             now = self.now()
-            if now - looked >= LOOK_GAP_S:
+            if now - looked >= SWEEP_INTERVAL_S:
                 looked = now
                 self.look(now)
             self.decide(now)
             self.worker_calls.send_stops()
-            await asyncio.sleep(max(DECIDE_GAP_S, REST_FACTOR * (self.now() - now)))
+            await asyncio.sleep(max(MIN_PASS_INTERVAL_S, PAUSE_FACTOR * (self.now() - now)))
 
     def offer(self, machine: Machine, now: float) -> None:
         """Offer room that a report has freed to those in line."""
-        if self.permits(Action.PLACE, TASK_NOWHERE):
+        if self.permits(Action.SCHEDULE, TASK_NOWHERE):
             placement.offer(self.ledger, machine, self.controller.rng, now)
 
     def look(self, now: float) -> None:
         """What time alone changes, machine by machine."""
         self.ledger.tick(now)
-        if self.permits(Action.PLACE, TASK_NOWHERE):
+        if self.permits(Action.SCHEDULE, TASK_NOWHERE):
             placement.redraw(self.ledger, self.controller.rng, now)
             preemption.drain(self.ledger, now)
 
     def decide(self, now: float) -> None:
         """One pass of placement, and what follows for those that found no machine."""
-        if self.permits(Action.PLACE, TASK_NOWHERE):
+        if self.permits(Action.SCHEDULE, TASK_NOWHERE):
             starved = placement.place(self.ledger, self.controller.rng, now)
             before, self.starved = self.starved, {job.job_id for job in starved}
             if not self.starved <= before:
-                self.rental.wanted.set()
+                self.autoscaler.plan_requested.set()
             preemption.preempt(self.ledger, starved, now)
             gangs.keep_room(self.ledger, starved, now)
 
@@ -281,7 +281,11 @@
         if not job.over and not job.dependency_cancelled:
             await self.outcomes.cancel(job)
         # What follows from a durable outcome may be told before it is written itself.
-        durable = Fact.OUTCOME_DURABLE if job.over or job.dependency_cancelled else Fact(0)
+        durable = (
+            Precondition.OUTCOME_DURABLE
+            if job.over or job.dependency_cancelled
+            else Precondition(0)
+        )
         if not self.permits(Action.CONFIRM_CANCELLATION, durable):
             raise UnansweredError("cancel in doubt")
         return {"uid": job_id, "phase": job.over or names.ABORTED}
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -16,9 +16,9 @@
 
 log = logging.getLogger("salthead.views")
 
-ACCOUNT_S, SHOW_S = 2.0, 10.0
+ACCOUNTING_INTERVAL_S, FLEET_LOG_INTERVAL_S = 2.0, 10.0
 OVERVIEW_ROWS = 150
-OVERVIEW_AWAITS = 3
+OVERVIEW_DEPENDENCIES = 3
 
 
 def _zone_row(view: ZoneView) -> dict[str, Any]:
@@ -50,7 +50,7 @@
         self.term = term
         self.ledger = term.ledger
         self.now = term.now
-        self.shown = -SHOW_S
+        self.shown = -FLEET_LOG_INTERVAL_S
         self.accounted = term.now()
         self.spent: dict[str, float] = {}
 
@@ -103,7 +103,7 @@
             "running": running,
             "done": done,
             "pieces": job.spec.task_count,
-            "awaits": self.ledger.awaited_by(job.job_id, OVERVIEW_AWAITS),
+            "awaits": self.ledger.awaited_by(job.job_id, OVERVIEW_DEPENDENCIES),
             "reason": reason,
         }
 
@@ -146,7 +146,7 @@
 
     def show(self) -> None:
         """Set the metrics, and log a line about the fleet now and then."""
-        if self.now() - self.accounted < ACCOUNT_S:
+        if self.now() - self.accounted < ACCOUNTING_INTERVAL_S:
             return
         self.account(self.now())
         phases: dict[str, int] = {}
@@ -155,7 +155,7 @@
         for phase in ("up", "booting", "lost"):
             metrics.MACHINES.labels(phase).set(phases.get(phase, 0))
         now = self.now()
-        if now - self.shown >= SHOW_S:
+        if now - self.shown >= FLEET_LOG_INTERVAL_S:
             self.shown = now
             machines = [m for m in self.ledger.machines.values() if m.phase == UP]
             log.info(
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -9,8 +9,8 @@
 
 from salthead.coordination import machine_health, placement
 from salthead.coordination.model import LOST, UP, Machine
-from salthead.coordination.task_reconciliation import MAX_ORDERS
-from salthead.evidence.gate import Action, Fact
+from salthead.coordination.task_reconciliation import MAX_COMMANDS
+from salthead.evidence.gate import Action, Precondition
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat, shape, stop_order
 from salthead.state_store.client import RETRYABLE_ERRORS
@@ -98,7 +98,7 @@
                     for machine in self.term.ledger.machines.values()
                     if machine.unresponsive_since is not None
                     and machine.endpoint
-                    and not machine.returning
+                    and not machine.terminating
                 ]
             )
 
@@ -144,17 +144,21 @@
         """
         if machine.reconciled:
             return False
-        fresh_s = placement.FRESH_PERIODS * self.term.limits.workers.heartbeat_interval_s
+        fresh_s = (
+            placement.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
+        )
         heartbeats_arrive = self.term.now() - machine.links.last_received_at <= fresh_s
         return machine.phase == UP or heartbeats_arrive
 
     def _in_doubt(self, now: float) -> list[Machine]:
-        fresh_s = placement.FRESH_PERIODS * self.term.limits.workers.heartbeat_interval_s
+        fresh_s = (
+            placement.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
+        )
         return [
             machine
             for machine in self.term.ledger.machines.values()
             if machine.endpoint
-            and not machine.returning
+            and not machine.terminating
             and machine.unresponsive_since is None  # those have a loop of their own
             and (
                 machine.phase == LOST
@@ -181,7 +185,9 @@
         reports repeat it. Starts are never sent like this: a late one would start a task that
         has meanwhile been started elsewhere, cancelled or reaped.
         """
-        if not self.term.permits(Action.STOP, Fact.TOKEN_ACCEPTED):  # asked of each machine below
+        if not self.term.permits(
+            Action.STOP, Precondition.TOKEN_ACCEPTED
+        ):  # asked of each machine below
             return
         wanted, self.term.ledger.stops = self.term.ledger.stops, []
         orders: dict[Machine, list[dict[str, Any]]] = {}
@@ -199,7 +205,7 @@
                     stop_order(binding.task_id, binding.attempt, binding.stop)
                 )
         for machine, stops in orders.items():
-            self.term.spawn(self.send(machine, stops[:MAX_ORDERS]))
+            self.term.spawn(self.send(machine, stops[:MAX_COMMANDS]))
 
     async def send(self, machine: Machine, orders: list[dict[str, Any]]) -> None:
         """Send commands once; answers to the worker's reports repeat them."""
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -15,7 +15,7 @@
     from salthead.leader.term import Term
     from salthead.networks.silence import NetworkSilence
 
-OBSERVE_GAP_S = 1.0
+OBSERVE_INTERVAL_S = 1.0
 
 
 def _silence_of(networks: list[Network]) -> NetworkSilence | None:
@@ -61,7 +61,7 @@
                 await self._write()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.term.controller.note("zones", error)
-            await self.term.controller.rest(OBSERVE_GAP_S)
+            await self.term.controller.rest(OBSERVE_INTERVAL_S)
 
     async def _load(self) -> None:
         """Go on from the records; without them, the zones are as they are seen."""
@@ -70,7 +70,7 @@
                 rows, _ = await self.term.state_store.list_prefix(records.ZONES)
             except RETRYABLE_ERRORS as error:
                 self.term.controller.note("zones", error)
-                await self.term.controller.rest(OBSERVE_GAP_S)
+                await self.term.controller.rest(OBSERVE_INTERVAL_S)
                 continue
             values = {path: value for path, (value, _) in rows.items()}
             self.recovery.load(values, self.term.now())
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -45,7 +45,7 @@
     ["group", "state"],
     registry=REGISTRY,
 )
-WITHHELD = Counter(
+BLOCKED_ACTIONS = Counter(
     "salthead_withheld_total",
     "Actions withheld, by the evidence that was lacking",
     ["action", "lacking"],
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -146,7 +146,7 @@
     truncated: bool = False
 
 
-class RentedMachines(msgspec.Struct):
+class ProvisionedMachines(msgspec.Struct):
     """The answer to POST /hosts."""
 
     machines: list[str] = msgspec.field(name="saltlicks")
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -14,7 +14,7 @@
 import msgspec
 
 # Of a value's permitted size, what is used: the rest is for separators and for growth in place.
-FILL = 0.8
+FILL_SHARE = 0.8
 
 
 class Pages:
@@ -27,7 +27,7 @@
 
     def __init__(self, prefix: str, value_kb: float) -> None:
         self.prefix = prefix
-        self.most = int(value_kb * 1024 * FILL)
+        self.most = int(value_kb * 1024 * FILL_SHARE)
         self.pages: dict[int, dict[str, Any]] = {}
         self.sizes: dict[int, int] = {}
         self.where: dict[str, int] = {}
--- a/src/salthead/transport/client.py
+++ b/src/salthead/transport/client.py
@@ -26,9 +26,9 @@
 from salthead.protocol.messages import MalformedMessageError, decode_map, encode
 
 # Lists of the state service have no size limit.
-MOST = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 # A connection that was idle for longer may be about to be closed by the other side.
-IDLE_S = 15.0
+MAX_IDLE_S = 15.0
 
 
 class UnansweredError(SaltheadError):
@@ -74,7 +74,7 @@
     Without an address each call names its own, and connections are not kept: there are many.
     """
 
-    PARAMS = HTTP1ConnectionParameters(max_body_size=MOST)
+    PARAMS = HTTP1ConnectionParameters(max_body_size=MAX_RESPONSE_BYTES)
 
     def __init__(self, endpoint: str, slots: int) -> None:
         self.endpoint = endpoint
@@ -143,11 +143,13 @@
         while self.idle:
             stream, since = self.idle.pop()
             stream.set_close_callback(None)
-            if now - since < IDLE_S and not stream.closed():
+            if now - since < MAX_IDLE_S and not stream.closed():
                 return stream
             stream.close()
         host, _, port = endpoint.rpartition(":")
-        stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM), max_buffer_size=MOST)
+        stream = IOStream(
+            socket.socket(socket.AF_INET, socket.SOCK_STREAM), max_buffer_size=MAX_RESPONSE_BYTES
+        )
         try:
             await stream.connect((host, int(port)))
         except BaseException:
--- a/src/salthead/transport/connections.py
+++ b/src/salthead/transport/connections.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-LEFT_S = 120.0
+ABANDONED_AFTER_S = 120.0
 # Above this part of the connections that there may be, each is closed after its answer. A fleet
 # that is larger than the number of sockets then takes turns instead of being refused: 4,000
 # workers that report every 3 s, each for 50 ms, hold about 70 connections at a time.
-CROWDED_PART = 0.8
+CROWDED_SHARE = 0.8
 
 Mark = tuple[int, int]  # of a report: (tenure, tally)
 
@@ -41,7 +41,7 @@
 
     def crowded(self) -> bool:
         """Whether connections are to be closed after their answer, so that others get a turn."""
-        return self.most > 0 and len(self.used_at) > CROWDED_PART * self.most
+        return self.most > 0 and len(self.used_at) > CROWDED_SHARE * self.most
 
     def opened(self, stream: Closable) -> bool:
         """Whether the connection may stay; if need be, the one that was idle longest goes."""
@@ -60,7 +60,7 @@
         now = self.now()
         while self.used_at:
             oldest, at = next(iter(self.used_at.items()))
-            if now - at <= LEFT_S:
+            if now - at <= ABANDONED_AFTER_S:
                 return
             self.closed(oldest)
             oldest.close()
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -10,7 +10,7 @@
 
 # A claim lasts for so many report periods: by then the gang's other machines are up, or room is
 # kept for it on machines that empty, and another gang may use this one.
-CLAIM_PERIODS = 3.0
+CLAIM_HEARTBEAT_INTERVALS = 3.0
 # Arrays of this urgency and below are the low-priority ones, which wait for whole gangs.
 LOW_RANK = names.URGENCIES.index("normal")
 
@@ -40,7 +40,7 @@
     """
     if machine.held_for and now < machine.held_until:
         return
-    until = now + CLAIM_PERIODS * ledger.limits.workers.heartbeat_interval_s
+    until = now + CLAIM_HEARTBEAT_INTERVALS * ledger.limits.workers.heartbeat_interval_s
     for job in ledger.line.jobs:
         if job.job_id in displaced and _lacks(ledger, job, machine, now):
             ledger.room.keep(machine, job.job_id, until)
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -16,7 +16,7 @@
 from salthead.zones import evacuation, records
 from salthead.zones.slow_start import Progress, SlowStart
 from salthead.zones.start_times import StartTimes
-from salthead.zones.state import Evidence, ZonePhase, ZoneState
+from salthead.zones.state import ZoneHealth, ZonePhase, ZoneState
 
 if TYPE_CHECKING:
     from salthead.networks.silence import NetworkSilence, NetworkView
@@ -24,7 +24,7 @@
 log = logging.getLogger("salthead.zones")
 
 # Two generations of two report periods each: silence is seen after two to four of them.
-HEARD_PERIODS = 2.0
+WINDOW_HEARTBEAT_INTERVALS = 2.0
 # For how long the end of a lease counts, in leases. A zone's leases end within a report period of
 # each other, but what is returned at once leaves the ledger before the last of them.
 EXPIRED_LEASES = 3.0
@@ -71,10 +71,10 @@
         self.wall_ahead = wall - now
         self.seen_at = now
         self.states: list[ZoneState] = []
-        self.returns: dict[int, SlowStart] = {}
+        self.slow_starts: dict[int, SlowStart] = {}
         self.sets = MachineSets(
             len(ledger.zones),
-            HEARD_PERIODS * workers.heartbeat_interval_s,
+            WINDOW_HEARTBEAT_INTERVALS * workers.heartbeat_interval_s,
             EXPIRED_LEASES * workers.lease_s,
             now,
         )
@@ -86,7 +86,7 @@
         self.unknown_losses: set[int] = set()
         self.displaced_jobs: dict[str, float] = {}  # of zones that are lost, and not back yet
         self.written: dict[int, Written] = {}
-        self.hire_bounds: list[int | None] = []
+        self.provision_limits: list[int | None] = []
         self._grow(now)
 
     # -- what happens -------------------------------------------------------------------
@@ -124,7 +124,7 @@
         if job is None:
             return
         zone, seconds = binding.machine.zone, now - binding.since
-        current = self.returns.get(zone)
+        current = self.slow_starts.get(zone)
         if current is not None:
             current.note_start(job.spec.job_class, seconds)
         elif self.states[zone].phase is ZonePhase.AVAILABLE:
@@ -132,7 +132,7 @@
 
     def failed(self, machine: Machine) -> None:
         """A task has failed on the machine."""
-        if (current := self.returns.get(machine.zone)) is not None:
+        if (current := self.slow_starts.get(machine.zone)) is not None:
             current.note_failure()
 
     # -- the state of zones -------------------------------------------------------------
@@ -147,16 +147,18 @@
         for zone, state in enumerate(self.states):
             if state.observe(self.evidence(zone, now), now):
                 self._entered(zone, now)
-            if zone in self.returns:
+            if zone in self.slow_starts:
                 self._continue_return(zone, now)
-        self.hire_bounds = [self._hire_bound(zone, now) for zone in range(len(self.states))]
+        self.provision_limits = [
+            self._provision_limit(zone, now) for zone in range(len(self.states))
+        ]
         self._find_displaced(now)
 
-    def evidence(self, zone: int, now: float) -> Evidence:
+    def evidence(self, zone: int, now: float) -> ZoneHealth:
         """The counts of a zone's machines by which it is judged."""
         machines, unheard, expired = self.sets.counts(zone)
         kept = now < self.ledger.leases.kept_until.get(zone, -1.0)
-        return Evidence(machines, unheard, expired, kept)
+        return ZoneHealth(machines, unheard, expired, kept)
 
     def _grow(self, now: float) -> None:
         while len(self.states) < len(self.ledger.zones):
@@ -175,9 +177,9 @@
         if state.phase is ZonePhase.LOST and zone in self.unknown_losses:
             self._displace_earlier_jobs(zone, now)
         if state.phase is ZonePhase.RECOVERING:
-            self.returns[zone] = SlowStart(self.policy, zone, self.rng, now)
+            self.slow_starts[zone] = SlowStart(self.policy, zone, self.rng, now)
         else:
-            self.returns.pop(zone, None)
+            self.slow_starts.pop(zone, None)
         self._withhold(zone)
         self.ledger.events.changed()
 
@@ -190,7 +192,7 @@
                 self.lost_tasks[zone].setdefault(job.job_id, now)
 
     def _continue_return(self, zone: int, now: float) -> None:
-        current, state = self.returns[zone], self.states[zone]
+        current, state = self.slow_starts[zone], self.states[zone]
         if current.advance(self._progress(zone, current, now), self.usual, now):
             if current.complete:
                 state.enter(ZonePhase.AVAILABLE, "", now)
@@ -226,7 +228,7 @@
         )
 
     def _is_open(self, machine: Machine) -> bool:
-        current = self.returns.get(machine.zone)
+        current = self.slow_starts.get(machine.zone)
         return current is not None and machine.index in current.open
 
     def _withhold(self, zone: int) -> None:
@@ -279,11 +281,11 @@
         """A gang that lost a machine of a zone in trouble is never completed elsewhere."""
         return self.states[machine.zone].phase is not ZonePhase.AVAILABLE
 
-    def hire_most(self, zone: int) -> int | None:
+    def max_provision(self, zone: int) -> int | None:
         """How many machines of a kind may be hired in the zone at a time; None: no bound."""
-        return self.hire_bounds[zone] if zone < len(self.hire_bounds) else None
+        return self.provision_limits[zone] if zone < len(self.provision_limits) else None
 
-    def _hire_bound(self, zone: int, now: float) -> int | None:
+    def _provision_limit(self, zone: int, now: float) -> int | None:
         """No hires where machines can't be heard, few to see whether that is over, then more."""
         if not self._withholds(zone):
             return None
@@ -291,7 +293,7 @@
         if state.phase is ZonePhase.LOST:
             waited = now - state.since >= self.policy.probe_after_s
             return self.policy.probe_machines if waited and not self._probing(zone) else 0
-        current = self.returns.get(zone)
+        current = self.slow_starts.get(zone)
         share = current.share if current is not None else 1.0
         return max(self.policy.probe_machines, int(share * len(self.sets.present[zone])))
 
@@ -322,7 +324,7 @@
 
     def step(self, zone: int) -> int:
         """The step of a zone's return; 0 where it is not returning."""
-        current = self.returns.get(zone)
+        current = self.slow_starts.get(zone)
         return current.step if current is not None else 0
 
     def load(self, rows: dict[str, Any], now: float) -> None:
@@ -338,7 +340,7 @@
             if state.phase is ZonePhase.RECOVERING:
                 current = SlowStart(self.policy, zone, self.rng, now)
                 current.step = max(0, min(record.step, len(self.policy.steps) - 1))
-                self.returns[zone] = current
+                self.slow_starts[zone] = current
             self.written[zone] = (state.phase, self.step(zone), now)
             self._withhold(zone)
 
@@ -372,7 +374,7 @@
         found = []
         for zone, state in enumerate(self.states):
             machines, unheard, _ = self.sets.counts(zone)
-            current = self.returns.get(zone)
+            current = self.slow_starts.get(zone)
             found.append(
                 ZoneView(
                     name=self.ledger.zones[zone],
--- a/src/salthead/zones/slow_start.py
+++ b/src/salthead/zones/slow_start.py
@@ -14,7 +14,7 @@
 # Steps are not equally long, so that zones which return together do not grow together.
 JITTER = 0.2
 # More failed starts than this part of all of them hold the next step back.
-FAILED_PART = 0.2
+MAX_FAILED_SHARE = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
         return True
 
     def _reason_to_wait(self, progress: Progress, usual: StartTimes) -> str:
-        if self.failed > FAILED_PART * (self.started + self.failed):
+        if self.failed > MAX_FAILED_SHARE * (self.started + self.failed):
             return f"{self.failed} tasks failed"
         if slow := slow_classes(self.recent, usual, self.zone, self.policy.slow_factor):
             return f"slow starts of {', '.join(slow)}"
--- a/src/salthead/zones/start_times.py
+++ b/src/salthead/zones/start_times.py
@@ -7,9 +7,9 @@
 RELATIVE_ERROR = 0.05
 USUAL_QUANTILE = 0.9  # of the usual starts: a slower one is out of the ordinary
 TYPICAL_QUANTILE = 0.5  # of the starts that are judged
-LEAST_STARTS = 5  # below this many nothing is usual yet
+MIN_STARTS = 5  # below this many nothing is usual yet
 # A sketch of one class keeps about 100 buckets; classes beyond these are not told apart.
-CLASSES_MOST = 200
+MAX_JOB_CLASSES = 200
 
 
 class StartTimes:
@@ -23,7 +23,7 @@
         key = (zone, job_class)
         sketch = self.sketches.get(key)
         if sketch is None:
-            if len(self.sketches) >= CLASSES_MOST:
+            if len(self.sketches) >= MAX_JOB_CLASSES:
                 return
             sketch = self.sketches[key] = DDSketch(RELATIVE_ERROR)
         sketch.add(max(seconds, 0.001))
@@ -31,7 +31,7 @@
     def quantile(self, zone: int, job_class: str, quantile: float) -> float | None:
         """A quantile of the zone's starts of a class; None while there are too few."""
         sketch = self.sketches.get((zone, job_class))
-        if sketch is None or sketch.count < LEAST_STARTS:
+        if sketch is None or sketch.count < MIN_STARTS:
             return None
         found = sketch.get_quantile_value(quantile)
         return None if found is None else float(found)
--- a/src/salthead/zones/state.py
+++ b/src/salthead/zones/state.py
@@ -8,9 +8,9 @@
 from salthead.policy import ZonePolicy
 
 # A suspicion ends at this part of the share at which it begins, so that it does not come and go.
-CLEAR_PART = 0.5
+SUSPICION_CLEAR_SHARE = 0.5
 # A penalty below this part of one loss is none.
-PENALTY_LEAST = 0.05
+MIN_PENALTY = 0.05
 
 
 class ZonePhase(enum.StrEnum):
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evidence:
+class ZoneHealth:
     """What is known of a zone's machines at one moment."""
 
     machines: int  # that are up, or whose lease ended lately
@@ -53,7 +53,7 @@
         """Earlier losses, each of which counts half after the policy's half-life."""
         passed = max(0.0, now - self.losses_at)
         found = float(self.losses * 0.5 ** (passed / self.policy.penalty_half_life_s))
-        return found if found >= PENALTY_LEAST else 0.0
+        return found if found >= MIN_PENALTY else 0.0
 
     def return_after_s(self, now: float) -> float:
         """For how long a lost zone has to be heard: longer the more often it was lost lately."""
@@ -69,7 +69,7 @@
         self.phase, self.since, self.reason = phase, now, reason
         self.heard_since = None
 
-    def observe(self, evidence: Evidence, now: float) -> bool:
+    def observe(self, evidence: ZoneHealth, now: float) -> bool:
         """Take new evidence in; whether the phase has changed."""
         before = self.phase
         if before is ZonePhase.LOST:
@@ -80,7 +80,7 @@
             self._look_for_loss(evidence, now)
         return self.phase is not before
 
-    def _look_for_loss(self, evidence: Evidence, now: float) -> None:
+    def _look_for_loss(self, evidence: ZoneHealth, now: float) -> None:
         policy = self.policy
         enough = evidence.unheard >= policy.min_machines
         if (
@@ -95,10 +95,13 @@
             if enough and evidence.share(evidence.unheard) >= policy.suspect_share:
                 reason = f"{evidence.unheard} of {evidence.machines} machines are unheard"
                 self.enter(ZonePhase.SUSPECTED, reason, now)
-        elif not enough or evidence.share(evidence.unheard) < CLEAR_PART * policy.suspect_share:
+        elif (
+            not enough
+            or evidence.share(evidence.unheard) < SUSPICION_CLEAR_SHARE * policy.suspect_share
+        ):
             self.enter(ZonePhase.AVAILABLE, "", now)
 
-    def _look_for_return(self, evidence: Evidence, now: float) -> None:
+    def _look_for_return(self, evidence: ZoneHealth, now: float) -> None:
         heard = evidence.machines - evidence.unheard
         # Of machines that were returned only the ends of their leases are known, so what has to be
         # heard is a share of those that are there or came back.
@@ -110,10 +113,10 @@
         elif now - self.heard_since >= self.return_after_s(now):
             self.enter(ZonePhase.RECOVERING, f"{heard} machines are heard again", now)
 
-    def _look_for_relapse(self, evidence: Evidence, now: float) -> None:
+    def _look_for_relapse(self, evidence: ZoneHealth, now: float) -> None:
         there = evidence.machines - evidence.expired
         heard = evidence.machines - evidence.unheard
         unheard = max(0, there - heard)
-        gone_again = there > 0 and unheard >= 2 and unheard >= self.policy.suspect_share * there
-        if gone_again or heard == 0:
+        lost_again = there > 0 and unheard >= 2 and unheard >= self.policy.suspect_share * there
+        if lost_again or heard == 0:
             self.enter(ZonePhase.LOST, f"{unheard} of {there} machines are unheard again", now)
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -13,12 +13,20 @@
 from helpers import heartbeat, job, ledger, machine, ready, spec
 from salthead import metrics
 from salthead import policy as policies
-from salthead.coordination import fleet, heartbeats
+from salthead.coordination import fleet_plan, heartbeats
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.model import LOST, UP
-from salthead.coordination.returns import LOST_REASON, SILENT_REASON, ReturnDecision
+from salthead.coordination.scale_in import LOST_REASON, SILENT_REASON, TerminationDecision
 from salthead.evidence.diagnosis import LinkState, link_state
-from salthead.evidence.gate import REQUIRED, Action, Fact, action_name, fact_names, lacking, permits
+from salthead.evidence.gate import (
+    REQUIRED,
+    Action,
+    Precondition,
+    action_name,
+    missing_preconditions,
+    permits,
+    precondition_names,
+)
 from salthead.evidence.shared_silence import SharedSilence
 from standins import run
 from test_scale import calls
@@ -40,8 +48,8 @@
 @pytest.mark.parametrize("action", list(Action))
 def test_each_fact_that_an_action_requires_is_required(action: Action) -> None:
     required = REQUIRED[action]
-    assert required and permits(action, required) and lacking(action, 0) == required
-    for fact in Fact:
+    assert required and permits(action, required) and missing_preconditions(action, 0) == required
+    for fact in Precondition:
         assert permits(action, int(required) & ~fact) == (fact not in required)
 
 
@@ -49,7 +57,7 @@
     rows = re.findall(r"^\| `(\w+)` \| (.+?) \|", (ROOT / "docs/design.md").read_text(), re.M)
     shown = {name: set(re.findall(r"`(\w+)`", facts)) for name, facts in rows}
     for action, required in REQUIRED.items():
-        assert shown[action_name(action)] == set(fact_names(required))
+        assert shown[action_name(action)] == set(precondition_names(required))
 
 
 @pytest.mark.parametrize(
@@ -185,7 +193,7 @@
                 led.machines[name].links.command_answered(float(now))
             elif one_way == "reports":
                 heartbeats.heartbeat_seen_by_peer(led, name, (1, now), True, float(now))
-        plan = fleet.plan(led, float(now), fleet.Refusals(), {})
+        plan = fleet_plan.plan(led, float(now), fleet_plan.CapacityBackoff(), {})
         found.append(sum(reason == LOST_REASON for reason in plan.reasons.values()))
     assert (found[7], found[-1]) == returned
 
@@ -196,7 +204,10 @@
     found.unresponsive_since = 0.0
     for now, returned in ((LEASE_S + 1.0, 0), (21.0, 1)):
         led.handle_heartbeat(heartbeat("m1", int(now)), now)
-        assert len(fleet.plan(led, now, fleet.Refusals(), {}).returns) == returned
+        assert (
+            len(fleet_plan.plan(led, now, fleet_plan.CapacityBackoff(), {}).to_terminate)
+            == returned
+        )
 
 
 @pytest.mark.parametrize(("south", "returned"), [(4, 0), (2, 2)])
@@ -212,7 +223,7 @@
     assert not led.shared_silence.cut, "nobody has had the time to find this leader"
     for n in range(south, 40):
         led.handle_heartbeat(heartbeat(f"m{n}", 1), 2.0)
-    plan = fleet.plan(led, 4.0, fleet.Refusals(), {})
+    plan = fleet_plan.plan(led, 4.0, fleet_plan.CapacityBackoff(), {})
     assert list(plan.reasons.values()) == [SILENT_REASON] * returned
 
 
@@ -246,25 +257,25 @@
                     heartbeat(f"m{n}", now, zone=("north", "south")[n % 2]), float(now)
                 )
         led.tick(float(now))
-        plan = fleet.plan(led, float(now), fleet.Refusals(), {})
+        plan = fleet_plan.plan(led, float(now), fleet_plan.CapacityBackoff(), {})
         assert LOST_REASON not in plan.reasons.values()
     assert sum(found.phase == LOST for found in led.machines.values()) == 10
     assert led.shared_silence is not None and led.shared_silence.unheard_zones == {1}
-    assert fleet.hire_most(led, 1) == 0 < fleet.hire_most(led, 0)
+    assert fleet_plan.max_provision(led, 1) == 0 < fleet_plan.max_provision(led, 0)
 
 
 def test_a_decision_is_dropped_when_what_it_rests_on_has_changed() -> None:
     led = ready()
     found = machine(led, "m1")
-    idle = ReturnDecision.of(found, "not needed")
+    idle = TerminationDecision.of(found, "not needed")
     led.tick(LEASE_S + 1.0)
     assert found.phase == LOST
-    lost = ReturnDecision.of(found, LOST_REASON)
+    lost = TerminationDecision.of(found, LOST_REASON)
     assert lost.holds() and not idle.holds()
     found.cordoned = True
     led.handle_heartbeat(heartbeat("m1", 1, incarnation=2), LEASE_S + 2.0)
     assert found.phase == UP and not lost.holds() and not found.cordoned
-    silent = ReturnDecision.of(found, SILENT_REASON)
+    silent = TerminationDecision.of(found, SILENT_REASON)
     assert silent.holds()
     led.handle_heartbeat(heartbeat("m1", 2, incarnation=2), LEASE_S + 3.0)
     assert not silent.holds(), "up as before, and no longer silent"
@@ -352,15 +363,15 @@
         world = CutWorld(1)
         leader = world.controllers[await begun(world)]
         assert leader is not None
-        rental, found = leader.term.rental, world.in_zone("south")[0].name
+        autoscaler, found = leader.term.autoscaler, world.in_zone("south")[0].name
         led = leader.term.ledger
         healing = led.machines[found]
         dead, decisions = led.machines[world.in_zone("south")[1].name], []
         for one in (healing, dead):
             led.set_phase(one, LOST)
-            decisions.append(ReturnDecision.of(one, LOST_REASON))
+            decisions.append(TerminationDecision.of(one, LOST_REASON))
         led.set_phase(healing, UP)
-        await rental.give_back(decisions)
+        await autoscaler.terminate(decisions)
         return set(world.cloud.hosts) & {found, dead.name}, {found}
 
     left, expected = run(scene)
@@ -376,7 +387,7 @@
         kind = next(iter(term.ledger.machines.values())).kind
         world.most = world.most_in_zone["north"] = 99
         term.clock.drop()
-        await term.rental.hire(kind, 1)
+        await term.autoscaler.provision(kind, 1)
         return before, len(world.cloud.hired)
 
     before, after = run(scene)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,7 +9,7 @@
 from helpers import heartbeat, job, ledger, machine, ready, verbs
 from salthead import metrics
 from salthead.coordination.invariants import (
-    AUDIT_GAP_S,
+    AUDIT_INTERVAL_S,
     Invariant,
     InvariantBrokenError,
     Invariants,
@@ -62,13 +62,13 @@
 def wrong_sum_of_a_team(led: Ledger) -> None:
     bind(led)
     led.usage[0][0] = 0.0
-    led.tick(AUDIT_GAP_S + 1.0)
+    led.tick(AUDIT_INTERVAL_S + 1.0)
 
 
 def wrong_sum_of_a_machine(led: Ledger) -> None:
     bind(led)
     led.machines["m1"].used[2] = 0.0
-    led.tick(AUDIT_GAP_S + 1.0)
+    led.tick(AUDIT_INTERVAL_S + 1.0)
 
 
 FAULTS: list[tuple[Callable[[Ledger], None], Invariant]] = [
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -14,11 +14,11 @@
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.controller.server import listen
-from salthead.coordination import fleet, placement, zone_leases
+from salthead.coordination import fleet_plan, placement, zone_leases
 from salthead.coordination import ledger as ledgers
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.model import UP
-from salthead.leader.rental import LIST_GAP_S, Rental
+from salthead.leader.autoscaler import LIST_INTERVAL_S, Autoscaler
 from salthead.state_store import records
 from salthead.state_store.pages import Pages
 from standins import World, run
@@ -67,8 +67,8 @@
     return led
 
 
-def plan(led: Ledger, now: float) -> fleet.Plan:
-    return fleet.plan(led, now, fleet.Refusals(), {})
+def plan(led: Ledger, now: float) -> fleet_plan.Plan:
+    return fleet_plan.plan(led, now, fleet_plan.CapacityBackoff(), {})
 
 
 def come_back(led: Ledger) -> None:
@@ -107,7 +107,7 @@
     # A fixed number would be a smaller and smaller part of a fleet that has to grow.
     led = full(machines, jobs=8)
     job(led, job_id="req-99", task_count=100_000, vcpus=2.0, estimated_run_s=500.0)
-    assert sum(plan(led, 10.0).hires.values()) == hired
+    assert sum(plan(led, 10.0).to_provision.values()) == hired
 
 
 def test_no_call_hires_more_than_the_cloud_takes() -> None:
@@ -121,18 +121,18 @@
             found.condemned = "full"
         asked: list[int] = []
 
-        async def hire(kind: Any, count: int) -> None:
+        async def provision(kind: Any, count: int) -> None:
             asked.append(count)
 
-        leader.term.rental.hire = hire  # type: ignore[method-assign]
+        leader.term.autoscaler.provision = provision  # type: ignore[method-assign]
         led.caps = [(1e9, 1e9) for _ in led.caps]
         job(led, now=world.now(), task_count=5000, vcpus=2.0, estimated_run_s=500.0)
-        leader.term.rental.wanted.set()
+        leader.term.autoscaler.plan_requested.set()
         await asyncio.sleep(0.3)
         return asked
 
     asked = run(day)
-    assert len(asked) >= 4 and max(asked) <= fleet.HIRE_MOST
+    assert len(asked) >= 4 and max(asked) <= fleet_plan.MAX_PROVISION_BATCH
 
 
 def test_a_loss_frees_everything_that_it_took() -> None:
@@ -151,7 +151,7 @@
     names = [machine(led, f"host-{n:06d}").name for n in range(LARGE)]
     for name in names:
         led.machine_gone(led.machines[name], 5.0)
-    assert len(led.recently_gone) == LARGE > ledgers.GONE_KEPT
+    assert len(led.recently_gone) == LARGE > ledgers.MIN_REMEMBERED_MACHINES
     assert all(led.handle_heartbeat(heartbeat(name, 2), 6.0) is None for name in names)
     assert led.machines == {} and led.unregistered == {}
 
@@ -160,7 +160,7 @@
     led = ready()
     for n in range(LARGE):
         led.machine_gone(machine(led, f"host-{n:06d}"), float(n))
-    assert len(led.recently_gone) == ledgers.GONE_KEPT
+    assert len(led.recently_gone) == ledgers.MIN_REMEMBERED_MACHINES
     assert f"host-{LARGE - 1:06d}" in led.recently_gone
 
 
@@ -195,7 +195,7 @@
 
 def test_a_node_behind_a_cut_does_not_walk_over_all_workers_at_each_report() -> None:
     lease = zone_leases.ZoneLease(5.0)
-    for n in range(3 * zone_leases.SENT_ON_KEPT):
+    for n in range(3 * zone_leases.MIN_REMEMBERED_REDIRECTS):
         lease.came_back(f"m{n}", 1.0)
     before = lease.sent_on
     lease.came_back("m-new", 1.0)
@@ -209,11 +209,11 @@
         while (leader := world.leader()) is None:
             await asyncio.sleep(0.05)
         leader.limits.cloud.rps = rps
-        return Rental(leader.term).list_gap_s(calls_made)
+        return Autoscaler(leader.term).list_interval_s(calls_made)
 
     gap_s = run(day)
     reading_s = calls_made / (0.7 * rps)
-    assert gap_s >= LIST_GAP_S and reading_s <= 0.34 * (reading_s + gap_s) or calls_made == 1
+    assert gap_s >= LIST_INTERVAL_S and reading_s <= 0.34 * (reading_s + gap_s) or calls_made == 1
 
 
 def test_machines_whose_lease_has_ended_are_asked_no_more_after_a_takeover() -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,7 +5,7 @@
 import pytest
 
 from helpers import heartbeat, job, ledger, machine, ready, spec, verbs
-from salthead.coordination import fleet, machine_health, placement, strays
+from salthead.coordination import fleet_plan, machine_health, placement, strays
 from salthead.coordination.lease import surely_over
 from salthead.coordination.model import LOST, UP
 from salthead.protocol.messages import Submission
@@ -420,14 +420,16 @@
         )
         lease_s, now = led.limits.workers.lease_s, 1.0
         while now < 1.0 + lease_s:
-            assert not fleet.plan(led, now, fleet.Refusals(), {}).returns
+            assert not fleet_plan.plan(led, now, fleet_plan.CapacityBackoff(), {}).to_terminate
             now += 2.0
             assert led.handle_heartbeat(heartbeat("m1", int(now)), now) == []
             led.tick(now)
         led.handle_heartbeat(heartbeat("m1", 60), now + 1.0)
-        returns = fleet.plan(led, now + 1.0, fleet.Refusals(), {}).returns
-        assert returns == [led.machines["m1"]]
-        led.machine_gone(returns[0], now + 1.5)
+        to_terminate = fleet_plan.plan(
+            led, now + 1.0, fleet_plan.CapacityBackoff(), {}
+        ).to_terminate
+        assert to_terminate == [led.machines["m1"]]
+        led.machine_gone(to_terminate[0], now + 1.5)
         assert one.waiting() == 1
 
     def test_a_copy_from_before_a_reap_starts_and_ends_nothing(self) -> None:
@@ -596,10 +598,10 @@
 
     def test_one_that_does_not_is_replaced(self) -> None:
         led, found, one = self.deaf()
-        plan = fleet.plan(led, 11.0, fleet.Refusals(), {})
-        assert sum(plan.hires.values()) == 1 and not plan.returns
+        plan = fleet_plan.plan(led, 11.0, fleet_plan.CapacityBackoff(), {})
+        assert sum(plan.to_provision.values()) == 1 and not plan.to_terminate
         late = found.unresponsive_since + led.limits.workers.lease_s + 1.0
-        assert found in fleet.plan(led, late, fleet.Refusals(), {}).returns
+        assert found in fleet_plan.plan(led, late, fleet_plan.CapacityBackoff(), {}).to_terminate
 
     @pytest.mark.parametrize(("heard", "deaf"), [(9.0, True), (1.0, False)])
     def test_a_session_that_rises_though_it_was_answered(self, heard: float, deaf: bool) -> None:
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -38,7 +38,7 @@
             "estimates": term.ledger.estimates,
             "outcomes": term.outcomes,
             "job records": term.job_records,
-            "rental": term.rental,
+            "rental": term.autoscaler,
             "views": term.views,
             "done pages": term.pages.parts,
             "roster": term.pages.machine_registry,
@@ -71,11 +71,11 @@
 def test_jobs_leave_no_more_behind_than_the_caches_hold(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(controller_module, "FINALS_KEPT", CACHE)
-    monkeypatch.setattr(Pipelines, "ENDED_KEPT", CACHE)
-    monkeypatch.setattr(ledger, "TEAMS_KEPT", CACHE)
-    monkeypatch.setattr(ledger, "GONE_KEPT", CACHE)
-    monkeypatch.setattr(zone_leases, "SENT_ON_KEPT", CACHE)
+    monkeypatch.setattr(controller_module, "MAX_REMEMBERED_OUTCOMES", CACHE)
+    monkeypatch.setattr(Pipelines, "MAX_REMEMBERED_ENDED", CACHE)
+    monkeypatch.setattr(ledger, "MIN_REMEMBERED_JOBS", CACHE)
+    monkeypatch.setattr(ledger, "MIN_REMEMBERED_MACHINES", CACHE)
+    monkeypatch.setattr(zone_leases, "MIN_REMEMBERED_REDIRECTS", CACHE)
 
     async def day() -> tuple[World, list[dict[str, int]]]:
         world = World(seed=3)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -15,7 +15,7 @@
     MachineType,
     MachineTypes,
     MalformedMessageError,
-    RentedMachines,
+    ProvisionedMachines,
     Submission,
     TaskStatus,
     decode_heartbeat,
@@ -160,7 +160,7 @@
     MachineTypes: "builds",
     ListedMachine: "uid build paddock phase borrowed endpoint age_s",
     MachineList: "saltlicks truncated",
-    RentedMachines: "saltlicks",
+    ProvisionedMachines: "saltlicks",
 }
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,7 +12,7 @@
 import test_days
 from helpers import heartbeat, job, machine, ready, settings, spec
 from salthead.controller.controller import Controller
-from salthead.coordination import fleet, order, placement, preemption, waiting
+from salthead.coordination import fleet_plan, order, placement, preemption, waiting
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.pipelines import Pipelines
 from salthead.protocol import names
@@ -165,8 +165,8 @@
     assert placement.entitled(led) == {"req-1"} if led.jobs["req-9"].size()[0] > 14 else True
     assert {one.job_id for one in placement.queue(led, set(), 300.0)} == {"req-1", "req-9"}
     led.jobs["req-9"].dependency_cancelled = True
-    plan = fleet.plan(led, 300.0, fleet.Refusals(), {})
-    assert sum(plan.hires.values()) == 1, "for req-1 alone"
+    plan = fleet_plan.plan(led, 300.0, fleet_plan.CapacityBackoff(), {})
+    assert sum(plan.to_provision.values()) == 1, "for req-1 alone"
 
 
 @pytest.mark.parametrize(
@@ -196,9 +196,9 @@
         led.live["req-1"].awaiting = False
     job(led, job_id="req-2", depends_on=["req-1"], task_count=1, vcpus=0.1)
     job(led, job_id="req-9", depends_on=depends_on, task_count=40, vcpus=8.0, estimated_run_s=300.0)
-    plan = fleet.plan(led, 100.0, fleet.Refusals(), {})
+    plan = fleet_plan.plan(led, 100.0, fleet_plan.CapacityBackoff(), {})
     # Of the team's limit eight machines' worth, of which the first job holds one.
-    assert (sum(plan.hires.values()) >= 6) == hired
+    assert (sum(plan.to_provision.values()) >= 6) == hired
 
 
 def test_a_new_leader_tells_nothing_old_before_it_has_read_what_became_of_the_root() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from helpers import heartbeat, job, machine, ready, verbs
-from salthead.coordination import fleet, gangs, machine_health, order, placement, preemption
+from salthead.coordination import fleet_plan, gangs, machine_health, order, placement, preemption
 from salthead.coordination.estimates import left_s
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.model import Job
@@ -47,7 +47,7 @@
         (lambda m: setattr(m, "reconciled", False), False),
         (lambda m: setattr(m, "warn_at", 50.0), False),
         (lambda m: setattr(m, "condemned", "x"), False),
-        (lambda m: setattr(m, "returning", True), False),
+        (lambda m: setattr(m, "terminating", True), False),
         (
             lambda m: setattr(m, "last_heartbeat_at", -7.0),
             False,
@@ -448,25 +448,25 @@
 
 
 class TestFleet:
-    def plan(self, led: Ledger, now: float = 0.0, refusals=None) -> fleet.Plan:
-        return fleet.plan(led, now, refusals or fleet.Refusals(), {})
+    def plan(self, led: Ledger, now: float = 0.0, capacity_backoff=None) -> fleet_plan.Plan:
+        return fleet_plan.plan(led, now, capacity_backoff or fleet_plan.CapacityBackoff(), {})
 
     def test_the_cheapest_kind_that_suits_is_hired_for_what_finds_no_room(self) -> None:
         led = ready()
         job(led, task_count=4, vcpus=8.0, estimated_run_s=100.0)
-        hires = self.plan(led).hires
-        assert sum(hires.values()) == 4
-        assert all(not kind[2] and led.type_names[kind[0]] == "small" for kind in hires)
+        to_provision = self.plan(led).to_provision
+        assert sum(to_provision.values()) == 4
+        assert all(not kind[2] and led.type_names[kind[0]] == "small" for kind in to_provision)
         led.jobs["req-1"].spec.spot = True
-        assert all(kind[2] for kind in self.plan(led).hires)
+        assert all(kind[2] for kind in self.plan(led).to_provision)
 
     def test_short_tasks_share_places(self) -> None:
         led = ready()
         job(led, task_count=4, vcpus=8.0, estimated_run_s=15.0)
-        assert sum(self.plan(led).hires.values()) == 1
+        assert sum(self.plan(led).to_provision.values()) == 1
 
     @pytest.mark.parametrize(
-        ("up", "booting", "task_count", "lasted", "hires"),
+        ("up", "booting", "task_count", "lasted", "to_provision"),
         [
             (2, 0, 8, 11.0, 4),  # 60 s of work in two places: a boot is 20 s, so six are wanted
             (2, 0, 8, 9.0, 0),  # it has not lasted for half of a boot
@@ -480,7 +480,7 @@
         booting: int,
         task_count: int,
         lasted: float,
-        hires: int,
+        to_provision: int,
     ) -> None:
         # Seen on loss, moana-buoys-fleet: 12,000 tasks waited beside 1,700 CPUs not hired. Hiring
         # for any long line, or for one that is due, cost the small deployment what it gained here.
@@ -490,24 +490,24 @@
         for n in range(booting):
             led.add_machine(f"h{n}", "small", "north", False, 0.0)
         job(led, task_count=task_count, vcpus=8.0, estimated_run_s=15.0)
-        usual = sum(self.plan(led).hires.values())
-        assert sum(self.plan(led, lasted).hires.values()) - usual == hires, usual
+        usual = sum(self.plan(led).to_provision.values())
+        assert sum(self.plan(led, lasted).to_provision.values()) - usual == to_provision, usual
 
     def test_booting_machines_count_and_the_teams_limit_binds(self) -> None:
         led = ready()
         job(led, team="red", task_count=50, vcpus=8.0, estimated_run_s=100.0)
-        assert sum(self.plan(led).hires.values()) == 3
+        assert sum(self.plan(led).to_provision.values()) == 3
         led.add_machine("h1", "small", "north", False, 0.0)
-        assert sum(self.plan(led).hires.values()) == 2
+        assert sum(self.plan(led).to_provision.values()) == 2
 
     def test_a_refused_kind_is_left_alone_for_a_while(self) -> None:
         led = ready()
         job(led, task_count=1, estimated_run_s=100.0, machine_types=["small"], zone="north")
-        refusals = fleet.Refusals()
-        (kind,) = self.plan(led, 0.0, refusals).hires
-        refusals.refused(kind, 0.0)
-        assert not self.plan(led, 1.0, refusals).hires
-        assert self.plan(led, 60.0, refusals).hires
+        capacity_backoff = fleet_plan.CapacityBackoff()
+        (kind,) = self.plan(led, 0.0, capacity_backoff).to_provision
+        capacity_backoff.record_shortage(kind, 0.0)
+        assert not self.plan(led, 1.0, capacity_backoff).to_provision
+        assert self.plan(led, 60.0, capacity_backoff).to_provision
 
     @pytest.mark.parametrize(
         ("spoil", "now", "back"),
@@ -522,16 +522,16 @@
     def test_returns(self, spoil, now: float, back: bool) -> None:
         led = ready()
         spoil(led)
-        assert bool(self.plan(led, now).returns) == back
+        assert bool(self.plan(led, now).to_terminate) == back
 
     def test_a_new_leader_does_not_return_machines_that_it_has_not_heard_from_yet(self) -> None:
         # Seen on day rough: 15 running machines returned as never having come up.
         led = ready(now=500.0)
-        led.add_machine("m1", "small", "north", False, 500.0, registered=True).hired_at = 0.0
-        led.add_machine("m2", "small", "north", False, 500.0).hired_at = 0.0
-        assert not self.plan(led, 501.0).returns
+        led.add_machine("m1", "small", "north", False, 500.0, registered=True).provisioned_at = 0.0
+        led.add_machine("m2", "small", "north", False, 500.0).provisioned_at = 0.0
+        assert not self.plan(led, 501.0).to_terminate
         led.tick(600.0)
-        assert [m.name for m in self.plan(led, 600.0).returns] == ["m1", "m2"]
+        assert [m.name for m in self.plan(led, 600.0).to_terminate] == ["m1", "m2"]
 
     @pytest.mark.parametrize(
         ("lost", "up", "now", "returned"),
@@ -547,7 +547,7 @@
         job(led, task_count=10, vcpus=8.0, estimated_run_s=500.0, team="red")
         for n in range(lost):
             led.machines[f"m{n}"].phase, led.machines[f"m{n}"].lost_at = "lost", 100.0
-        assert len(self.plan(led, now).returns) == returned
+        assert len(self.plan(led, now).to_terminate) == returned
 
     @pytest.mark.parametrize(
         ("silent", "heard", "now", "returned"),
@@ -562,7 +562,7 @@
             led.add_machine(f"s{n}", "small", "north", False, 0.0, registered=True)
         for n in range(heard):
             machine(led, f"m{n}")
-        assert len(self.plan(led, now).returns) == returned
+        assert len(self.plan(led, now).to_terminate) == returned
 
     def test_what_is_not_needed_for_a_while_is_emptied_and_returned(self) -> None:
         led = ready()
@@ -572,13 +572,13 @@
         one = job(led, task_count=2, spot=True)
         for index, name in enumerate(("m0", "m1")):
             led.bind(one, index, led.machines[name], 9, 0.0)
-        assert not self.plan(led, 1.0).returns
+        assert not self.plan(led, 1.0).to_terminate
         for name in ("m0", "m1", "cheap"):
             led.machines[name].last_heartbeat_at = 21.0
-        assert not self.plan(led, 22.0).returns, "both still work"
+        assert not self.plan(led, 22.0).to_terminate, "both still work"
         assert [m.name for m in led.machines.values() if m.cordoned] == ["m0", "m1"]
         led.handle_heartbeat(heartbeat("m0", 2, ("req-1/0", 9, "exited", "done")), 23.0)
-        assert [m.name for m in self.plan(led, 24.0).returns] == ["m0"]
+        assert [m.name for m in self.plan(led, 24.0).to_terminate] == ["m0"]
         # what comes in is counted: more work takes the cordon back
         job(led, job_id="req-2", task_count=7, estimated_run_s=100.0)
         self.plan(led, 25.0)
@@ -589,7 +589,7 @@
         machine(led, "m1")
         job(led, task_count=1)
         place(led)
-        assert not self.plan(led, 500.0).returns
+        assert not self.plan(led, 500.0).to_terminate
 
 
 @pytest.mark.parametrize(
@@ -692,8 +692,10 @@
     ) -> None:
         assert left_s(run_s, age_s) == left
 
-    @pytest.mark.parametrize(("age", "hires"), [(10.0, 1), (95.0, 0), (250.0, 1)])
-    def test_the_plan_counts_on_room_only_where_it_comes(self, age: float, hires: int) -> None:
+    @pytest.mark.parametrize(("age", "to_provision"), [(10.0, 1), (95.0, 0), (250.0, 1)])
+    def test_the_plan_counts_on_room_only_where_it_comes(
+        self, age: float, to_provision: int
+    ) -> None:
         led = ready()
         machine(led, "m1")
         old = job(led, job_id="req-9", task_count=1, vcpus=8.0, estimated_run_s=100.0)
@@ -708,7 +710,10 @@
             machine_types=["small"],
             zone="north",
         )
-        assert sum(fleet.plan(led, 300.0, fleet.Refusals(), {}).hires.values()) == hires
+        assert (
+            sum(fleet_plan.plan(led, 300.0, fleet_plan.CapacityBackoff(), {}).to_provision.values())
+            == to_provision
+        )
 
     def test_room_that_is_kept_does_not_stop_room_from_being_made(self) -> None:
         led = ready()
@@ -763,7 +768,7 @@
     def test_they_are_hired_last_for_who_can_do_without(self) -> None:
         led, _ = self.crowd()
         small = job(led, job_id="req-2", task_count=8, vcpus=2.0, spot=True)
-        kinds = fleet.kinds_for(led, small, fleet.Refusals(), 0.0)
+        kinds = fleet_plan.kinds_for(led, small, fleet_plan.CapacityBackoff(), 0.0)
         machine_types = [led.type_names[kind[0]] for kind in kinds]
         assert machine_types.index("big") == machine_types.count("small")
 
@@ -817,7 +822,7 @@
         place(led, float(now))
         if one.bindings and placed is None:
             placed = now
-    assert placed is not None and placement.HELD_MOST_S <= placed < 85
+    assert placed is not None and placement.MAX_HELD_BACK_S <= placed < 85
 
 
 def test_what_is_held_back_for_want_of_room_waits() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 
 import profile_costs
 from helpers import LIMITS, heartbeat, job, machine, ready, spec
-from salthead.coordination import fleet, placement
+from salthead.coordination import fleet_plan, placement
 from salthead.coordination.ledger import Ledger
 from salthead.leader.views import OVERVIEW_ROWS
 from salthead.state_store import records
@@ -187,9 +187,9 @@
     led = ready()
     led.caps = [(1e9, 1e9) for _ in led.caps]
     job(led, task_count=100_000, vcpus=2.0, estimated_run_s=500.0)
-    found: list[fleet.Plan] = []
-    cost = calls(lambda: found.append(fleet.plan(led, 10.0, fleet.Refusals(), {})))
-    assert sum(found[0].hires.values()) == fleet.HIRE_MOST
+    found: list[fleet_plan.Plan] = []
+    cost = calls(lambda: found.append(fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})))
+    assert sum(found[0].to_provision.values()) == fleet_plan.MAX_PROVISION_BATCH
     assert cost < 2_000
 
 
@@ -199,7 +199,7 @@
     for one in led.jobs.values():  # each keeps what it has, and no task of it waits
         one.n_done = one.spec.task_count - len(one.bindings)
     assert led.machines["m1"].bindings and not any(one.waiting() for one in led.jobs.values())
-    assert calls(lambda: fleet.plan(led, 10.0, fleet.Refusals(), {})) < 8_500
+    assert calls(lambda: fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})) < 8_500
 
 
 async def cost_of_requests(method: str, path: str, body: bytes | None) -> float:
@@ -226,7 +226,7 @@
             led.ready = False
             for n, found in enumerate(led.machines.values()):
                 found.reconciled = n % silent != 0
-        return calls(lambda: fleet.plan(led, 10.0, fleet.Refusals(), {}))
+        return calls(lambda: fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {}))
 
     assert cost(1000) <= cost(100) * 12
 
@@ -394,7 +394,7 @@
         found = [
             calls(lambda: led.handle_heartbeat(one, 2.0)),
             calls(lambda: placement.place(led, random.Random(1), 10.0)),
-            calls(lambda: fleet.plan(led, 10.0, fleet.Refusals(), {})),
+            calls(lambda: fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})),
         ]
         led.tick(11.0)  # the task that ended has moved an estimate, and due times follow once
         return [*found, calls(lambda: led.tick(11.1))]
@@ -516,5 +516,5 @@
         binding.started = 100.0 - min(age_s, run_s - 0.01)
     assert len(running.bindings) == 100
     job(led, now=100.0, job_id="req-2", task_count=waiting, estimated_run_s=25.0)
-    found = fleet.plan(led, 100.0, fleet.Refusals(), {})
-    assert bool(found.hires) is hired
+    found = fleet_plan.plan(led, 100.0, fleet_plan.CapacityBackoff(), {})
+    assert bool(found.to_provision) is hired
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,7 +12,7 @@
 
 from helpers import heartbeat, job, ledger, machine, verbs
 from salthead import policy
-from salthead.coordination import fleet, gangs, placement
+from salthead.coordination import fleet_plan, gangs, placement
 from salthead.coordination.ledger import Ledger
 from salthead.evidence.machine_sets import MachineSets, RecentSet
 from salthead.policy import Policy, ZonePolicy
@@ -20,7 +20,7 @@
 from salthead.zones.recovery import ZoneRecovery
 from salthead.zones.slow_start import Progress, SlowStart
 from salthead.zones.start_times import StartTimes, slow_classes
-from salthead.zones.state import Evidence, ZonePhase, ZoneState
+from salthead.zones.state import ZoneHealth, ZonePhase, ZoneState
 from test_scale import calls
 
 ENTRIES: dict[str, Any] = {
@@ -49,17 +49,17 @@
 POLICY = zone_policy()
 AVAILABLE, SUSPECTED, LOST, RECOVERING = ZonePhase
 
-FINE = Evidence(10, 1, 0)
-QUIET = Evidence(10, 6, 0)
-BETTER = Evidence(10, 3, 0)
-OVER = Evidence(10, 10, 9)
-KEPT = Evidence(10, 10, 9, kept=True)
-FEW = Evidence(10, 2, 2)
-SMALL = Evidence(2, 2, 2)
-HALF = Evidence(10, 5, 0)
-BACK = Evidence(10, 2, 0)
-EMPTY = Evidence(0, 0, 0)
-PROBED = Evidence(12, 10, 10)
+FINE = ZoneHealth(10, 1, 0)
+QUIET = ZoneHealth(10, 6, 0)
+BETTER = ZoneHealth(10, 3, 0)
+OVER = ZoneHealth(10, 10, 9)
+KEPT = ZoneHealth(10, 10, 9, kept=True)
+FEW = ZoneHealth(10, 2, 2)
+SMALL = ZoneHealth(2, 2, 2)
+HALF = ZoneHealth(10, 5, 0)
+BACK = ZoneHealth(10, 2, 0)
+EMPTY = ZoneHealth(0, 0, 0)
+PROBED = ZoneHealth(12, 10, 10)
 
 
 @pytest.mark.parametrize(
@@ -88,12 +88,14 @@
         # gone again while it recovers, by silence alone; one machine is no relapse
         ([(0, OVER), (1, BACK), (5, BACK), (6, QUIET)], [LOST, LOST, RECOVERING, LOST]),
         (
-            [(0, OVER), (1, BACK), (5, BACK), (6, Evidence(2, 1, 0))],
+            [(0, OVER), (1, BACK), (5, BACK), (6, ZoneHealth(2, 1, 0))],
             [LOST, LOST, RECOVERING, RECOVERING],
         ),
     ],
 )
-def test_the_state_of_a_zone(steps: list[tuple[float, Evidence]], phases: list[ZonePhase]) -> None:
+def test_the_state_of_a_zone(
+    steps: list[tuple[float, ZoneHealth]], phases: list[ZonePhase]
+) -> None:
     state = ZoneState(POLICY, 0.0)
     found = []
     for now, evidence in steps:
@@ -255,7 +257,7 @@
     south = [m for m in led.machines.values() if m.zone == 1]
     assert all(m.phase == "up" and m.withheld for m in south)
     assert {m.zone for m in placement.candidates(led, one, 21.0)} == {0}
-    assert recovery.hire_most(0) is None and recovery.hire_most(1) == 0
+    assert recovery.max_provision(0) is None and recovery.max_provision(1) == 0
 
 
 def test_a_machine_that_comes_up_in_a_lost_zone_is_withheld_at_once() -> None:
@@ -282,8 +284,8 @@
     led, recovery = two_zones()
     one = job(led, shape="gang", task_count=2, vcpus=7.0, single_zone=True)
     lose(led, recovery)
-    zones = {kind[1] for kind in fleet.kinds_for(led, one, fleet.Refusals(), 20.0)}
-    assert recovery.hire_most(1) == 0 and zones == {0}
+    zones = {kind[1] for kind in fleet_plan.kinds_for(led, one, fleet_plan.CapacityBackoff(), 20.0)}
+    assert recovery.max_provision(1) == 0 and zones == {0}
 
 
 def test_the_return_opens_machines_step_by_step() -> None:
@@ -298,7 +300,7 @@
         opened.append(sum(not m.withheld for m in led.machines.values() if m.zone == 1))
     assert opened == sorted(opened), "never fewer"
     assert opened[0] == 0 and {0, 2, 4, 8} == set(opened)
-    assert recovery.states[1].phase is AVAILABLE and not recovery.returns
+    assert recovery.states[1].phase is AVAILABLE and not recovery.slow_starts
     assert all(m.freed or not m.withheld for m in led.machines.values())
 
 
@@ -332,7 +334,7 @@
         machine(led, f"s{n}", zone="south")
     recovery.observe(0.0)
     lose(led, recovery)
-    assert recovery.states[1].phase is LOST and recovery.hire_most(1) is None
+    assert recovery.states[1].phase is LOST and recovery.max_provision(1) is None
     speak(led, 21.0, "s", incarnation=2)
     assert not any(m.withheld for m in led.machines.values())
 
@@ -466,22 +468,22 @@
     led.caps = [(1e9, 1e9) for _ in led.caps]
     job(led, task_count=400, vcpus=2.0, estimated_run_s=500.0)
 
-    def hires(now: float) -> dict[int, int]:
+    def to_provision(now: float) -> dict[int, int]:
         speak(led, now, "s")
         recovery.observe(now)
-        plan = fleet.plan(led, now, fleet.Refusals(), {})
+        plan = fleet_plan.plan(led, now, fleet_plan.CapacityBackoff(), {})
         found: dict[int, int] = {0: 0, 1: 0}
-        for (_, zone, _), count in plan.hires.items():
+        for (_, zone, _), count in plan.to_provision.items():
             found[zone] += count
         return found
 
-    assert hires(0.0)[0] == fleet.HIRE_MOST
+    assert to_provision(0.0)[0] == fleet_plan.MAX_PROVISION_BATCH
     recovery.states[0].enter(LOST, "", 0.0)
     for found in [m for m in led.machines.values() if m.zone == 0]:
         led.machine_gone(found, 0.0)
-    assert hires(1.0) == {0: 0, 1: fleet.HIRE_MOST}
-    probing = hires(POLICY.probe_after_s + 1.0)
-    assert probing == {0: POLICY.probe_machines, 1: fleet.HIRE_MOST}
+    assert to_provision(1.0) == {0: 0, 1: fleet_plan.MAX_PROVISION_BATCH}
+    probing = to_provision(POLICY.probe_after_s + 1.0)
+    assert probing == {0: POLICY.probe_machines, 1: fleet_plan.MAX_PROVISION_BATCH}
 
 
 @pytest.mark.parametrize(
@@ -492,8 +494,8 @@
     _, before = two_zones()
     before.states[1].enter(LOST, "", -30.0)
     before.states[1].enter(RECOVERING, "", 0.0)
-    before.returns[1] = SlowStart(POLICY, 1, random.Random(1), 0.0)
-    before.returns[1].step = 1
+    before.slow_starts[1] = SlowStart(POLICY, 1, random.Random(1), 0.0)
+    before.slow_starts[1].step = 1
     rows = before.unwritten(0.0)
     assert list(rows) == [1] and rows[1][0] == "zone/south"
     before.wrote(before.covered([1], 0.0))
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -33,7 +33,7 @@
 from salthead.coordination import placement  # noqa: E402
 from salthead.coordination.lease import LeaseClock  # noqa: E402
 from salthead.coordination.model import UP  # noqa: E402
-from salthead.coordination.returns import ReturnDecision  # noqa: E402
+from salthead.coordination.scale_in import TerminationDecision  # noqa: E402
 from salthead.leader.peer_calls import ask_promise, ask_reach  # noqa: E402
 from salthead.leader.term import Term  # noqa: E402
 from salthead.policy import PartialCutPolicy, Policy, ZonePolicy  # noqa: E402
@@ -204,10 +204,10 @@
     machine.reconciled, machine.endpoint = False, "10.0.0.2:9"
     await term.worker_calls.reconcile(machine, 1.0)
     await term.worker_calls.send(machine, [stop_order("req-1/0", 5, 2.5)])
-    await term.rental.hire((0, 0, True), 3)
+    await term.autoscaler.provision((0, 0, True), 3)
     assert machine.phase == UP
-    await term.rental.give_back([ReturnDecision.of(machine, "not needed")])
-    await term.rental.store_machine_types()
+    await term.autoscaler.terminate([TerminationDecision.of(machine, "not needed")])
+    await term.autoscaler.store_machine_types()
     term.pages.machine_registry.set("m1", ["small", "north", True, "10.0.0.2:9"])
     await term.pages.write_pages(term.pages.machine_registry)
     term.pages.leftovers["awaits/req-8/0"] = "req-8"
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -36,7 +36,7 @@
 from salthead.controller.controller import Controller  # noqa: E402
 from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
 from salthead.controller.server import listen  # noqa: E402
-from salthead.coordination import fleet, placement  # noqa: E402
+from salthead.coordination import fleet_plan, placement  # noqa: E402
 from salthead.coordination.lease import LeaseClock  # noqa: E402
 from salthead.coordination.ledger import Ledger  # noqa: E402
 from salthead.leader.term import Term  # noqa: E402
@@ -334,7 +334,9 @@
         ("look at each machine", bench.of_work(lambda: bench.term.look(now())), LOOKS_PER_S),
         (
             "plan of the fleet",
-            bench.of_work(lambda: fleet.plan(bench.ledger, now(), fleet.Refusals(), {})),
+            bench.of_work(
+                lambda: fleet_plan.plan(bench.ledger, now(), fleet_plan.CapacityBackoff(), {})
+            ),
             PLANS_PER_S,
         ),
         (
