--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -266,7 +266,7 @@
         return status_body(
             job_id,
             *ledger.phase_of(ledger.jobs[job_id]),
-            depends_on=ledger.awaited_by(job_id, MAX_LISTED_DEPENDENCIES),
+            depends_on=ledger.unfinished_dependencies(job_id, MAX_LISTED_DEPENDENCIES),
         )
 
     def status_in_term(self, term: Term, job_id: str) -> dict[str, Any] | None:
@@ -275,8 +275,11 @@
         if job is None:
             return None
         held = term.ledger.confirmed_preconditions()
-        unsure = job.awaiting and term.ledger.pipelines.is_unsure(job_id)
-        if not unsure and not term.outcomes.is_indeterminate(job):
+        unresolved = (
+            job.blocked_on_dependencies
+            and term.ledger.dependency_graph.has_unresolved_dependency(job_id)
+        )
+        if not unresolved and not term.outcomes.is_indeterminate(job):
             held |= OUTCOMES_DETERMINATE
         return self.status_for_user(term, job_id) if permits(Action.REPORT_STATUS, held) else None
 
--- a/src/salthead/controller/job_reader.py
+++ b/src/salthead/controller/job_reader.py
@@ -93,7 +93,7 @@
         if job is None:
             return False, None
         self.controller.remember_accepted(job.spec)
-        return True, job.over or (names.ABORTED if job.dependency_cancelled else None)
+        return True, job.terminal_phase or (names.ABORTED if job.dependency_cancelled else None)
 
     async def look_up(self, job_id: str, row: VersionedValue | None) -> str | None:
         """A job's outcome, or None when it is not over and what it awaits is known."""
--- a/src/salthead/coordination/machine_room.py
+++ b/src/salthead/coordination/capacity_index.py
@@ -7,30 +7,30 @@
 from salthead.coordination.model import EPSILON, UP, Kind, Machine, Vec
 
 
-class MachineRoom:
+class CapacityIndex:
     """Free room of all machines that are up."""
 
     def __init__(self) -> None:
         # Machines that are up, by kind and by how many whole CPUs they have free. A pass looks
         # at the rows with room alone, so that its cost does not grow with a full fleet.
         self.free: dict[Kind, list[dict[Machine, None]]] = {}
-        self.kept: dict[Machine, None] = {}  # machines that are, or lately were, kept for a job
+        self.reserved: dict[Machine, None] = {}  # machines that are, or lately were, kept for a job
 
     def reindex(self, machine: Machine) -> None:
         """Note how much is free on the machine now."""
         whole = -1
         if machine.phase == UP:
             whole = max(0, int(machine.cap[0] - machine.used[0] + EPSILON))
-        if whole == machine.whole:
+        if whole == machine.free_whole_cpus:
             return
         rows = self.free.setdefault(machine.kind, [])
-        if machine.whole >= 0:
-            del rows[machine.whole][machine]
+        if machine.free_whole_cpus >= 0:
+            del rows[machine.free_whole_cpus][machine]
         if whole >= 0:
             while len(rows) <= whole:
                 rows.append({})
             rows[whole][machine] = None
-        machine.whole = whole
+        machine.free_whole_cpus = whole
 
     def with_room(self, kinds: Iterable[Kind], need: Vec) -> Iterable[Machine]:
         """Machines of these kinds that have room, in the index's own order."""
@@ -40,24 +40,24 @@
                     if machine.fits(need):
                         yield machine
 
-    def keep(self, machine: Machine, job_id: str, until: float) -> None:
+    def reserve(self, machine: Machine, job_id: str, until: float) -> None:
         """Keep a machine for a job: placement hides it from the others."""
-        machine.held_for = job_id
-        machine.held_until = max(machine.held_until, until)
-        self.kept[machine] = None
+        machine.reserved_for = job_id
+        machine.reserved_until = max(machine.reserved_until, until)
+        self.reserved[machine] = None
 
-    def prune_kept(self, now: float) -> None:
+    def expire_reservations(self, now: float) -> None:
         """Forget machines that were kept for a job until now."""
-        for machine in [m for m in self.kept if now >= m.held_until]:
-            machine.held_for = ""
-            del self.kept[machine]
+        for machine in [m for m in self.reserved if now >= m.reserved_until]:
+            machine.reserved_for = ""
+            del self.reserved[machine]
 
-    def unkeep(self, job_id: str) -> None:
+    def release_reservations(self, job_id: str) -> None:
         """Keep no machine for a job any more."""
-        for machine in [m for m in self.kept if m.held_for == job_id]:
-            machine.held_for = ""
-            del self.kept[machine]
+        for machine in [m for m in self.reserved if m.reserved_for == job_id]:
+            machine.reserved_for = ""
+            del self.reserved[machine]
 
-    def kept_for(self, job_id: str, now: float) -> list[Machine]:
+    def reserved_machines(self, job_id: str, now: float) -> list[Machine]:
         """Machines that are kept for a job now."""
-        return [m for m in self.kept if m.held_for == job_id and now < m.held_until]
+        return [m for m in self.reserved if m.reserved_for == job_id and now < m.reserved_until]
--- a/src/salthead/coordination/pipelines.py
+++ b/src/salthead/coordination/dependency_graph.py
@@ -17,26 +17,26 @@
 
 
 @dataclass(slots=True)
-class Node:
+class DependencyNode:
     """One job in the graph."""
 
-    rank: int  # its own
+    priority: int  # its own
     job_class: str
     run_s: float  # a task's, as expected when this was last worked out
     due: tuple[float, float]  # its own: the time it is due, and the last that still counts
-    open: set[str] = field(default_factory=set)  # what it still awaits
-    after: dict[str, None] = field(default_factory=dict)  # what awaits it
-    inherited_rank: int = 0
+    unfinished: set[str] = field(default_factory=set)  # what it still awaits
+    dependents: dict[str, None] = field(default_factory=dict)  # what awaits it
+    inherited_priority: int = 0
     inherited_due: tuple[float, float] = (math.inf, math.inf)
 
 
-class Pipelines:
+class DependencyGraph:
     """The jobs that depend on others, as a graph."""
 
     def __init__(self) -> None:
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, DependencyNode] = {}
         # Awaited jobs of which nothing is known yet, and what awaits them.
-        self.unsure: dict[str, dict[str, None]] = {}
+        self.unresolved: dict[str, dict[str, None]] = {}
         self.ended: dict[str, float] = {}  # jobs done in this term, and when
         self.moved: dict[str, None] = {}  # jobs whose inherited rank or due time has changed
         self.job_classes: dict[
@@ -47,31 +47,31 @@
         self,
         job_id: str,
         depends_on: Iterable[str],
-        rank: int,
+        priority: int,
         job_class: str,
         run_s: float,
         due: tuple[float, float],
     ) -> None:
         """A job that is not over. What it awaits and is neither here nor done is unsure."""
-        node = self.nodes[job_id] = Node(
-            rank, job_class, run_s, due, inherited_rank=rank, inherited_due=due
+        node = self.nodes[job_id] = DependencyNode(
+            priority, job_class, run_s, due, inherited_priority=priority, inherited_due=due
         )
-        for other in self.unsure.pop(job_id, {}):
-            node.after[other] = None
+        for other in self.unresolved.pop(job_id, {}):
+            node.dependents[other] = None
         for other in depends_on:
             if other in self.ended:
                 continue
-            node.open.add(other)
+            node.unfinished.add(other)
             known = self.nodes.get(other)
             if known is not None:
-                known.after[job_id] = None
+                known.dependents[job_id] = None
             else:
-                self.unsure.setdefault(other, {})[job_id] = None
-        if node.after:
+                self.unresolved.setdefault(other, {})[job_id] = None
+        if node.dependents:
             self._update([job_id])
-        if node.open:
+        if node.unfinished:
             self.job_classes.setdefault(job_class, {})[job_id] = None
-            self._update(other for other in node.open if other in self.nodes)
+            self._update(other for other in node.unfinished if other in self.nodes)
 
     def done(self, job_id: str, at: float) -> list[str]:
         """A job's ``done`` is durable; what became ready by that."""
@@ -79,8 +79,8 @@
         ready = []
         for other in self._leave(job_id):
             node = self.nodes[other]
-            node.open.discard(job_id)
-            if not node.open:
+            node.unfinished.discard(job_id)
+            if not node.unfinished:
                 self._not_waiting(other)
                 ready.append(other)
         return ready
@@ -107,10 +107,10 @@
             other = line.popleft()
             if other not in cancelled and other in self.nodes:
                 cancelled[other] = None
-                line.extend(self.nodes[other].after)
-        before = {p: None for other in cancelled for p in self.nodes[other].open}
+                line.extend(self.nodes[other].dependents)
+        before = {p: None for other in cancelled for p in self.nodes[other].unfinished}
         for other in cancelled:
-            for p in self.nodes[other].open:
+            for p in self.nodes[other].unfinished:
                 self._unlink(p, other)
             self._not_waiting(other)
             del self.nodes[other]
@@ -120,32 +120,32 @@
     def _unlink(self, before: str, job_id: str) -> None:
         known = self.nodes.get(before)
         if known is not None:
-            known.after.pop(job_id, None)
-        elif before in self.unsure:
-            self.unsure[before].pop(job_id, None)
-            if not self.unsure[before]:
-                del self.unsure[before]
+            known.dependents.pop(job_id, None)
+        elif before in self.unresolved:
+            self.unresolved[before].pop(job_id, None)
+            if not self.unresolved[before]:
+                del self.unresolved[before]
 
     def _leave(self, job_id: str) -> list[str]:
         """Take a job that is over out; what awaited it."""
         if job_id in self.nodes:
             self._not_waiting(job_id)
         node = self.nodes.pop(job_id, None)
-        after = self.unsure.pop(job_id, {}) if node is None else node.after
-        if node is not None and node.open:
-            for before in node.open:
+        after = self.unresolved.pop(job_id, {}) if node is None else node.dependents
+        if node is not None and node.unfinished:
+            for before in node.unfinished:
                 self._unlink(before, job_id)
-            self._update(before for before in node.open if before in self.nodes)
+            self._update(before for before in node.unfinished if before in self.nodes)
         return list(after)
 
-    def awaited(self, job_id: str) -> bool:
+    def has_dependents(self, job_id: str) -> bool:
         """Whether another job awaits this one."""
         node = self.nodes.get(job_id)
-        return node is not None and bool(node.after)
+        return node is not None and bool(node.dependents)
 
-    def is_unsure(self, job_id: str) -> bool:
+    def has_unresolved_dependency(self, job_id: str) -> bool:
         """Whether the job needs, directly or through others, one of which nothing is known."""
-        return self.needs(job_id, self.unsure.keys())
+        return self.needs(job_id, self.unresolved.keys())
 
     def needs(self, job_id: str, among: Set[str]) -> bool:
         """Whether the job needs, directly or through others, one of these."""
@@ -155,7 +155,7 @@
         line = deque([job_id])
         while line:
             node = self.nodes.get(line.popleft())
-            for before in node.open if node is not None else ():
+            for before in node.unfinished if node is not None else ():
                 if before in among:
                     return True
                 if before not in seen:
@@ -170,7 +170,7 @@
             node = self.nodes.get(job_id)
             if node is not None and node.run_s != run_s:
                 node.run_s = run_s
-                before.update((p, None) for p in node.open if p in self.nodes)
+                before.update((p, None) for p in node.unfinished if p in self.nodes)
         self._update(before)
 
     def _update(self, job_ids: Iterable[str]) -> None:
@@ -181,22 +181,22 @@
             job_id = line.popleft()
             waiting.discard(job_id)
             node = self.nodes[job_id]
-            rank, due, last = node.rank, *node.due
-            for other in node.after:
+            priority, due, last = node.priority, *node.due
+            for other in node.dependents:
                 after = self.nodes[other]
-                rank = min(rank, after.inherited_rank)
+                priority = min(priority, after.inherited_priority)
                 due = min(due, after.inherited_due[0] - after.run_s)
                 last = min(last, after.inherited_due[1] - after.run_s)
-            if (rank, (due, last)) == (node.inherited_rank, node.inherited_due):
+            if (priority, (due, last)) == (node.inherited_priority, node.inherited_due):
                 continue
-            node.inherited_rank, node.inherited_due = rank, (due, last)
+            node.inherited_priority, node.inherited_due = priority, (due, last)
             self.moved[job_id] = None
-            for before in node.open:
+            for before in node.unfinished:
                 if before in self.nodes and before not in waiting:
                     waiting.add(before)
                     line.append(before)
 
-    def take_moved(self) -> Iterator[tuple[str, Node]]:
+    def take_moved(self) -> Iterator[tuple[str, DependencyNode]]:
         """Jobs whose inherited urgency or due time has changed since the last call."""
         moved, self.moved = self.moved, {}
         for job_id in moved:
--- a/src/salthead/coordination/estimates.py
+++ b/src/salthead/coordination/estimates.py
@@ -54,7 +54,7 @@
         self.last = now
         self.gap_s: float | None = None
 
-    def came(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Note that a job has come."""
         gap_s, self.last = now - self.last, now
         old = gap_s if self.gap_s is None else self.gap_s
@@ -65,22 +65,22 @@
         return self.gap_s is not None and now - self.last > self.STOPPED * max(self.gap_s, 1.0)
 
 
-class Promptness:
+class StartAttainment:
     """How much of the work within guarantees has lately found its machines as fast as aimed for."""
 
     WEIGHT = 0.05  # of one job
 
     def __init__(self, within_s: float, share: float) -> None:
         self.within_s = within_s
-        self.aim = share
+        self.target_share = share
         self.share = share
 
-    def judge(self, in_time: bool) -> None:
+    def record_attainment(self, in_time: bool) -> None:
         """Note whether a job began in time."""
         self.share += self.WEIGHT * (float(in_time) - self.share)
 
     def spare(self) -> float:
         """How far the aim is surpassed: 0 where it is missed or just met, 1 where none is late."""
-        if self.aim >= 1.0:
+        if self.target_share >= 1.0:
             return 0.0
-        return min(1.0, max(0.0, (self.share - self.aim) / (1.0 - self.aim)))
+        return min(1.0, max(0.0, (self.share - self.target_share) / (1.0 - self.target_share)))
--- a/src/salthead/coordination/fleet_plan.py
+++ b/src/salthead/coordination/fleet_plan.py
@@ -72,7 +72,7 @@
                     continue
                 kind = (type_index, zone, spot)
                 if capacity_backoff.allows(kind, now) and max_provision(ledger, zone) > 0:
-                    last = type_index in ledger.scarce and not job.choosy
+                    last = type_index in ledger.scarce and not job.constrained
                     found.append((last, price(ledger, kind) / fit, kind))
     found.sort()
     return [kind for _, _, kind in found]
@@ -102,16 +102,16 @@
     """
     boot_s = min_boot_s(ledger)
     work = sum(job.waiting() * job.need[0] * ledger.run_s(job) for job in line if not job.gang)
-    rate = order.rate_of(ledger)
+    rate = order.fleet_cpus(ledger)
     booting = sum([m.cap[0] for m in ledger.machines.values() if m.phase == BOOTING])
     # One array that comes, or a fleet that begins to boot, has a long line, too: what is hired for
     # that comes too late, and what is then too much was given back too deep.
     if work <= boot_s * rate or booting > MAX_BOOTING_SHARE * rate:
-        ledger.line.long_since = None
+        ledger.pending.long_since = None
         return max(MIN_CHARGE_S, boot_s)
-    if ledger.line.long_since is None:
-        ledger.line.long_since = now
-    lasts = now - ledger.line.long_since >= BACKLOG_BOOTS * boot_s
+    if ledger.pending.long_since is None:
+        ledger.pending.long_since = now
+    lasts = now - ledger.pending.long_since >= BACKLOG_BOOTS * boot_s
     return boot_s if lasts else max(MIN_CHARGE_S, boot_s)
 
 
@@ -160,7 +160,7 @@
         team: [most[n] - ledger.usage[team][n] for n in range(2)]
         for team, most in enumerate(ledger.caps)
     }
-    line = placement.queue(ledger, placement.entitled(ledger), now)
+    line = placement.queue(ledger, placement.guaranteed_jobs(ledger), now)
     span = serving_span_s(ledger, line, now)
     soon = soon_ready(ledger, now)
     if line or soon:  # with nothing to place, free room need not be known
@@ -182,9 +182,12 @@
     """Jobs that will wait for nothing more by the time that a new machine could be up."""
     boot_s = min_boot_s(ledger)
     found = []
-    for job_ids in ledger.pipelines.job_classes.values():
+    for job_ids in ledger.dependency_graph.job_classes.values():
         for job_id in job_ids:
-            before = [ledger.live.get(other) for other in ledger.pipelines.nodes[job_id].open]
+            before = [
+                ledger.ready_jobs.get(other)
+                for other in ledger.dependency_graph.nodes[job_id].unfinished
+            ]
             if all(
                 other is not None and not other.waiting() and end_s(ledger, other, now) <= boot_s
                 for other in before
--- a/src/salthead/coordination/fleet_supply.py
+++ b/src/salthead/coordination/fleet_supply.py
@@ -121,7 +121,7 @@
     """What there is, will soon be free, boots, or is being hired."""
     found = Supply()
     soon_s = 0.7 * min_boot_s(ledger)
-    runs = {job.job_id: ledger.run_s(job) for job in ledger.live.values()}
+    runs = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
     for machine in ledger.machines.values():
         if not _counts(ledger, machine, now):
             continue
@@ -137,7 +137,7 @@
 
 def _counts(ledger: Ledger, machine: Machine, now: float) -> bool:
     """Whether a machine is one on which anything may start in the time that a plan looks at."""
-    if machine.condemned or machine.terminating or machine.warn_at is not None:
+    if machine.quarantine_reason or machine.terminating or machine.reclaim_at is not None:
         return False
     if machine.unresponsive_since is not None:
         return False  # so that another is hired in its place
@@ -151,12 +151,12 @@
     machine: Machine, runs: dict[str, float], soon_s: float, found: Supply, now: float
 ) -> list[float]:
     """What is free on a machine, and what will be soon; counted in the supply."""
-    room = list(machine.room())
+    room = list(machine.free())
     found.cpus += room[0]
     for binding in machine.bindings.values():
         job = binding.job
         left = math.inf
-        if binding.stop is not None:
+        if binding.stop_grace_s is not None:
             left = 0.0
         elif job is not None and binding.started > 0.0:
             left = left_s(runs.get(job.job_id, math.inf), now - binding.started)
--- a/src/salthead/coordination/gangs.py
+++ b/src/salthead/coordination/gangs.py
@@ -22,7 +22,7 @@
     """When the machine should have room for one task of the job; None if never."""
     if any(c + EPSILON < n for c, n in zip(machine.cap, job.need, strict=True)):
         return None
-    left = list(machine.room())
+    left = list(machine.free())
     ends = []
     for binding in machine.bindings.values():
         other = binding.job
@@ -44,14 +44,16 @@
     return at if all(left[n] + EPSILON >= job.need[n] for n in range(3)) else None
 
 
-def keep_room(ledger: Ledger, starved: list[Job], now: float) -> None:
+def reserve_machines(ledger: Ledger, unschedulable: list[Job], now: float) -> None:
     """Keep machines for each gang that found no candidates: all that it needs, or none."""
     # Renewed at each of the gang's draws, which are at most a pause apart.
     until = now + 3.0 * ledger.limits.workers.heartbeat_interval_s
     # Gangs that a lost zone displaced go before arrays, so room is kept for them at once.
     evacuating = ledger.zone_hooks is not None and ledger.zone_hooks.evacuating()
-    crowded = not evacuating and any(not job.gang and job.waiting() for job in ledger.live.values())
-    for job in starved:
+    crowded = not evacuating and any(
+        not job.gang and job.waiting() for job in ledger.ready_jobs.values()
+    )
+    for job in unschedulable:
         if not job.gang or quota_left(ledger, job) < job.spec.task_count:
             continue
         # Kept room stands empty, so while others wait for room it is kept no earlier than the
@@ -59,18 +61,18 @@
         if crowded and not order.due(ledger, job, now):
             continue
         for machine in _machines_for(ledger, job, now):
-            if machine.held_for != job.job_id:
+            if machine.reserved_for != job.job_id:
                 log.info("machine %s is kept for gang %s", machine.name, job.job_id)
-            ledger.room.keep(machine, job.job_id, until)
+            ledger.capacity_index.reserve(machine, job.job_id, until)
 
 
 def _machines_for(ledger: Ledger, job: Job, now: float) -> list[Machine]:
     """The machines for all of a gang that will have room soonest, in one zone if need be."""
     rows = []
-    for machine in placement.base_candidates(ledger, job, now):
+    for machine in placement.suitable_machines(ledger, job, now):
         at = room_at(ledger, machine, job, now)
-        if at is not None and not placement.overdue(ledger, machine, now):
-            rows.append((machine.held_for != job.job_id, at, machine.name, machine))
+        if at is not None and not placement.heartbeat_overdue(ledger, machine, now):
+            rows.append((machine.reserved_for != job.job_id, at, machine.name, machine))
     rows.sort(key=lambda row: row[:3])
     machines = [row[3] for row in rows]
     zones = sorted({machine.zone for machine in machines}) if job.spec.single_zone else [None]
@@ -97,4 +99,4 @@
 
 
 def _kept(machines: list[Machine], job: Job) -> int:
-    return sum(1 for machine in machines if machine.held_for == job.job_id)
+    return sum(1 for machine in machines if machine.reserved_for == job.job_id)
--- a/src/salthead/coordination/heartbeats.py
+++ b/src/salthead/coordination/heartbeats.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead.coordination.machine_health import mark_unresponsive
-from salthead.coordination.model import BOOTING, LOST, UP, Machine, Proof
+from salthead.coordination.model import BOOTING, LOST, UP, Machine, ReleaseReason
 from salthead.coordination.task_reconciliation import orders_for
 from salthead.evidence.gate import Action, Precondition, missing_preconditions
 from salthead.protocol import names
@@ -44,15 +44,15 @@
     if (
         machine is not None
         and machine.unchanged
-        and not machine.freed
+        and not machine.has_freed_capacity
         and heartbeat.fencing_token == ledger.fencing_token
         and not direct
-        and heartbeat.tasks == machine.shown
+        and heartbeat.tasks == machine.last_tasks
         and heartbeat.incarnation == machine.incarnation
         and heartbeat.sequence > machine.sequence
         and machine.reconciled
         and heartbeat.warning_s is None
-        and machine.warn_at is None
+        and machine.reclaim_at is None
         and not ledger.newer_fencing_token
     ):
         # Nearly all reports of a busy fleet are like this: all that an answer requires holds, as at
@@ -94,7 +94,7 @@
         _answer_facts(ledger, machine, heartbeat, current or direct, now),
     )
     if missing:
-        ledger.withheld.note(Action.ACKNOWLEDGE_HEARTBEAT, missing, now)
+        ledger.blocked_actions.note(Action.ACKNOWLEDGE_HEARTBEAT, missing, now)
         return None
     if machine is None:
         if not current or not ledger.loaded:
@@ -127,14 +127,20 @@
 ) -> list[dict[str, Any]]:
     """Take a report in that is news under this term's token; the orders that follow."""
     _take_in(ledger, machine, heartbeat, now)
-    if machine.unchanged and not machine.freed and heartbeat.tasks == machine.shown:
+    if (
+        machine.unchanged
+        and not machine.has_freed_capacity
+        and heartbeat.tasks == machine.last_tasks
+    ):
         return []  # nothing is new, and nothing is wanted
     orders = orders_for(ledger, machine, heartbeat, now, direct)
-    machine.shown = heartbeat.tasks
+    machine.last_tasks = heartbeat.tasks
     machine.unchanged = (
         not orders
-        and not machine.strays
-        and all(binding.phase and binding.stop is None for binding in machine.bindings.values())
+        and not machine.orphans
+        and all(
+            binding.phase and binding.stop_grace_s is None for binding in machine.bindings.values()
+        )
         and all(task.phase != names.EXITED for task in heartbeat.tasks)
     )
     return orders
@@ -219,12 +225,12 @@
         ledger.shared_silence.heartbeat_received(machine)
     if not machine.reconciled:
         machine.reconciled = True
-        machine.freed = True
+        machine.has_freed_capacity = True
         ledger.events.changed()
     warned = None if heartbeat.warning_s is None else now + heartbeat.warning_s
-    if warned is not None and machine.warn_at is None:
+    if warned is not None and machine.reclaim_at is None:
         log.info("machine %s will be taken in %.1f s", machine.name, heartbeat.warning_s)
-    machine.warn_at = warned
+    machine.reclaim_at = warned
     if heartbeat.endpoint:
         machine.endpoint = heartbeat.endpoint
 
@@ -235,7 +241,7 @@
     if machine.reconciled and now - machine.last_heartbeat_at < 0.5 * ledger.limits.workers.lease_s:
         why = "its lease ended though its reports were answered"
         mark_unresponsive(ledger, machine, now, why)
-    ledger.lose_tasks(machine, now, Proof.NEW_INCARNATION)
+    ledger.lose_tasks(machine, now, ReleaseReason.NEW_INCARNATION)
 
 
 def _came_up(ledger: Ledger, machine: Machine, now: float) -> None:
@@ -245,5 +251,5 @@
         # moana-buoys-hunt, 7 and 19 machines returned within seconds of coming back.
         machine.surplus_since, machine.cordoned = None, False
     ledger.set_phase(machine, UP)
-    machine.freed = True
+    machine.has_freed_capacity = True
     ledger.events.changed()
--- a/src/salthead/coordination/invariants.py
+++ b/src/salthead/coordination/invariants.py
@@ -29,7 +29,9 @@
     """What must hold."""
 
     BOUND_ONCE = "bound_once"  # a task has one machine at the most
-    NOT_OVER = "not_over"  # nothing of a job that is over or cancelled, nor a done task, is bound
+    NOT_TERMINAL = (
+        "not_over"  # nothing of a job that is over or cancelled, nor a done task, is bound
+    )
     WITHIN_LIMIT = "within_limit"  # bookings and silent room are within the limit at each grant
     START_BOUND = "start_bound"  # no start is sent of what its job does not know to be there
     SUMS_AGREE = "sums_agree"  # bookings of teams and machines are the sums of what is bound
@@ -74,9 +76,16 @@
         if before is not None or (job.job_id, index) in machine.bindings:
             there = before.machine.name if before is not None else machine.name
             return self._broken(Invariant.BOUND_ONCE, bound_to=there, **found)
-        if job.over or job.cancel_requested or job.dependency_cancelled or job.done[index]:
+        if (
+            job.terminal_phase
+            or job.cancel_requested
+            or job.dependency_cancelled
+            or job.done[index]
+        ):
             done = bool(job.done[index])
-            return self._broken(Invariant.NOT_OVER, over=job.over, done=done, **found)
+            return self._broken(
+                Invariant.NOT_TERMINAL, terminal_phase=job.terminal_phase, done=done, **found
+            )
         return not granted or self._within_limit(job, found)
 
     def _within_limit(self, job: Job, found: dict[str, object]) -> bool:
@@ -102,12 +111,12 @@
 
     def may_send_start(self, binding: Binding) -> bool:
         """Before an answer carries a start."""
-        if binding.barred:
+        if binding.rejected:
             return False  # said when it was bound, or was to be told
         job = binding.job
         if job is not None and job.bindings.get(binding.index) is binding:
             return True
-        binding.barred = True
+        binding.rejected = True
         return self._broken(
             Invariant.START_BOUND,
             task=binding.task_id,
@@ -132,7 +141,7 @@
 
     def _audit_machine(self, machine: Machine) -> None:
         total = [0.0, 0.0, 0.0]
-        for binding in (*machine.bindings.values(), *machine.strays.values()):
+        for binding in (*machine.bindings.values(), *machine.orphans.values()):
             for n, amount in enumerate(binding.need):
                 total[n] += amount
         if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, machine.used, strict=True)):
@@ -145,9 +154,9 @@
             for n in range(2):
                 totals[job.team][n] += job.need[n] * len(job.bindings)
         for machine in ledger.machines.values():
-            for stray in machine.strays.values():
-                for n in range(2 if stray.team >= 0 else 0):
-                    totals[stray.team][n] += stray.need[n]
+            for orphan in machine.orphans.values():
+                for n in range(2 if orphan.team >= 0 else 0):
+                    totals[orphan.team][n] += orphan.need[n]
         for team, (total, usage) in enumerate(zip(totals, ledger.usage, strict=True)):
             if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, usage, strict=True)):
                 name = ledger.team_names[team]
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -16,12 +16,13 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
-from salthead.coordination import heartbeats, strays, waiting
-from salthead.coordination.estimates import Arrivals, Estimates, Promptness
+from salthead.coordination import dependencies, heartbeats, orphans
+from salthead.coordination.capacity_index import CapacityIndex
+from salthead.coordination.dependency_graph import DependencyGraph
+from salthead.coordination.estimates import Arrivals, Estimates, StartAttainment
 from salthead.coordination.failover import Failover
 from salthead.coordination.invariants import Invariants
 from salthead.coordination.lease import unloaded_grace_s
-from salthead.coordination.machine_room import MachineRoom
 from salthead.coordination.model import (
     BOOTING,
     EPSILON,
@@ -32,10 +33,9 @@
     Binding,
     Job,
     Machine,
-    Proof,
+    ReleaseReason,
     Vec,
 )
-from salthead.coordination.pipelines import Pipelines
 from salthead.coordination.worker_leases import WorkerLeases
 from salthead.coordination.zone_hooks import ZoneHooks
 from salthead.event_log import event
@@ -69,12 +69,12 @@
 
 
 @dataclass
-class Line:
+class PendingQueue:
     """Jobs with tasks that wait, in the order of the last pass: who is offered freed room."""
 
     jobs: list[Job] = field(default_factory=list)
-    least_cpus: float = 0.0  # of the smallest task in line
-    choosy: bool = False  # whether a job was in line that fits on scarce types alone
+    min_cpus: float = 0.0  # of the smallest task in line
+    constrained: bool = False  # whether a job was in line that fits on scarce types alone
     long_since: float | None = None  # since when the fleet can't keep up with it
 
 
@@ -109,26 +109,32 @@
         self.wall_ahead = 0.0 if wall is None else wall - now
         self.estimates = Estimates()
         self.arrivals = Arrivals(now)
-        at_once = next((aim for aim in limits.objectives if aim.kind == "guarantee"), None)
-        self.prompt = Promptness(at_once.within_s, at_once.share) if at_once else Promptness(0, 1)
+        start_objective = next(
+            (objective for objective in limits.objectives if objective.kind == "guarantee"), None
+        )
+        self.start_attainment = (
+            StartAttainment(start_objective.within_s, start_objective.share)
+            if start_objective
+            else StartAttainment(0, 1)
+        )
         self.team_names = Interner([team.name for team in limits.teams])
         self.zones = Interner(list(limits.zones))
         self.type_names = Interner()
         self.machine_types: dict[int, MachineType] = {}
         self.caps = [(team.cpus_max, team.gpus_max) for team in limits.teams]
         self.guarantees = [(team.cpus, team.gpus) for team in limits.teams]
-        self.room = MachineRoom()
+        self.capacity_index = CapacityIndex()
         # Types that are the only ones for some class of jobs, as seen in this term.
         self.scarce: set[int] = set()
         self.stops: list[Binding] = []  # wanted since they were last sent directly
-        self.ranks = [0] * len(names.URGENCIES)  # tasks bound, by urgency
-        self.line = Line()
+        self.bound_by_priority = [0] * len(names.URGENCIES)  # tasks bound, by urgency
+        self.pending = PendingQueue()
         self.usage = [[0.0, 0.0] for _ in limits.teams]
         self.limit_logged_at = [-math.inf for _ in limits.teams]
         self.rest_until = [0.0 for _ in limits.teams]  # until then no quota is kept for gangs
         self.jobs: dict[str, Job] = {}
         # Those that wait for no other job: what passes and plans look at.
-        self.live: dict[str, Job] = {}
+        self.ready_jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         # Machines that the state service does not know yet: what its loop would else look for
         # among all machines ten times a second.
@@ -140,11 +146,11 @@
         # tasks on machines whose job we do not know: their team is unknown until it is read
         self.unknown_jobs: set[str] = set()
         self.team_of: dict[str, tuple[int, Vec]] = {}
-        self.stray_jobs: dict[str, int] = {}  # stray tasks by job: such a job starts nothing
+        self.orphan_jobs: dict[str, int] = {}  # stray tasks by job: such a job starts nothing
         self.newer_fencing_token = 0
         self.failover = Failover(self)
         self.invariants = Invariants(self)
-        self.pipelines = Pipelines()
+        self.dependency_graph = DependencyGraph()
         self.factors: dict[str, float] = {}  # of estimates, as the pipelines' due times use them
         self.pending_aborts: dict[
             str, None
@@ -153,7 +159,7 @@
         self.recently_gone: dict[str, float] = {}
         self.zone_hooks: ZoneHooks | None = None  # where the policy enables them
         self.shared_silence: SharedSilence | None = None  # where the policy enables it
-        self.withheld = BlockedActions()
+        self.blocked_actions = BlockedActions()
         # A worker whose report is not answered turns to one of them.
         self.other_controllers = limits.initial_size > 1
         # Whether the lease on the lead is certain now; the term knows.
@@ -187,7 +193,7 @@
             for machine in self.machines.values():
                 if machine.machine_type == index:
                     machine.cap = cap
-                    self.room.reindex(machine)
+                    self.capacity_index.reindex(machine)
 
     def capacity(self, type_index: int) -> Vec:
         """CPUs, GPUs and memory of a machine of this type; nothing while the type is unknown."""
@@ -200,7 +206,7 @@
         """How long one of the job's tasks should run, by its owner's estimate and by experience."""
         return self.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
 
-    def add_job(self, spec: Submission, now: float, fresh: bool = False) -> Job | None:
+    def add_job(self, spec: Submission, now: float, accepted_this_term: bool = False) -> Job | None:
         """Take an accepted job in; None when its team is unknown to these settings."""
         found = self.jobs.get(spec.job_id)
         if found is not None:
@@ -215,22 +221,22 @@
         job = Job(
             spec=spec,
             team=team,
-            rank=names.URGENCIES.index(spec.urgency),
+            priority=names.URGENCIES.index(spec.urgency),
             need=(spec.vcpus, spec.accelerators, spec.ram_gb),
             allowed_types=allowed_types,
             zone=None if spec.zone is None else self.zones.intern(spec.zone),
             submitted=min(now, spec.at - self.wall_ahead) if spec.at else now,
             done=bytearray(spec.task_count),
-            fresh=fresh,
+            accepted_this_term=accepted_this_term,
         )
         self.jobs[spec.job_id] = job
-        if fresh:
-            self.arrivals.came(now)
+        if accepted_this_term:
+            self.arrivals.record_arrival(now)
         fitting = self.fitting(job)
         if len(fitting) == 1 < len(self.machine_types):
             self.scarce |= fitting
-        job.choosy = fitting <= self.scarce
-        waiting.join(self, job)
+        job.constrained = fitting <= self.scarce
+        dependencies.add_job(self, job)
         self.events.changed()
         return job
 
@@ -263,7 +269,7 @@
             if not job.done[one]:
                 job.done[one] = 1
                 job.n_done += 1
-                job.dirty.add(one)
+                job.unsaved.add(one)
         if job.complete:
             self.events.completed(job)
         self.events.changed()
@@ -272,7 +278,7 @@
         """These done tasks are known to the state service."""
         for index in indices:
             job.saved.add(index)
-            job.dirty.discard(index)
+            job.unsaved.discard(index)
 
     def request_cancel(self, job: Job) -> None:
         """A user has asked to cancel the job: nothing of it starts any more, and what runs stops.
@@ -284,29 +290,29 @@
         if job.cancel_requested:
             return
         job.cancel_requested = True
-        self.room.unkeep(job.job_id)
+        self.capacity_index.release_reservations(job.job_id)
         for binding in list(job.bindings.values()):
-            self.want_stop(binding, 0.0)
+            self.request_stop(binding, 0.0)
         self.events.changed()
 
     def end_job(self, job: Job, phase: str, now: float) -> None:
         """The outcome is durable: stop what is left and forget the job once it is gone."""
-        job.over = phase
-        job.dirty.clear()
-        waiting.ended(self, job, phase, now)
+        job.terminal_phase = phase
+        job.unsaved.clear()
+        dependencies.ended(self, job, phase, now)
         for binding in list(job.bindings.values()):
             if phase == names.ABORTED:
-                self.want_stop(binding, 0.0)
+                self.request_stop(binding, 0.0)
         self._forget(job)
         self.events.changed()
 
     def _forget(self, job: Job) -> None:
-        if job.over and not job.bindings and self.jobs.get(job.job_id) is job:
+        if job.terminal_phase and not job.bindings and self.jobs.get(job.job_id) is job:
             self.team_of[job.job_id] = (job.team, job.need)
             if len(self.team_of) > max(MIN_REMEMBERED_JOBS, REMEMBERED_FLEETS * self.largest_fleet):
                 self.team_of.pop(next(iter(self.team_of)))
             del self.jobs[job.job_id]
-            self.live.pop(job.job_id, None)
+            self.ready_jobs.pop(job.job_id, None)
 
     # -- bookings -----------------------------------------------------------------------
 
@@ -314,12 +320,12 @@
         """Book a task's need on a machine and its team, or take the booking back."""
         used = machine.used
         if sign < 0:
-            machine.freed = True
+            machine.has_freed_capacity = True
         for n in range(3):
             used[n] += sign * need[n]
         if not machine.busy():
             machine.used = [0.0, 0.0, 0.0]
-        self.room.reindex(machine)
+        self.capacity_index.reindex(machine)
         if team >= 0:
             usage = self.usage[team]
             usage[0] = max(0.0, usage[0] + sign * need[0])
@@ -328,7 +334,7 @@
     def set_phase(self, machine: Machine, phase: str) -> None:
         """Change a machine's phase, and what is indexed by it."""
         machine.phase = phase
-        self.room.reindex(machine)
+        self.capacity_index.reindex(machine)
         if self.zone_hooks is not None:
             self.zone_hooks.phase_changed(machine)
         if self.shared_silence is not None:
@@ -349,27 +355,29 @@
         """
         sound = self.invariants.may_bind(job, index, machine, granted)
         binding = Binding(job, index, attempt, machine, job.need, job.team, since=now)
-        binding.barred = not sound
+        binding.rejected = not sound
         if index in job.bindings or (job.job_id, index) in machine.bindings:
             # Put in the place of the one that there is, that one would never be released.
             return binding
         machine.bindings[(job.job_id, index)] = binding
         machine.unchanged = False
         job.bindings[index] = binding
-        self.ranks[job.rank] += 1
+        self.bound_by_priority[job.priority] += 1
         self.book(machine, job.need, job.team, 1.0)
         if not sound:
-            self.want_stop(binding, 0.0)
+            self.request_stop(binding, 0.0)
         return binding
 
-    def release(self, binding: Binding, now: float, proof: Proof, detail: object = "") -> None:
+    def release(
+        self, binding: Binding, now: float, proof: ReleaseReason, detail: object = ""
+    ) -> None:
         """The task is certainly not on the machine any more."""
         job, machine = binding.job, binding.machine
         assert job is not None
         event(
             log,
             "task_released",
-            logging.DEBUG if proof is Proof.EXITED else logging.INFO,
+            logging.DEBUG if proof is ReleaseReason.EXITED else logging.INFO,
             task=binding.task_id,
             attempt=binding.attempt,
             machine=machine.name,
@@ -384,7 +392,7 @@
         machine.bindings.pop((job.job_id, binding.index), None)
         machine.unchanged = False
         job.bindings.pop(binding.index, None)
-        self.ranks[job.rank] -= 1
+        self.bound_by_priority[job.priority] -= 1
         self.book(machine, binding.need, binding.team, -1.0)
         if job.gang:
             if not job.complete and not job.failed:
@@ -403,7 +411,7 @@
         del binding.machine.bindings[(job.job_id, binding.index)]
         binding.machine.unchanged = False
         del job.bindings[binding.index]
-        self.ranks[job.rank] -= 1
+        self.bound_by_priority[job.priority] -= 1
         self.book(binding.machine, binding.need, binding.team, -1.0)
         self.bind(job, binding.index, machine, binding.attempt, now)
 
@@ -412,20 +420,20 @@
         job.failed = True
         log.info("gang %s attempt %d over: %s", job.job_id, job.attempt, why)
         for other in list(job.bindings.values()):
-            if other.stop is None:
-                self.want_stop(other, 0.0)
+            if other.stop_grace_s is None:
+                self.request_stop(other, 0.0)
 
     def stop_gang(self, job: Job, grace_s: float, why: str) -> None:
         """Stop a whole gang in order: every member is told, and what it saved is kept."""
         log.info("gang %s stopped: %s", job.job_id, why)
         job.failed = True
         for binding in job.bindings.values():
-            self.want_stop(binding, grace_s)
+            self.request_stop(binding, grace_s)
 
-    def want_stop(self, binding: Binding, grace_s: float) -> None:
+    def request_stop(self, binding: Binding, grace_s: float) -> None:
         """Ask for a task's stop; a shorter grace replaces a longer one."""
-        if binding.stop is None or grace_s < binding.stop:
-            binding.stop = grace_s
+        if binding.stop_grace_s is None or grace_s < binding.stop_grace_s:
+            binding.stop_grace_s = grace_s
             binding.stop_sent = False
             binding.machine.unchanged = False
             self.stops.append(binding)
@@ -480,20 +488,20 @@
         machine.registered = True
         self.unregistered.pop(machine, None)
 
-    def lose_tasks(self, machine: Machine, now: float, proof: Proof) -> None:
+    def lose_tasks(self, machine: Machine, now: float, proof: ReleaseReason) -> None:
         """All that was on a machine is certainly gone."""
         if self.zone_hooks is not None:
             self.zone_hooks.displaced(machine.bindings.values(), now)
         for binding in list(machine.bindings.values()):
             self.release(binding, now, proof)
-        for key in list(machine.strays):
-            strays.drop(self, machine, key)
+        for key in list(machine.orphans):
+            orphans.drop(self, machine, key)
 
     def machine_gone(self, machine: Machine, now: float) -> None:
         """The cloud confirmed the return: the machine and all on it are gone."""
-        self.lose_tasks(machine, now, Proof.TERMINATED)
+        self.lose_tasks(machine, now, ReleaseReason.TERMINATED)
         self.set_phase(machine, GONE)
-        self.room.kept.pop(machine, None)
+        self.capacity_index.reserved.pop(machine, None)
         self.machines.pop(machine.name, None)
         self.unregistered.pop(machine, None)
         self.recently_gone[machine.name] = now
@@ -505,14 +513,14 @@
 
     def tick(self, now: float) -> None:
         """What time alone decides: leases that are surely over, and the end of a takeover."""
-        waiting.revise_runs(self)
+        dependencies.revise_runs(self)
         self.invariants.audit(now)
         # Of a leader without its lease workers may be another one's by now: what it last heard
         # says nothing of them. It had judged 135 machines lost that reported to the next leader.
         if permits(Action.DECLARE_LOST, self.confirmed_preconditions() | WORKER_LEASE_OVER):
             for machine in self.machines.values():
                 if machine.phase == UP and now > self.leases.expires_at(machine):
-                    self._lose(machine, now)
+                    self._mark_lost(machine, now)
         if self.loaded and not self.ready and self.failover.sweep(now):
             self.ready = True
             self._end_partial_gangs(now)
@@ -526,7 +534,7 @@
             )
             self.events.changed()
 
-    def _lose(self, machine: Machine, now: float) -> None:
+    def _mark_lost(self, machine: Machine, now: float) -> None:
         # Whatever it still reports of this session is late news: a worker that
         # goes on does so with the next session and no tasks.
         log.info(
@@ -539,7 +547,7 @@
             math.inf
         )  # it holds nothing any more, and may join if it heals
         machine.reconciled = False
-        self.lose_tasks(machine, now, Proof.LEASE_OVER)
+        self.lose_tasks(machine, now, ReleaseReason.LEASE_OVER)
 
     def _end_partial_gangs(self, now: float) -> None:
         """Gangs of which an earlier leader had started only a part when it ended.
@@ -553,18 +561,18 @@
 
     # -- reports ------------------------------------------------------------------------
 
-    def should_have_heard(self, now: float) -> bool:
+    def heartbeats_expected(self, now: float) -> bool:
         """Whether machines that are well have had the time to find this leader."""
         return now - self.term_started_at > 1.0 + self.limits.workers.heartbeat_interval_s
 
-    def hearing(self, now: float) -> tuple[int, int]:
+    def heartbeat_counts(self, now: float) -> tuple[int, int]:
         """How many machines that are up were heard lately, and how many were not."""
         up = [m for m in self.machines.values() if m.phase == UP]
         late = now - 3.0 * self.limits.workers.heartbeat_interval_s
         heard = sum(1 for m in up if m.last_heartbeat_at >= late)
         return heard, len(up) - heard
 
-    def may_place(self, job: Job) -> bool:
+    def may_schedule(self, job: Job) -> bool:
         """Whether all tasks of the job are accounted for: the fact ``TASK_NOWHERE``.
 
         Until every machine of the roster is, a task that no report shows may be on one that is
@@ -573,7 +581,8 @@
         if self.ready:
             return True
         return self.loaded and (
-            job.fresh or (self.shared_silence is not None and not self.failover.could_run(job))
+            job.accepted_this_term
+            or (self.shared_silence is not None and not self.failover.could_run(job))
         )
 
     def handle_heartbeat(
@@ -587,10 +596,10 @@
 
     # -- views --------------------------------------------------------------------------
 
-    def awaited_by(self, job_id: str, most: int) -> list[str]:
+    def unfinished_dependencies(self, job_id: str, most: int) -> list[str]:
         """What a job still waits for."""
-        node = self.pipelines.nodes.get(job_id)
-        return sorted(node.open)[:most] if node is not None else []
+        node = self.dependency_graph.nodes.get(job_id)
+        return sorted(node.unfinished)[:most] if node is not None else []
 
     def phase_of(self, job: Job) -> tuple[str, int, int]:
         """Phase, tasks done and tasks running, as users are told."""
@@ -600,7 +609,7 @@
             if b.phase in (names.RUNNING, names.GATHERING, names.FLUSHING)
         )
         # Before the outcome is durable nobody is told of it.
-        phase = job.over or (
+        phase = job.terminal_phase or (
             names.ABORTED
             if job.dependency_cancelled
             else names.RUNNING
--- a/src/salthead/coordination/machine_health.py
+++ b/src/salthead/coordination/machine_health.py
@@ -40,7 +40,7 @@
                 ledger.limits.workers.lease_s,
             )
         )
-        machine.freed = True
+        machine.has_freed_capacity = True
 
 
 def errored(ledger: Ledger, job: Job, machine: Machine, now: float) -> None:
@@ -64,5 +64,5 @@
         machine.name,
         len(machine.error_jobs),
     )
-    if len(blamed) >= QUARANTINE_ERRORS and not machine.condemned:
-        machine.condemned = "fails its tasks"
+    if len(blamed) >= QUARANTINE_ERRORS and not machine.quarantine_reason:
+        machine.quarantine_reason = "fails its tasks"
--- a/src/salthead/coordination/model.py
+++ b/src/salthead/coordination/model.py
@@ -20,7 +20,7 @@
 UP, BOOTING, LOST, GONE = "up", "booting", "lost", "gone"
 
 
-class Proof(StrEnum):
+class ReleaseReason(StrEnum):
     """Why a task is certainly not on its machine any more."""
 
     EXITED = "exited"
@@ -46,10 +46,10 @@
     since: float = 0.0
     started: float = 0.0
     start_sends: int = 0  # answers that carried its start
-    stop: float | None = None  # the leeway of the stop that is wanted
+    stop_grace_s: float | None = None  # the leeway of the stop that is wanted
     stop_sent: bool = False
-    stray: bool = False  # on a machine, but not ours to keep: its stop is wanted
-    barred: bool = False  # bound against an invariant: its start is not sent
+    orphan: bool = False  # on a machine, but not ours to keep: its stop is wanted
+    rejected: bool = False  # bound against an invariant: its start is not sent
 
     @property
     def task_id(self) -> str:
@@ -58,7 +58,12 @@
 
     def start_unsent(self) -> bool:
         """Whether no answer carried its start yet, so that it can't be on its machine."""
-        return not self.start_sends and not self.phase and self.stop is None and not self.stray
+        return (
+            not self.start_sends
+            and not self.phase
+            and self.stop_grace_s is None
+            and not self.orphan
+        )
 
 
 @dataclass(slots=True, eq=False)
@@ -79,17 +84,17 @@
     min_incarnation: int = 0
     last_heartbeat_at: float = -math.inf
     acknowledged_at: float = -math.inf
-    warn_at: float | None = None
+    reclaim_at: float | None = None
     bindings: dict[tuple[str, int], Binding] = field(default_factory=dict)
-    strays: dict[tuple[str, int, int], Binding] = field(default_factory=dict)
+    orphans: dict[tuple[str, int, int], Binding] = field(default_factory=dict)
     provisioned_at: float = 0.0
     lost_at: float = 0.0
     endpoint: str = ""
-    condemned: str = ""  # why it takes no more tasks and is to be returned
+    quarantine_reason: str = ""  # why it takes no more tasks and is to be returned
     error_jobs: set[str] = field(default_factory=set)
     error_until: float = 0.0
-    held_for: str = ""  # the job for which room is being made here
-    held_until: float = 0.0
+    reserved_for: str = ""  # the job for which room is being made here
+    reserved_until: float = 0.0
     terminating: bool = False
     surplus_since: float | None = None  # since when all there is to do would fit elsewhere
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # in its cache, by use
@@ -99,21 +104,21 @@
     unresponsive_since: float | None = None  # reports arrive, but nothing reaches it
     unresponsive_times: int = 0
     trusted_again_at: float = 0.0  # after it was unresponsive: when it may be given work again
-    freed: bool = False  # has room that it had not at its last report
+    has_freed_capacity: bool = False  # has room that it had not at its last report
     # What its last report showed, and whether that left nothing to do: the same again is no news.
-    shown: list[TaskStatus] = field(default_factory=list)
+    last_tasks: list[TaskStatus] = field(default_factory=list)
     unchanged: bool = False
     index: int = -1  # a dense number, for sets of machines
     links: WorkerLinks = field(default_factory=WorkerLinks)
-    withheld: bool = False  # in a zone that was lost, and not yet open to new work
-    whole: int = -1  # whole CPUs that are free, as its ledger last indexed it
+    awaiting_slow_start: bool = False  # in a zone that was lost, and not yet open to new work
+    free_whole_cpus: int = -1  # whole CPUs that are free, as its ledger last indexed it
     # Kept rather than derived: plans read it a thousand times each.
     kind: Kind = field(init=False)
 
     def __post_init__(self) -> None:
         self.kind = (self.machine_type, self.zone, self.spot)
 
-    def room(self) -> Vec:
+    def free(self) -> Vec:
         """What is free."""
         return (self.cap[0] - self.used[0], self.cap[1] - self.used[1], self.cap[2] - self.used[2])
 
@@ -139,7 +144,7 @@
 
     def busy(self) -> bool:
         """Whether any task is on the machine, or on its way there."""
-        return bool(self.bindings or self.strays)
+        return bool(self.bindings or self.orphans)
 
     def responsive(self, now: float) -> bool:
         """Whether it hears what it is told, as far as is known."""
@@ -152,7 +157,7 @@
 
     spec: Submission
     team: int
-    rank: int  # 0 is the highest urgency
+    priority: int  # 0 is the highest urgency
     need: Vec
     allowed_types: frozenset[int] | None  # None: any
     zone: int | None
@@ -161,29 +166,31 @@
     done: bytearray = field(default_factory=bytearray)
     n_done: int = 0
     saved: set[int] = field(default_factory=set)  # done and known to the state service
-    dirty: set[int] = field(default_factory=set)  # done and not yet saved
-    next_fresh: int = 0
-    again: deque[int] = field(default_factory=deque)
+    unsaved: set[int] = field(default_factory=set)  # done and not yet saved
+    next_unstarted: int = 0
+    retry_queue: deque[int] = field(default_factory=deque)
     bindings: dict[int, Binding] = field(default_factory=dict)
     attempt: int = 0  # of a gang, while it is bound
     failed: bool = False  # a gang whose attempt is over, until all its tasks are gone
-    pushed: bool = False  # a gang that was stopped to make room or for its machine's sake
-    over: str = ""  # done or aborted, once that is durable
+    preempted: bool = False  # a gang that was stopped to make room or for its machine's sake
+    terminal_phase: str = ""  # done or aborted, once that is durable
     wait_until: float = 0.0  # after errors and refusals
     pause_until: float = 0.0  # after a draw without candidates
     pause: float = 0.0
-    behind: tuple[float, float] = (0.0, 0.0)  # quota kept for gangs before it in line
+    quota_reserved_ahead: tuple[float, float] = (0.0, 0.0)  # quota kept for gangs before it in line
     room_until: float = 0.0  # until then room that was made for it by stops is awaited
     reserved_at: float | None = None  # since when its team's quota is kept for it
-    held_since: float | None = None  # since when only what is kept for others keeps it waiting
-    short: bool = False  # of quota, at the last pass
+    held_back_since: float | None = None  # since when only what is kept for others keeps it waiting
+    quota_exhausted: bool = False  # of quota, at the last pass
     error_machines: set[str] = field(default_factory=set)
     first_start: float | None = None
-    entitled: bool = False  # was within its team's guarantee when it came
-    judged: bool = False  # it is known whether it found its machines in time
-    choosy: bool = False  # fits on no type but those that are scarce
-    fresh: bool = False  # no earlier leader can have started any of it
-    awaiting: bool = False  # not all jobs that it awaits are known to be durably done
+    within_guarantee: bool = False  # was within its team's guarantee when it came
+    attainment_recorded: bool = False  # it is known whether it found its machines in time
+    constrained: bool = False  # fits on no type but those that are scarce
+    accepted_this_term: bool = False  # no earlier leader can have started any of it
+    blocked_on_dependencies: bool = (
+        False  # not all jobs that it awaits are known to be durably done
+    )
     cancel_requested: bool = False  # its user has asked to cancel it: nothing of it starts any more
     dependency_cancelled: bool = (
         False  # a job that it needs was cancelled: aborted, if not yet written so
@@ -210,9 +217,9 @@
     def waiting(self) -> int:
         """How many tasks have no machine."""
         if (
-            self.over
+            self.terminal_phase
             or self.complete
-            or self.awaiting
+            or self.blocked_on_dependencies
             or self.dependency_cancelled
             or self.cancel_requested
         ):
@@ -221,20 +228,20 @@
             return 0 if self.bindings else self.spec.task_count
         return self.spec.task_count - self.n_done - len(self.bindings)
 
-    def take(self) -> int | None:
+    def next_task(self) -> int | None:
         """The next task without a machine, if any."""
-        while self.again:
-            index = self.again.popleft()
+        while self.retry_queue:
+            index = self.retry_queue.popleft()
             if not self.done[index] and index not in self.bindings:
                 return index
-        while self.next_fresh < self.spec.task_count:
-            index = self.next_fresh
-            self.next_fresh += 1
+        while self.next_unstarted < self.spec.task_count:
+            index = self.next_unstarted
+            self.next_unstarted += 1
             if not self.done[index] and index not in self.bindings:
                 return index
         return None
 
     def requeue_task(self, index: int) -> None:
         """A task has lost its machine and waits again."""
-        if not self.gang and index < self.next_fresh and not self.done[index]:
-            self.again.append(index)
+        if not self.gang and index < self.next_unstarted and not self.done[index]:
+            self.retry_queue.append(index)
--- a/src/salthead/coordination/order.py
+++ b/src/salthead/coordination/order.py
@@ -21,7 +21,7 @@
 RESERVE_AFTER_SHARE = 0.25
 
 
-def overdue(job: Job, now: float) -> bool:
+def start_overdue(job: Job, now: float) -> bool:
     """Whether half of the time within which any job has to begin is gone, and nothing of it has
     a machine: with its first task it has begun, and the rest of it waits for its turn."""
     return (
@@ -34,7 +34,7 @@
 
 def due(ledger: Ledger, job: Job, now: float) -> bool:
     """Whether half of the wait that the job's next target allows is gone."""
-    if overdue(job, now):
+    if start_overdue(job, now):
         return True
     run_s = ledger.run_s(job)
     start_by = target(ledger, job, run_s, now)
@@ -68,15 +68,15 @@
 def target(ledger: Ledger, job: Job, run_s: float, now: float) -> float:
     """The latest time at which the job may start and still meet its next target; inf if none."""
     best = math.inf
-    for aim in ledger.limits.objectives:
-        if aim.job_class != job.spec.job_class:
+    for objective in ledger.limits.objectives:
+        if objective.job_class != job.spec.job_class:
             continue
-        if aim.kind == "deadline" and job.spec.deadline_s is not None:
-            start_by = job.submitted + job.spec.deadline_s * aim.times - run_s
-        elif aim.kind == "finished":
-            start_by = job.since + aim.within_s - run_s
-        elif aim.kind == "wait" and not job.first_start:
-            start_by = job.since + aim.within_s
+        if objective.kind == "deadline" and job.spec.deadline_s is not None:
+            start_by = job.submitted + job.spec.deadline_s * objective.times - run_s
+        elif objective.kind == "finished":
+            start_by = job.since + objective.within_s - run_s
+        elif objective.kind == "wait" and not job.first_start:
+            start_by = job.since + objective.within_s
         else:
             continue
         if start_by >= now:
@@ -116,10 +116,10 @@
     """One rank's jobs in the order in which they are served; ``rate`` is in CPUs."""
     rows: list[tuple[float, float, str, float, Job]] = []
     first = sorted(
-        (job for job in jobs if overdue(job, now)), key=lambda job: (job.since, job.job_id)
+        (job for job in jobs if start_overdue(job, now)), key=lambda job: (job.since, job.job_id)
     )
     for job in jobs:
-        if overdue(job, now):
+        if start_overdue(job, now):
             continue
         run_s = ledger.run_s(job)
         work = job.waiting() * max(job.need[0], 0.1) * run_s
@@ -151,6 +151,6 @@
     return first + [row[4] for row in kept + behind]
 
 
-def rate_of(ledger: Ledger) -> float:
+def fleet_cpus(ledger: Ledger) -> float:
     """CPUs of all machines that are up or coming."""
-    return sum([m.cap[0] for m in ledger.machines.values() if not m.condemned])
+    return sum([m.cap[0] for m in ledger.machines.values() if not m.quarantine_reason])
--- a/src/salthead/coordination/strays.py
+++ b/src/salthead/coordination/orphans.py
@@ -20,12 +20,12 @@
 
 log = logging.getLogger("salthead.strays")
 
-StrayKey = tuple[str, int, int]  # job, task number and attempt
+OrphanKey = tuple[str, int, int]  # job, task number and attempt
 
 
-def add(ledger: Ledger, machine: Machine, key: StrayKey) -> None:
+def add(ledger: Ledger, machine: Machine, key: OrphanKey) -> None:
     """Note a stray task that a report shows, and book what it takes."""
-    if key in machine.strays:
+    if key in machine.orphans:
         return
     job_id, index, attempt = key
     job = ledger.jobs.get(job_id)
@@ -38,7 +38,7 @@
         ledger.unknown_jobs.add(job_id)
     event(
         log,
-        "stray_found",
+        "orphan_found",
         task=f"{job_id}/{index}",
         attempt=attempt,
         machine=machine.name,
@@ -47,20 +47,20 @@
         team_known=team >= 0,
         fencing_token=ledger.fencing_token,
     )
-    metrics.STRAYS_FOUND.inc()
-    ledger.stray_jobs[job_id] = ledger.stray_jobs.get(job_id, 0) + 1
-    machine.strays[key] = Binding(job, index, attempt, machine, need, team, stray=True)
+    metrics.ORPHANS_FOUND.inc()
+    ledger.orphan_jobs[job_id] = ledger.orphan_jobs.get(job_id, 0) + 1
+    machine.orphans[key] = Binding(job, index, attempt, machine, need, team, orphan=True)
     ledger.book(machine, need, team, 1.0)
 
 
-def drop(ledger: Ledger, machine: Machine, key: StrayKey) -> None:
+def drop(ledger: Ledger, machine: Machine, key: OrphanKey) -> None:
     """The stray task is certainly gone: release what it took."""
-    stray = machine.strays.pop(key)
-    event(log, "stray_gone", task=f"{key[0]}/{key[1]}", attempt=key[2], machine=machine.name)
-    ledger.book(machine, stray.need, stray.team, -1.0)
-    left = ledger.stray_jobs.pop(key[0], 1) - 1
+    orphan = machine.orphans.pop(key)
+    event(log, "orphan_gone", task=f"{key[0]}/{key[1]}", attempt=key[2], machine=machine.name)
+    ledger.book(machine, orphan.need, orphan.team, -1.0)
+    left = ledger.orphan_jobs.pop(key[0], 1) - 1
     if left > 0:
-        ledger.stray_jobs[key[0]] = left
+        ledger.orphan_jobs[key[0]] = left
     else:
         ledger.unknown_jobs.discard(key[0])
     ledger.events.changed()
@@ -73,7 +73,7 @@
     ledger.team_of[spec.job_id] = (-1 if team is None else team, need)
     ledger.unknown_jobs.discard(spec.job_id)
     for machine in ledger.machines.values():
-        for key, stray in machine.strays.items():
-            if key[0] == spec.job_id and stray.team < 0:
-                stray.need, stray.team = need, -1 if team is None else team
-                ledger.book(machine, need, stray.team, 1.0)
+        for key, orphan in machine.orphans.items():
+            if key[0] == spec.job_id and orphan.team < 0:
+                orphan.need, orphan.team = need, -1 if team is None else team
+                ledger.book(machine, need, orphan.team, 1.0)
--- a/src/salthead/coordination/placement.py
+++ b/src/salthead/coordination/placement.py
@@ -9,7 +9,7 @@
 
 from salthead.coordination import order
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import EPSILON, UP, Job, Kind, Machine, Proof
+from salthead.coordination.model import EPSILON, UP, Job, Kind, Machine, ReleaseReason
 from salthead.coordination.start_rules import quota_left, startable, wanted
 from salthead.event_log import event
 from salthead.protocol import names
@@ -24,15 +24,15 @@
 LIMIT_LOGGED_S = 10.0
 
 
-def entitled(ledger: Ledger) -> set[str]:
+def guaranteed_jobs(ledger: Ledger) -> set[str]:
     """Jobs that fit into their team's guarantee together with the team's earlier ones.
 
     What waits for other jobs holds no part of a guarantee, and is not among the live ones.
     """
     within: set[str] = set()
     sums = [[0.0, 0.0] for _ in ledger.guarantees]
-    for job in sorted(ledger.live.values(), key=lambda job: (job.since, job.job_id)):
-        if job.over or job.cancel_requested:
+    for job in sorted(ledger.ready_jobs.values(), key=lambda job: (job.since, job.job_id)):
+        if job.terminal_phase or job.cancel_requested:
             continue
         total, size, most = sums[job.team], job.size(), ledger.guarantees[job.team]
         total[0] += size[0]
@@ -49,18 +49,18 @@
     first, the smallest ahead: a large one, or one that has missed that, would make all that come
     after it miss it as well.
     """
-    waiting = [job for job in ledger.live.values() if startable(ledger, job)]
-    at_once_s = ledger.prompt.within_s
-    first = [job for job in waiting if job.job_id in within and now - job.since <= at_once_s]
-    first.sort(key=lambda job: (job.rank, job.waiting() * job.need[0], job.since, job.job_id))
+    waiting = [job for job in ledger.ready_jobs.values() if startable(ledger, job)]
+    start_target_s = ledger.start_attainment.within_s
+    first = [job for job in waiting if job.job_id in within and now - job.since <= start_target_s]
+    first.sort(key=lambda job: (job.priority, job.waiting() * job.need[0], job.since, job.job_id))
     young = {job.job_id for job in first}
-    rate = order.rate_of(ledger)
+    rate = order.fleet_cpus(ledger)
     for guaranteed in (True, False):
-        for rank in range(len(names.URGENCIES)):
+        for priority in range(len(names.URGENCIES)):
             same = [
                 job
                 for job in waiting
-                if job.rank == rank
+                if job.priority == priority
                 and job.job_id not in young
                 and (job.job_id in within) == guaranteed
             ]
@@ -70,17 +70,17 @@
     return first
 
 
-def unusable(ledger: Ledger, machine: Machine, now: float) -> str:
+def unavailable_reason(ledger: Ledger, machine: Machine, now: float) -> str:
     """Why room on a machine can't be used now, for operators; empty when it can."""
     reasons = (
-        ("kept", bool(machine.held_for) and now < machine.held_until),
+        ("kept", bool(machine.reserved_for) and now < machine.reserved_until),
         ("cordoned", machine.cordoned),
-        ("withheld", machine.withheld),
-        ("condemned", bool(machine.condemned)),
-        ("going", machine.terminating or machine.warn_at is not None),
+        ("withheld", machine.awaiting_slow_start),
+        ("condemned", bool(machine.quarantine_reason)),
+        ("going", machine.terminating or machine.reclaim_at is not None),
         ("failing", now < machine.error_until),
         ("unresponsive", not machine.responsive(now)),
-        ("unheard", not usable(ledger, machine, now)),
+        ("unheard", not available(ledger, machine, now)),
     )
     return next((reason for reason, holds in reasons if holds), "")
 
@@ -94,16 +94,16 @@
     )
 
 
-def usable(ledger: Ledger, machine: Machine, now: float) -> bool:
+def available(ledger: Ledger, machine: Machine, now: float) -> bool:
     """Heard of lately, in the roster, and not about to go."""
     return (
         machine.phase == UP
         and machine.registered
         and machine.reconciled
-        and not machine.condemned
+        and not machine.quarantine_reason
         and not machine.terminating
         and not machine.cordoned
-        and machine.warn_at is None
+        and machine.reclaim_at is None
         and now - machine.last_heartbeat_at
         <= FRESH_HEARTBEAT_INTERVALS * ledger.limits.workers.heartbeat_interval_s
         and now >= machine.error_until
@@ -111,7 +111,7 @@
     )
 
 
-def overdue(ledger: Ledger, machine: Machine, now: float) -> bool:
+def heartbeat_overdue(ledger: Ledger, machine: Machine, now: float) -> bool:
     """Whether the next report should have come: a period, a quarter more, and a second for the
     way and a busy leader.
 
@@ -121,9 +121,9 @@
     return now - machine.last_heartbeat_at > 1.25 * ledger.limits.workers.heartbeat_interval_s + 1.0
 
 
-def insistent(job: Job, now: float) -> bool:
+def held_back_too_long(job: Job, now: float) -> bool:
     """Whether the job has been held back by what is kept for others for as long as may be."""
-    return job.held_since is not None and now - job.held_since >= MAX_HELD_BACK_S
+    return job.held_back_since is not None and now - job.held_back_since >= MAX_HELD_BACK_S
 
 
 def held_back(ledger: Ledger, job: Job, now: float) -> bool:
@@ -131,8 +131,8 @@
     left = job.spec.task_count if job.gang else 1
     if quota_left(ledger, job, heed=False) < left:
         return False
-    for machine in ledger.room.with_room(kinds(ledger, job), job.need):
-        if usable(ledger, machine, now):
+    for machine in ledger.capacity_index.with_room(suitable_kinds(ledger, job), job.need):
+        if available(ledger, machine, now):
             left -= int(
                 min(
                     (c - u + EPSILON) / n
@@ -145,26 +145,30 @@
     return False
 
 
-def admitted(ledger: Ledger, job: Job, now: float) -> bool:
+def may_use_slow_start(ledger: Ledger, job: Job, now: float) -> bool:
     """Whether a job may use machines of a zone that returns, before they are open to all.
 
     A guarantee stands above a gradual return: half of its time is for finding room elsewhere.
     """
-    if not job.entitled or job.held_since is None:
+    if not job.within_guarantee or job.held_back_since is None:
         return False
-    return now - job.held_since >= 0.5 * ledger.prompt.within_s
+    return now - job.held_back_since >= 0.5 * ledger.start_attainment.within_s
 
 
-def open_to(ledger: Ledger, job: Job, machine: Machine, now: float) -> bool:
+def is_open_to(ledger: Ledger, job: Job, machine: Machine, now: float) -> bool:
     """Not kept for another job, nor of the only type for one that waits unless time presses."""
     return (
-        insistent(job, now)
-        or (not machine.held_for or machine.held_for == job.job_id or now >= machine.held_until)
+        held_back_too_long(job, now)
+        or (
+            not machine.reserved_for
+            or machine.reserved_for == job.job_id
+            or now >= machine.reserved_until
+        )
         and machine.name not in job.error_machines
-        and (not machine.withheld or admitted(ledger, job, now))
+        and (not machine.awaiting_slow_start or may_use_slow_start(ledger, job, now))
         and (
-            not ledger.line.choosy
-            or job.choosy
+            not ledger.pending.constrained
+            or job.constrained
             or machine.machine_type not in ledger.scarce
             or order.due(ledger, job, now)
         )
@@ -187,7 +191,7 @@
     return not (job.spec.spread_zones and counts.get(zone, 0) >= (job.spec.task_count + 1) // 2)
 
 
-def draw(machines: list[Machine], rng: random.Random) -> Machine:
+def pick(machines: list[Machine], rng: random.Random) -> Machine:
     """Two at random, the lower fullest dimension wins."""
     if len(machines) == 1:
         return machines[0]
@@ -210,7 +214,7 @@
         self.pools: list[list[Machine]] = [[], [], [], []]
         image = job.spec.image
         for machine in candidates:
-            last = 0 if job.choosy or machine.machine_type not in ledger.scarce else 2
+            last = 0 if job.constrained or machine.machine_type not in ledger.scarce else 2
             far = 0 if image and image in machine.images else 1
             self.pools[last + far].append(machine)
 
@@ -218,11 +222,11 @@
         """Zones of all machines that can be drawn."""
         return {machine.zone for pool in self.pools for machine in pool}
 
-    def draw(self, rng: random.Random) -> Machine | None:
+    def pick(self, rng: random.Random) -> Machine | None:
         """A machine of the first pool that has any."""
         for pool in self.pools:
             if pool:
-                return draw(pool, rng)
+                return pick(pool, rng)
         return None
 
     def used(self, machine: Machine) -> None:
@@ -237,11 +241,11 @@
         self.pools = [[m for m in pool if m.zone != zone] for pool in self.pools]
 
 
-def kinds(ledger: Ledger, job: Job) -> list[Kind]:
+def suitable_kinds(ledger: Ledger, job: Job) -> list[Kind]:
     """The kinds of machines there are that suit the job."""
     return [
         kind
-        for kind in ledger.room.free
+        for kind in ledger.capacity_index.free
         if (job.spec.spot or not kind[2])
         and (job.allowed_types is None or kind[0] in job.allowed_types)
         and (job.zone is None or kind[1] == job.zone)
@@ -252,23 +256,23 @@
     """The filter: machines that suit the job and have room for one task, zones aside."""
     return [
         machine
-        for machine in ledger.room.with_room(kinds(ledger, job), job.need)
-        if usable(ledger, machine, now) and open_to(ledger, job, machine, now)
+        for machine in ledger.capacity_index.with_room(suitable_kinds(ledger, job), job.need)
+        if available(ledger, machine, now) and is_open_to(ledger, job, machine, now)
     ]
 
 
-def base_candidates(ledger: Ledger, job: Job, now: float) -> list[Machine]:
+def suitable_machines(ledger: Ledger, job: Job, now: float) -> list[Machine]:
     """Machines that suit the job, room and its other tasks' zones aside."""
     return [
         machine
-        for kind in kinds(ledger, job)
-        for row in ledger.room.free[kind]
+        for kind in suitable_kinds(ledger, job)
+        for row in ledger.capacity_index.free[kind]
         for machine in row
-        if usable(ledger, machine, now) and open_to(ledger, job, machine, now)
+        if available(ledger, machine, now) and is_open_to(ledger, job, machine, now)
     ]
 
 
-def place_array(
+def schedule_array(
     ledger: Ledger,
     job: Job,
     rng: random.Random,
@@ -290,8 +294,8 @@
             if not zone_open(job, zone, counts):
                 candidate_pools.close(zone)
     bound = 0
-    while bound < wanted and (machine := candidate_pools.draw(rng)) is not None:
-        index = job.take()
+    while bound < wanted and (machine := candidate_pools.pick(rng)) is not None:
+        index = job.next_task()
         if index is None:
             break
         ledger.bind(job, index, machine, ledger.next_attempt(), now, granted=True)
@@ -305,12 +309,12 @@
     return bound
 
 
-def place_gang(ledger: Ledger, job: Job, rng: random.Random, now: float) -> int:
+def schedule_gang(ledger: Ledger, job: Job, rng: random.Random, now: float) -> int:
     """Bind all members or none."""
     task_count = job.spec.task_count
     if quota_left(ledger, job) < task_count:
         return 0
-    base = [m for m in candidates(ledger, job, now) if not overdue(ledger, m, now)]
+    base = [m for m in candidates(ledger, job, now) if not heartbeat_overdue(ledger, m, now)]
     zones: Iterable[int | None] = [None]
     if job.spec.single_zone:
         present = sorted({m.zone for m in base})
@@ -333,7 +337,7 @@
     chosen: list[Machine] = []
     candidate_pools = CandidatePools(ledger, job, base)
     for _ in range(job.spec.task_count):
-        machine = candidate_pools.draw(rng)
+        machine = candidate_pools.pick(rng)
         if machine is None:
             break
         for n in range(3):  # a booking that only later members of the draw see
@@ -355,7 +359,7 @@
     return True
 
 
-def redraw(ledger: Ledger, rng: random.Random, now: float) -> None:
+def reschedule_unsent(ledger: Ledger, rng: random.Random, now: float) -> None:
     """Draw tasks again whose start was not told to anybody, and whose machine has gone silent.
 
     Seen on loss, prairie-ledger-fleet: a machine that dies just after a draw holds its tasks until
@@ -364,7 +368,11 @@
     along, and so completes the gang that gathers.
     """
     for machine in ledger.machines.values():
-        if machine.phase != UP or not machine.bindings or not overdue(ledger, machine, now):
+        if (
+            machine.phase != UP
+            or not machine.bindings
+            or not heartbeat_overdue(ledger, machine, now)
+        ):
             continue
         for binding in [b for b in machine.bindings.values() if b.start_unsent()]:
             job = binding.job
@@ -373,7 +381,7 @@
             hooks = ledger.zone_hooks
             if not job.gang or (hooks is not None and hooks.restarts_whole(machine)):
                 # For a gang that is the end of its attempt: what was told of it is stopped.
-                ledger.release(binding, now, Proof.NEVER_TOLD)
+                ledger.release(binding, now, ReleaseReason.NEVER_TOLD)
                 continue
             counts = zone_counts(job)
             counts[machine.zone] -= 1
@@ -381,15 +389,15 @@
             found = [
                 m
                 for m in candidates(ledger, job, now)
-                if not overdue(ledger, m, now) and zone_open(job, m.zone, counts)
+                if not heartbeat_overdue(ledger, m, now) and zone_open(job, m.zone, counts)
             ]
             if found:
-                other = draw(found, rng)
+                other = pick(found, rng)
                 log.info("%s goes from silent %s to %s", binding.task_id, machine.name, other.name)
                 ledger.move(binding, other, now)
 
 
-def attempt(
+def schedule_job(
     ledger: Ledger,
     job: Job,
     rng: random.Random,
@@ -398,109 +406,120 @@
 ) -> int:
     """Place what can be placed of one job; how many tasks were bound."""
     if job.gang:
-        bound = place_gang(ledger, job, rng, now)
+        bound = schedule_gang(ledger, job, rng, now)
     else:
-        bound = place_array(ledger, job, rng, now, only)
+        bound = schedule_array(ledger, job, rng, now, only)
     if bound:
         job.pause = 0.0
-        job.held_since = None
+        job.held_back_since = None
         level = logging.DEBUG if only is not None else logging.INFO
         log.log(level, "placed %d of %s, %d left", bound, job.job_id, job.waiting())
         if job.waiting() == 0:
-            ledger.room.unkeep(job.job_id)
+            ledger.capacity_index.release_reservations(job.job_id)
             if job.reserved_at is not None:
                 ledger.rest_until[job.team] = now + (now - job.reserved_at)
                 job.reserved_at = None
-            judge(ledger, job, now)
+            record_attainment(ledger, job, now)
     return bound
 
 
-def judge(ledger: Ledger, job: Job, now: float) -> None:
+def record_attainment(ledger: Ledger, job: Job, now: float) -> None:
     """Note once whether a job within its guarantee found all its machines in time."""
-    late = now - job.since > ledger.prompt.within_s
-    if job.entitled and job.fresh and not job.judged and (late or not job.waiting()):
-        job.judged = True
-        ledger.prompt.judge(not late)
-
-
-def offer(ledger: Ledger, machine: Machine, rng: random.Random, now: float) -> None:
+    late = now - job.since > ledger.start_attainment.within_s
+    if (
+        job.within_guarantee
+        and job.accepted_this_term
+        and not job.attainment_recorded
+        and (late or not job.waiting())
+    ):
+        job.attainment_recorded = True
+        ledger.start_attainment.record_attainment(not late)
+
+
+def backfill(ledger: Ledger, machine: Machine, rng: random.Random, now: float) -> None:
     """Offer room that a machine has freed to the jobs in line, in their order.
 
     Those in line found no candidate elsewhere, so this machine is the one there is. A whole
     pass for each report that frees room cost jobs times machines, at every exit of a task.
     """
-    if not ledger.loaded or not usable(ledger, machine, now):
+    if not ledger.loaded or not available(ledger, machine, now):
         return
     if ledger.zone_hooks is not None:
         ledger.zone_hooks.claim(machine, now)
-    for job in ledger.line.jobs:
-        if machine.cap[0] - machine.used[0] + EPSILON < ledger.line.least_cpus:
+    for job in ledger.pending.jobs:
+        if machine.cap[0] - machine.used[0] + EPSILON < ledger.pending.min_cpus:
             return
         if (
             now < job.wait_until
             or not machine.fits(job.need)
             or not allows(job, machine)
             or not startable(ledger, job)
-            or not open_to(ledger, job, machine, now)
+            or not is_open_to(ledger, job, machine, now)
         ):
             continue
-        attempt(ledger, job, rng, now, machine)
+        schedule_job(ledger, job, rng, now, machine)
 
 
-def place(ledger: Ledger, rng: random.Random, now: float) -> list[Job]:
+def schedule(ledger: Ledger, rng: random.Random, now: float) -> list[Job]:
     """One pass over the queue; the jobs that found no candidate are returned, in order."""
-    starved: list[Job] = []
+    unschedulable: list[Job] = []
     if not ledger.loaded:
-        return starved
-    ledger.room.prune_kept(now)
-    within = entitled(ledger)
-    ledger.line.jobs = queue(ledger, within, now)
-    ledger.line.least_cpus = min((job.need[0] for job in ledger.line.jobs), default=math.inf)
-    ledger.line.choosy = any(job.choosy for job in ledger.line.jobs)
+        return unschedulable
+    ledger.capacity_index.expire_reservations(now)
+    within = guaranteed_jobs(ledger)
+    ledger.pending.jobs = queue(ledger, within, now)
+    ledger.pending.min_cpus = min((job.need[0] for job in ledger.pending.jobs), default=math.inf)
+    ledger.pending.constrained = any(job.constrained for job in ledger.pending.jobs)
     reserved: list[Job | None] = [None for _ in ledger.caps]
-    for job in ledger.line.jobs:
-        job.entitled = job.entitled or job.job_id in within
-        judge(ledger, job, now)
+    for job in ledger.pending.jobs:
+        job.within_guarantee = job.within_guarantee or job.job_id in within
+        record_attainment(ledger, job, now)
         ahead = reserved[job.team]
-        if _serve(ledger, job, ahead, rng, now):
-            starved.append(job)
+        if _schedule_pending_job(ledger, job, ahead, rng, now):
+            unschedulable.append(job)
         # For one gang at a time, and then as long for nobody: else all that an overloaded team
         # frees goes to a few of its largest jobs, and each of them makes many others late.
         if ahead is None and order.reserving(job, now) and now >= ledger.rest_until[job.team]:
             reserved[job.team] = job
             if job.reserved_at is None:
                 job.reserved_at = now
-    return starved
+    return unschedulable
 
 
-def _serve(ledger: Ledger, job: Job, ahead: Job | None, rng: random.Random, now: float) -> bool:
+def _schedule_pending_job(
+    ledger: Ledger, job: Job, ahead: Job | None, rng: random.Random, now: float
+) -> bool:
     """Place what can be placed of one job in line; whether it drew and still waits.
 
     ``ahead`` is the gang before it for which its team's quota is kept.
     """
-    job.behind = (0.0, 0.0)
-    if ahead is not None and not insistent(job, now) and (job.gang or order.pressing(ahead, now)):
-        job.behind = ahead.size()[:2]
-    short = _short_of_quota(ledger, job)
-    if job.short and not short:
+    job.quota_reserved_ahead = (0.0, 0.0)
+    if (
+        ahead is not None
+        and not held_back_too_long(job, now)
+        and (job.gang or order.pressing(ahead, now))
+    ):
+        job.quota_reserved_ahead = ahead.size()[:2]
+    quota_exhausted = _short_of_quota(ledger, job)
+    if job.quota_exhausted and not quota_exhausted:
         job.pause_until = 0.0
-    job.short = short
+    job.quota_exhausted = quota_exhausted
     # The pause is for draws that only freed room could change, which ``offer`` sees to.
     if now < max(job.wait_until, job.pause_until):
         return False
-    if not short:
-        attempt(ledger, job, rng, now)
+    if not quota_exhausted:
+        schedule_job(ledger, job, rng, now)
         if job.waiting() == 0:
             return False
-        job.short = _short_of_quota(ledger, job)
-    if job.short:
+        job.quota_exhausted = _short_of_quota(ledger, job)
+    if job.quota_exhausted:
         _note_limit(ledger, job, now)
     else:
         log.debug("job %s waits: no candidate for %d tasks", job.job_id, job.waiting())
     if not held_back(ledger, job, now):
-        job.held_since = None
-    elif job.held_since is None:
-        job.held_since = now
+        job.held_back_since = None
+    elif job.held_back_since is None:
+        job.held_back_since = now
     job.pause = min(job.pause * 2 or FIRST_PAUSE_S, ledger.limits.workers.heartbeat_interval_s)
     job.pause_until = now + job.pause
     return True
@@ -522,7 +541,7 @@
         booked_cpus=ledger.usage[job.team][0],
         silent_cpus=silent[0],
         limit_cpus=ledger.caps[job.team][0],
-        kept_cpus=job.behind[0],
+        kept_cpus=job.quota_reserved_ahead[0],
         unknown_jobs=len(ledger.unknown_jobs),
         ready=ledger.ready,
     )
--- a/src/salthead/coordination/preemption.py
+++ b/src/salthead/coordination/preemption.py
@@ -26,14 +26,14 @@
 def stop(ledger: Ledger, binding: Binding, why: str) -> None:
     """Stop a task in order, with its whole gang if it has one."""
     job = binding.job
-    if job is None or binding.stop is not None:
+    if job is None or binding.stop_grace_s is not None:
         return
     if job.gang:
-        job.pushed = True
+        job.preempted = True
         ledger.stop_gang(job, grace(job), why)
     else:
         log.info("stop %s on %s: %s", binding.task_id, binding.machine.name, why)
-        ledger.want_stop(binding, grace(job))
+        ledger.request_stop(binding, grace(job))
 
 
 def lost_work(binding: Binding, now: float, restart_s: float) -> float:
@@ -54,10 +54,10 @@
     return lost
 
 
-def may_stop(
+def may_preempt(
     ledger: Ledger,
     job: Job,
-    rank: int,
+    priority: int,
     victim: Binding,
     within: set[str],
     now: float,
@@ -75,7 +75,7 @@
     other = victim.job
     if other is None or other is job or other.complete:
         return False
-    if other.rank > rank:
+    if other.priority > priority:
         return True
     if job.job_id not in within or other.team == job.team or other.job_id in within:
         return False
@@ -83,14 +83,14 @@
     if (
         machine_type is None
         or now - job.since < PATIENCE_BOOTS * machine_type.boot_s
-        or (other.gang and other.pushed)
+        or (other.gang and other.preempted)
     ):
         return False
     usage, most = ledger.usage[other.team], ledger.guarantees[other.team]
     return usage[0] > most[0] or usage[1] > most[1]
 
 
-def rank_to_push(ledger: Ledger, job: Job, now: float) -> int:
+def preempting_priority(ledger: Ledger, job: Job, now: float) -> int:
     """The rank with which a job pushes others aside.
 
     One that it inherits from a job after it counts only once half of the wait that its targets
@@ -98,12 +98,12 @@
     stopped 9,000 tasks of 33,000, most of them of work that was late for it.
     """
     own = names.URGENCIES.index(job.spec.urgency)
-    return job.rank if job.rank == own or order.due(ledger, job, now) else own
+    return job.priority if job.priority == own or order.due(ledger, job, now) else own
 
 
-def could_push(ledger: Ledger, job: Job, within: set[str]) -> bool:
+def could_preempt(ledger: Ledger, job: Job, within: set[str]) -> bool:
     """Whether anything runs that the job might push aside: spares the look at each machine."""
-    if any(ledger.ranks[job.rank + 1 :]):
+    if any(ledger.bound_by_priority[job.priority + 1 :]):
         return True
     return job.job_id in within and any(
         usage[n] > most[n]
@@ -116,12 +116,12 @@
 def make_room(ledger: Ledger, job: Job, within: set[str], now: float) -> int:
     """Choose victims for the job's waiting tasks; machines are kept for it meanwhile."""
     wanted = min(job.waiting(), quota_left(ledger, job))
-    if (job.gang and wanted < job.spec.task_count) or not could_push(ledger, job, within):
+    if (job.gang and wanted < job.spec.task_count) or not could_preempt(ledger, job, within):
         return 0
     base = [
         m
-        for m in placement.base_candidates(ledger, job, now)
-        if not placement.overdue(ledger, m, now)
+        for m in placement.suitable_machines(ledger, job, now)
+        if not placement.heartbeat_overdue(ledger, m, now)
         and all(c + 1e-6 >= n for c, n in zip(m.cap, job.need, strict=True))
     ]
     zones: list[int | None] = [None]
@@ -141,7 +141,7 @@
         # Until the stop is told, the task has saved, its exit is told, and the draw.
         longest = max((grace(v.job) for v in victims if v.job), default=0.0)
         until = now + longest + 4.0 * heartbeat_interval_s
-        ledger.room.keep(machine, job.job_id, until)
+        ledger.capacity_index.reserve(machine, job.job_id, until)
         job.room_until = max(job.room_until, until)
         for victim in victims:
             stop(ledger, victim, f"room for {job.job_id}")
@@ -157,7 +157,7 @@
     now: float,
 ) -> tuple[float, list[tuple[Machine, list[Binding]]]] | None:
     restart_s = 2.0 * ledger.limits.workers.heartbeat_interval_s
-    rank = rank_to_push(ledger, job, now)
+    priority = preempting_priority(ledger, job, now)
     room: dict[str, list[float]] = {}
     options: dict[str, list[tuple[float, Binding]]] = {}
     # The cheapest machine is taken first, and then only its own price is worked out anew.
@@ -167,7 +167,8 @@
         stoppable = [
             (lost_work(binding, now, restart_s), binding)
             for binding in machine.bindings.values()
-            if binding.stop is None and may_stop(ledger, job, rank, binding, within, now)
+            if binding.stop_grace_s is None
+            and may_preempt(ledger, job, priority, binding, within, now)
         ]
         stoppable.sort(key=lambda pair: pair[0], reverse=True)
         room[machine.name] = left
@@ -204,9 +205,9 @@
 
 def _room_when_stopped(machine: Machine) -> list[float]:
     """What is free once all that was told to stop has gone."""
-    left = list(machine.room())
+    left = list(machine.free())
     for binding in machine.bindings.values():
-        if binding.stop is not None:
+        if binding.stop_grace_s is not None:
             left = [free + need for free, need in zip(left, binding.need, strict=True)]
     return left
 
@@ -230,20 +231,22 @@
     return picked
 
 
-def preempt(ledger: Ledger, starved: list[Job], now: float) -> None:
+def preempt(ledger: Ledger, unschedulable: list[Job], now: float) -> None:
     """For each job that found no candidate, in order, what the rules let it push aside."""
-    if not starved or not ledger.ready:
+    if not unschedulable or not ledger.ready:
         return
-    within = placement.entitled(ledger)
-    for job in starved:
-        if job.short:
+    within = placement.guaranteed_jobs(ledger)
+    for job in unschedulable:
+        if job.quota_exhausted:
             continue
-        kept = ledger.room.kept_for(job.job_id, now) if now < job.room_until else []
-        if any(placement.overdue(ledger, machine, now) for machine in kept):
+        kept = (
+            ledger.capacity_index.reserved_machines(job.job_id, now) if now < job.room_until else []
+        )
+        if any(placement.heartbeat_overdue(ledger, machine, now) for machine in kept):
             # Seen on loss, prairie-ledger-fleet: of the room made for a gang of 24 one machine
             # died, and the rest stood empty until it was given up. What was stopped for it goes
             # anyway, so that the same machines are chosen, and others for the silent ones.
-            ledger.room.unkeep(job.job_id)
+            ledger.capacity_index.release_reservations(job.job_id)
         elif kept:
             continue  # room is being made already
         make_room(ledger, job, within, now)
@@ -255,12 +258,12 @@
     # The order rides on the answer to the next report.
     start_sends = 1.25 * workers.heartbeat_interval_s + 0.5
     for machine in ledger.machines.values():
-        if machine.phase != UP or machine.warn_at is None:
+        if machine.phase != UP or machine.reclaim_at is None:
             continue
-        left = machine.warn_at - now
+        left = machine.reclaim_at - now
         for binding in list(machine.bindings.values()):
             job = binding.job
-            if job is None or binding.stop is not None:
+            if job is None or binding.stop_grace_s is not None:
                 continue
             if left <= start_sends * (2.0 if job.gang else 1.0) + grace(job) + 0.5:
                 stop(ledger, binding, f"{machine.name} is taken in {left:.1f} s")
--- a/src/salthead/coordination/scale_in.py
+++ b/src/salthead/coordination/scale_in.py
@@ -34,12 +34,12 @@
     """
     slots = _pack(ledger)
     # Spare room is for jobs to come.
-    spare = 1.0 if ledger.arrivals.stopped(now) else ledger.prompt.spare()
+    spare = 1.0 if ledger.arrivals.stopped(now) else ledger.start_attainment.spare()
     patience = SURPLUS_BOOTS - spare * (SURPLUS_BOOTS - SURPLUS_BOOTS_SPARE)
     for slot in slots:
         machine = slot.machine
         assert machine is not None
-        if slot.taken or machine.name in needed or now < machine.held_until:
+        if slot.taken or machine.name in needed or now < machine.reserved_until:
             machine.surplus_since = None
             machine.cordoned = False
         elif machine.surplus_since is None:
@@ -57,9 +57,9 @@
         m
         for m in ledger.machines.values()
         if m.phase == UP
-        and not m.condemned
+        and not m.quarantine_reason
         and not m.terminating
-        and m.warn_at is None
+        and m.reclaim_at is None
         and m.machine_type in ledger.machine_types
     ]
     costs = {
@@ -71,8 +71,8 @@
     cheapest = sorted(costs, key=lambda kind: (costs[kind], kind))
     # The largest first, and of these the ones that suit the fewest kinds of machines.
     running = []
-    for job in ledger.live.values():
-        count = sum(1 for binding in job.bindings.values() if binding.stop is None)
+    for job in ledger.ready_jobs.values():
+        count = sum(1 for binding in job.bindings.values() if binding.stop_grace_s is None)
         if count and not job.complete:
             running.append((job, count))
     running.sort(key=lambda row: (-row[0].need[0], row[0].spec.spot, row[0].need[2]))
@@ -123,13 +123,13 @@
         # Whether so many machines are lost at once that a cut is likelier than their deaths. They
         # are up behind the cut, with no tasks left; waiting for them for as long as a boot takes
         # is cheaper than to return them and boot as many.
-        self.lost_many = sum(1 for m in ledger.machines.values() if m.phase == LOST) > most
+        self.mass_loss = sum(1 for m in ledger.machines.values() if m.phase == LOST) > most
         # Silent machines to return rather than wait for their leases to end. After a takeover one
         # dead or hanging machine holds up every start for a whole lease. The cloud's word that it
         # is gone settles that at the price of one boot. Many silent machines are a cut, not
         # broken machines, and are waited for.
         self.silent_few: set[str] = set()
-        if not ledger.ready and ledger.should_have_heard(now):
+        if not ledger.ready and ledger.heartbeats_expected(now):
             silent = ledger.failover.unreconciled_machines()
             if ledger.shared_silence is not None:
                 # Seen on zone-behind-cut: 62 machines that a cut of their zone had left well.
@@ -158,8 +158,8 @@
         return "only old reports"
     if machine.name in counted.silent_few:
         return SILENT_REASON
-    if machine.condemned:
-        return machine.condemned if not machine.busy() else ""
+    if machine.quarantine_reason:
+        return machine.quarantine_reason if not machine.busy() else ""
     if machine.phase == BOOTING:
         return _never_came_up(ledger, machine, now)
     if machine.busy() or not ledger.ready:
@@ -172,7 +172,7 @@
     if ledger.shared_silence is not None:
         return "" if _worth_waiting(ledger, machine, machine.lost_at, now) else LOST_REASON
     machine_type = ledger.machine_types.get(machine.machine_type)
-    if not counted.lost_many or machine_type is None:
+    if not counted.mass_loss or machine_type is None:
         return LOST_REASON
     return "" if now - machine.lost_at < machine_type.boot_s else LOST_REASON
 
@@ -219,8 +219,8 @@
         ledger.limits.workers.lease_s, _wait_s(ledger, machine)
     ):
         return "unresponsive"
-    if machine.warn_at is not None:
+    if machine.reclaim_at is not None:
         return "taken soon"
-    if machine.name in needed or (machine.held_for and now < machine.held_until):
+    if machine.name in needed or (machine.reserved_for and now < machine.reserved_until):
         return ""
     return "not needed" if machine.cordoned else ""
--- a/src/salthead/coordination/start_rules.py
+++ b/src/salthead/coordination/start_rules.py
@@ -22,9 +22,9 @@
     """
     return (
         not job.failed
-        and job.job_id not in ledger.stray_jobs
+        and job.job_id not in ledger.orphan_jobs
         and job.waiting() > 0
-        and ledger.may_place(job)
+        and ledger.may_schedule(job)
     )
 
 
@@ -33,8 +33,8 @@
     job = binding.job
     return (
         job is not None
-        and binding.stop is None
-        and not job.over
+        and binding.stop_grace_s is None
+        and not job.terminal_phase
         and not job.cancel_requested
         and not job.dependency_cancelled
         and not job.done[binding.index]
@@ -51,7 +51,7 @@
         if job.need[n] > 0:
             # Any team may be using all of the machines that have not been heard from.
             silent = 0.0 if ledger.ready else ledger.failover.unreconciled_capacity()[n]
-            free = most[n] - usage[n] - silent - (job.behind[n] if heed else 0.0)
+            free = most[n] - usage[n] - silent - (job.quota_reserved_ahead[n] if heed else 0.0)
             if free + EPSILON < job.need[n]:
                 return 0  # of an unlimited silent room a division would make no number
             left = min(left, (free + EPSILON) // job.need[n])
--- a/src/salthead/coordination/task_reconciliation.py
+++ b/src/salthead/coordination/task_reconciliation.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
-from salthead.coordination import strays
+from salthead.coordination import orphans
 from salthead.coordination.machine_health import errored, mark_unresponsive
-from salthead.coordination.model import Binding, Machine, Proof
+from salthead.coordination.model import Binding, Machine, ReleaseReason
 from salthead.coordination.start_rules import wanted
 from salthead.event_log import event
 from salthead.evidence.gate import Action, Precondition, permits
@@ -46,14 +46,14 @@
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[dict[str, Any]]:
     """Bring the ledger in line with the tasks that a report shows, and say what is to be done."""
-    orders, seen, seen_strays = _take_tasks(ledger, machine, heartbeat, now)
+    orders, seen, seen_orphans = _take_tasks(ledger, machine, heartbeat, now)
     _release_missing(ledger, machine, seen, now, direct)
-    for stray_key in list(machine.strays):
-        if stray_key not in seen_strays:
-            strays.drop(ledger, machine, stray_key)
+    for orphan_key in list(machine.orphans):
+        if orphan_key not in seen_orphans:
+            orphans.drop(ledger, machine, orphan_key)
     # Room that this report freed is filled by this answer, not a report period later.
-    if machine.freed:
-        machine.freed = False
+    if machine.has_freed_capacity:
+        machine.has_freed_capacity = False
         ledger.events.room_freed(machine, now)
     if not direct:
         orders += _starts(ledger, machine, MAX_COMMANDS - len(orders))
@@ -62,11 +62,11 @@
 
 def _take_tasks(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float
-) -> tuple[list[dict[str, Any]], set[TaskKey], set[strays.StrayKey]]:
+) -> tuple[list[dict[str, Any]], set[TaskKey], set[orphans.OrphanKey]]:
     """Orders for the tasks that a report shows; those that are bound to the machine, and strays."""
     orders: list[dict[str, Any]] = []
     seen: set[TaskKey] = set()
-    seen_strays: set[strays.StrayKey] = set()
+    seen_orphans: set[orphans.OrphanKey] = set()
     for task in heartbeat.tasks:
         try:
             job_id, index = split_task_id(task.task_id)
@@ -82,18 +82,20 @@
         if binding is None:
             binding = _adopt(ledger, machine, job_id, index, task, now)
         if binding is None:
-            stray_key = (job_id, index, task.attempt)
-            seen_strays.add(stray_key)
-            strays.add(ledger, machine, stray_key)
+            orphan_key = (job_id, index, task.attempt)
+            seen_orphans.add(orphan_key)
+            orphans.add(ledger, machine, orphan_key)
             orders.append(stop_order(task.task_id, task.attempt, 0.0))
             continue
         seen.add(key)
         if binding.phase != task.phase:
             _new_phase(ledger, binding, task.phase, now)
-        if binding.stop is not None and (task.phase != names.FLUSHING or binding.stop == 0.0):
-            orders.append(stop_order(task.task_id, task.attempt, binding.stop))
+        if binding.stop_grace_s is not None and (
+            task.phase != names.FLUSHING or binding.stop_grace_s == 0.0
+        ):
+            orders.append(stop_order(task.task_id, task.attempt, binding.stop_grace_s))
             binding.stop_sent = True
-    return orders, seen, seen_strays
+    return orders, seen, seen_orphans
 
 
 def _take_exit(
@@ -129,20 +131,20 @@
         if key in seen or machine.bindings.get(key) is not binding:
             continue
         if binding.phase:
-            ledger.release(binding, now, Proof.NOT_SHOWN)
+            ledger.release(binding, now, ReleaseReason.NOT_SHOWN)
         elif direct:
             continue
-        elif binding.stop is not None or binding.start_sends >= MAX_UNEXECUTED_STARTS:
+        elif binding.stop_grace_s is not None or binding.start_sends >= MAX_UNEXECUTED_STARTS:
             # One report is in flight at a time and late answers are dropped, so a report
             # without the task, newer than the answers that ordered it, is proof.
-            if binding.stop is None:
+            if binding.stop_grace_s is None:
                 mark_unresponsive(
                     ledger,
                     machine,
                     now,
                     f"{binding.start_sends} starts of {binding.task_id} unheard",
                 )
-            ledger.release(binding, now, Proof.NEVER_STARTED)
+            ledger.release(binding, now, ReleaseReason.NEVER_STARTED)
 
 
 def _starts(ledger: Ledger, machine: Machine, most: int) -> list[dict[str, Any]]:
@@ -155,12 +157,12 @@
     if not permits(Action.START, held):
         return orders
     for binding in machine.bindings.values():
-        if binding.phase or binding.stop is not None or len(orders) >= most:
+        if binding.phase or binding.stop_grace_s is not None or len(orders) >= most:
             continue
         if not wanted(binding):
             # Since it was bound its task was found done elsewhere, as one of a gang whose earlier
             # attempt had completed: released by the next report, which does not show it.
-            ledger.want_stop(binding, 0.0)
+            ledger.request_stop(binding, 0.0)
         elif ledger.invariants.may_send_start(binding):
             binding.start_sends += 1
             orders.append(start_order(binding.task_id, binding.attempt))
@@ -183,7 +185,7 @@
     job = ledger.jobs.get(job_id)
     if (
         job is None
-        or job.over
+        or job.terminal_phase
         or job.dependency_cancelled
         or job.cancel_requested
         or (not 0 <= index < job.spec.task_count)
@@ -230,19 +232,19 @@
     if job.gang and cause == names.HALTED and task.saved:
         # Saved: the others have saved too or are about to exit, nothing is lost by waiting.
         job.failed = True
-    ledger.release(binding, now, Proof.EXITED, cause)
+    ledger.release(binding, now, ReleaseReason.EXITED, cause)
 
 
 def _late_exit(ledger: Ledger, job_id: str, index: int, task: TaskStatus, now: float) -> None:
     """An exit that no binding explains: done is done, whoever started it."""
     job = ledger.jobs.get(job_id)
-    if job is None or job.over or not 0 <= index < job.spec.task_count:
+    if job is None or job.terminal_phase or not 0 <= index < job.spec.task_count:
         return
     if task.cause == names.DONE and not job.done[index]:
         ledger.mark_done(job, index)
         other = job.bindings.get(index)
         if other is not None:
-            ledger.want_stop(other, 0.0)
+            ledger.request_stop(other, 0.0)
 
 
 def _may_reap(ledger: Ledger, job_id: str, index: int, task: TaskStatus) -> bool:
@@ -250,5 +252,5 @@
     if task.cause != names.DONE:
         return True
     job = ledger.jobs.get(job_id)
-    durable = job is None or bool(job.over) or index in job.saved
+    durable = job is None or bool(job.terminal_phase) or index in job.saved
     return permits(Action.REAP_RESULT, OUTCOME_DURABLE if durable else 0)
--- a/src/salthead/coordination/worker_leases.py
+++ b/src/salthead/coordination/worker_leases.py
@@ -48,8 +48,9 @@
     def _has_to_end(self, zone: int) -> bool:
         """Whether anything in the zone is cancelled, or not this leader's to keep."""
         return any(
-            (job.cancel_requested or job.over == names.ABORTED) and binding.machine.zone == zone
+            (job.cancel_requested or job.terminal_phase == names.ABORTED)
+            and binding.machine.zone == zone
             for job in self.ledger.jobs.values()
-            if job.cancel_requested or job.over
+            if job.cancel_requested or job.terminal_phase
             for binding in job.bindings.values()
-        ) or any(m.strays for m in self.ledger.machines.values() if m.zone == zone)
+        ) or any(m.orphans for m in self.ledger.machines.values() if m.zone == zone)
--- a/src/salthead/evidence/shared_silence.py
+++ b/src/salthead/evidence/shared_silence.py
@@ -91,7 +91,7 @@
         self.seen_at = now
         self.sets.grow(len(self.ledger.zones), now)
         self.sets.turn(now)
-        if not self.ledger.should_have_heard(now):
+        if not self.ledger.heartbeats_expected(now):
             return
         self.cut = BitMap()
         cut_groups = set()
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -140,8 +140,8 @@
                     machine.provisioned_at = now - host.age_s
                 elif machine.phase == BOOTING:
                     machine.provisioned_at = min(machine.provisioned_at, now - host.age_s)
-                if host.phase == names.FAILED and not machine.condemned:
-                    machine.condemned = "failed"
+                if host.phase == names.FAILED and not machine.quarantine_reason:
+                    machine.quarantine_reason = "failed"
                     log.info("machine %s failed", host.name)
             if not page.truncated:
                 return calls
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination import waiting
+from salthead.coordination import dependencies
 from salthead.coordination.model import Job
 from salthead.event_log import event
 from salthead.protocol import names
@@ -151,12 +151,12 @@
         # What is loaded is not over, though its outcome may have been derived, and told, before it
         # is written.
         if loading or self._is_news(spec.job_id, revision):
-            self.ledger.add_job(spec, self.now(), fresh=revision > self.term.revision)
+            self.ledger.add_job(spec, self.now(), accepted_this_term=revision > self.term.revision)
 
     def add_job(self, spec: Submission, revision: int) -> None:
         """A job whose record this controller has written, with the revision of that write."""
         if self._is_news(spec.job_id, revision):
-            self.ledger.add_job(spec, self.now(), fresh=True)
+            self.ledger.add_job(spec, self.now(), accepted_this_term=True)
 
     def _is_news(self, job_id: str, revision: int) -> bool:
         """Whether a record that an event or an answer brings is of a job that is not over.
@@ -196,7 +196,7 @@
     async def await_loop(self) -> None:
         """What became of awaited jobs of which this term knows nothing, and long records."""
         while True:
-            for job_id in [*self.incomplete, *self.ledger.pipelines.unsure]:
+            for job_id in [*self.incomplete, *self.ledger.dependency_graph.unresolved]:
                 try:
                     await self.look_up(job_id)
                 except RETRYABLE_ERRORS as error:
@@ -206,14 +206,14 @@
 
     async def look_up(self, job_id: str) -> None:
         """Find out what became of a job that another depends on."""
-        unsure = self.ledger.pipelines.unsure
+        unresolved = self.ledger.dependency_graph.unresolved
         found = self.term.controller.terminal_outcomes.get(job_id)
         if found is None or (found[0] == names.DONE and found[2] is None):
             found = await self.term.controller.job_reader.ended(job_id)
         if found is not None:
             self.incomplete.pop(job_id, None)
-            if job_id in unsure:
-                waiting.resolve(self.ledger, job_id, found[0], found[2], self.now())
+            if job_id in unresolved:
+                dependencies.resolve(self.ledger, job_id, found[0], found[2], self.now())
             return
         row = await self.term.state_store.get(records.job_key(job_id))
         if row is None:
@@ -221,4 +221,6 @@
         if job_id not in self.ledger.jobs:
             spec = await self.term.controller.job_reader.whole(records.job_from(row.value))
             self.incomplete.pop(job_id, None)
-            self.ledger.add_job(spec, self.now(), fresh=row.revision > self.term.revision)
+            self.ledger.add_job(
+                spec, self.now(), accepted_this_term=row.revision > self.term.revision
+            )
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -117,7 +117,7 @@
         while True:
             await self.term.controller.sleep_with_jitter(1.0)
             now = self.term.now()
-            heard, silent = self.term.ledger.hearing(now)
+            heard, silent = self.term.ledger.heartbeat_counts(now)
             if silent <= heard or now - self.term.ledger.term_started_at < grace_s + 1.0:
                 continue
             found = await asyncio.gather(
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -135,7 +135,9 @@
                     "since_s": round(now - row.first_at, 1),
                     "last_s": round(now - row.last_at, 1),
                 }
-                for action, missing, row in self.ledger.withheld.recent(now - BLOCKED_SHOWN_S)
+                for action, missing, row in self.ledger.blocked_actions.recent(
+                    now - BLOCKED_SHOWN_S
+                )
             ],
             "cuts": [
                 {"group": name, "since_s": round(now - since, 1)}
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -51,7 +51,7 @@
 
     def want(self, job: Job) -> None:
         """The job is complete or to be cancelled: its outcome is to be written."""
-        if not job.over:
+        if not job.terminal_phase:
             self.due[job.job_id] = job
             self.wanted.set()
 
@@ -64,7 +64,7 @@
         """
         if job.job_id in self.indeterminate:
             return True
-        return job.awaiting and self.ledger.pipelines.needs(
+        return job.blocked_on_dependencies and self.ledger.dependency_graph.needs(
             job.job_id,
             {job_id for job_id, phase in self.indeterminate.items() if phase == names.ABORTED},
         )
@@ -116,7 +116,7 @@
                 self.due.values(),
                 key=lambda job: (
                     not job.cancel_requested,
-                    not self.ledger.pipelines.awaited(job.job_id),
+                    not self.ledger.dependency_graph.has_dependents(job.job_id),
                 ),
             )
             await self.write(
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -56,11 +56,11 @@
     async def save_parts(self) -> None:
         """Write the done tasks of jobs that go on."""
         covered: list[tuple[Job, list[int]]] = []
-        for job in self.term.ledger.live.values():
-            if job.over or not job.dirty:
+        for job in self.term.ledger.ready_jobs.values():
+            if job.terminal_phase or not job.unsaved:
                 continue
-            covered.append((job, list(job.dirty)))
-            self.term.job_records.set_parts(job, job.dirty)
+            covered.append((job, list(job.unsaved)))
+            self.term.job_records.set_parts(job, job.unsaved)
         while self.parts.dirty:
             await self.write_pages(self.parts)
         for job, done in covered:
@@ -134,7 +134,7 @@
                             found = ledger.machines.get(name)
                             if found is not None and not found.registered:
                                 ledger.mark_registered(found)
-                                found.freed = True
+                                found.has_freed_capacity = True
                     self.term.wake()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
                     self.term.controller.log_throttled("roster", error)
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -9,7 +9,7 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination import gangs, placement, preemption, strays
+from salthead.coordination import gangs, orphans, placement, preemption
 from salthead.coordination.lease import LeaseClock
 from salthead.coordination.ledger import Ledger
 from salthead.coordination.model import Machine
@@ -45,7 +45,7 @@
 # A look at each machine, for what no report brings: a fifth of the processor time of a leader of
 # 570 machines went into doing that with each pass.
 SWEEP_INTERVAL_S = 0.5
-# Placement itself looks only at tasks that no machine can be running (``Ledger.may_place``).
+# Placement itself looks only at tasks that no machine can be running (``Ledger.may_schedule``).
 TASK_NOWHERE = int(Precondition.TASK_NOWHERE)
 
 
@@ -75,12 +75,12 @@
         self.outcomes = Outcomes(self)
         self.ledger.events.completed = self.outcomes.want
         self.ledger.events.aborts_pending = self.outcomes.wanted.set
-        self.ledger.events.room_freed = self.offer
+        self.ledger.events.room_freed = self.backfill
         self.ledger.set_machine_types(controller.machine_types.values())
         self.changed = asyncio.Event()
         self.pages = SavedPages(self)
         self.background: set[asyncio.Task[None]] = set()
-        self.starved: set[str] = set()  # jobs that found no machine at the last pass
+        self.unschedulable: set[str] = set()  # jobs that found no machine at the last pass
         self.job_records = JobRecords(self)
         self.autoscaler = Autoscaler(self)
         self.leadership = Leadership(self)
@@ -116,7 +116,7 @@
         """Whether an action is permitted now, by what is confirmed here and ``more`` facts."""
         missing = missing_preconditions(action, self.ledger.confirmed_preconditions() | more)
         if missing:
-            self.ledger.withheld.note(action, missing, self.now())
+            self.ledger.blocked_actions.note(action, missing, self.now())
         return not missing
 
     def wake(self) -> None:
@@ -211,7 +211,7 @@
                 try:
                     row = await self.state_store.get(records.outcome_key(job_id))
                     if row is not None:
-                        strays.identify_job(self.ledger, records.outcome_from(row.value)[1])
+                        orphans.identify_job(self.ledger, records.outcome_from(row.value)[1])
                 except RETRYABLE_ERRORS as error:
                     self.controller.log_throttled("stray task", error)
             await self.controller.sleep_with_jitter(0.5)
@@ -240,27 +240,27 @@
             self.worker_calls.send_stops()
             await asyncio.sleep(max(MIN_PASS_INTERVAL_S, PAUSE_FACTOR * (self.now() - now)))
 
-    def offer(self, machine: Machine, now: float) -> None:
+    def backfill(self, machine: Machine, now: float) -> None:
         """Offer room that a report has freed to those in line."""
         if self.permits(Action.SCHEDULE, TASK_NOWHERE):
-            placement.offer(self.ledger, machine, self.controller.rng, now)
+            placement.backfill(self.ledger, machine, self.controller.rng, now)
 
     def look(self, now: float) -> None:
         """What time alone changes, machine by machine."""
         self.ledger.tick(now)
         if self.permits(Action.SCHEDULE, TASK_NOWHERE):
-            placement.redraw(self.ledger, self.controller.rng, now)
+            placement.reschedule_unsent(self.ledger, self.controller.rng, now)
             preemption.drain(self.ledger, now)
 
     def decide(self, now: float) -> None:
         """One pass of placement, and what follows for those that found no machine."""
         if self.permits(Action.SCHEDULE, TASK_NOWHERE):
-            starved = placement.place(self.ledger, self.controller.rng, now)
-            before, self.starved = self.starved, {job.job_id for job in starved}
-            if not self.starved <= before:
+            unschedulable = placement.schedule(self.ledger, self.controller.rng, now)
+            before, self.unschedulable = self.unschedulable, {job.job_id for job in unschedulable}
+            if not self.unschedulable <= before:
                 self.autoscaler.plan_requested.set()
-            preemption.preempt(self.ledger, starved, now)
-            gangs.keep_room(self.ledger, starved, now)
+            preemption.preempt(self.ledger, unschedulable, now)
+            gangs.reserve_machines(self.ledger, unschedulable, now)
 
     # -- outcomes -----------------------------------------------------------------------
 
@@ -280,17 +280,17 @@
             job = self.ledger.jobs.get(job_id)
             if job is None:
                 raise UnansweredError("cancel in doubt")
-        if not job.over and not job.dependency_cancelled:
+        if not job.terminal_phase and not job.dependency_cancelled:
             await self.outcomes.cancel(job)
         # What follows from a durable outcome may be told before it is written itself.
         durable = (
             Precondition.OUTCOME_DURABLE
-            if job.over or job.dependency_cancelled
+            if job.terminal_phase or job.dependency_cancelled
             else Precondition(0)
         )
         if not self.permits(Action.CONFIRM_CANCELLATION, durable):
             raise UnansweredError("cancel in doubt")
-        return {"uid": job_id, "phase": job.over or names.ABORTED}
+        return {"uid": job_id, "phase": job.terminal_phase or names.ABORTED}
 
     # -- machines -----------------------------------------------------------------------
 
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -103,16 +103,16 @@
             "running": running,
             "done": done,
             "pieces": job.spec.task_count,
-            "awaits": self.ledger.awaited_by(job.job_id, OVERVIEW_DEPENDENCIES),
+            "awaits": self.ledger.unfinished_dependencies(job.job_id, OVERVIEW_DEPENDENCIES),
             "reason": reason,
         }
 
     def _machine_row(self, machine: Machine, now: float) -> dict[str, Any]:
         notes = [
-            machine.condemned,
+            machine.quarantine_reason,
             "cordoned" if machine.cordoned else "",
-            f"kept for {machine.held_for}" if now < machine.held_until else "",
-            "is taken soon" if machine.warn_at is not None else "",
+            f"kept for {machine.reserved_for}" if now < machine.reserved_until else "",
+            "is taken soon" if machine.reclaim_at is not None else "",
         ]
         return {
             "name": machine.name,
@@ -135,7 +135,7 @@
                 )
                 continue
             free = max(0.0, machine.cap[0] - machine.used[0])
-            why = placement.unusable(self.ledger, machine, now)
+            why = placement.unavailable_reason(self.ledger, machine, now)
             use = f"free, {why}" if why else "free"
             self.spent[use] = self.spent.get(use, 0.0) + free * passed
             for binding in machine.bindings.values():
@@ -166,14 +166,16 @@
                 sum(m.cap[0] for m in machines),
                 sum(1 for m in machines if not m.busy()),
                 len(self.ledger.jobs),
-                sum(job.waiting() for job in self.ledger.live.values()),
+                sum(job.waiting() for job in self.ledger.ready_jobs.values()),
                 sum(len(job.bindings) for job in self.ledger.jobs.values()),
                 ", ".join(f"{what} {amount:.0f}" for what, amount in self.spent.items()),
             )
         self._show_limits()
         metrics.ACTIVE.set(len(self.ledger.jobs))
-        metrics.AWAITING.set(sum(1 for job in self.ledger.jobs.values() if job.awaiting))
-        metrics.WAITING.set(sum(job.waiting() for job in self.ledger.live.values()))
+        metrics.BLOCKED_JOBS.set(
+            sum(1 for job in self.ledger.jobs.values() if job.blocked_on_dependencies)
+        )
+        metrics.WAITING.set(sum(job.waiting() for job in self.ledger.ready_jobs.values()))
 
     def _show_limits(self) -> None:
         """How much of each team's limit is booked, and how much is counted for silent machines."""
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -197,16 +197,16 @@
         orders: dict[Machine, list[dict[str, Any]]] = {}
         for binding in wanted:
             machine = binding.machine
-            if binding.stop is None or binding.stop_sent or not binding.phase:
+            if binding.stop_grace_s is None or binding.stop_sent or not binding.phase:
                 continue  # what no report shows yet is stopped by the answer to one that does
             if (
                 machine.reconciled
                 and machine.endpoint
-                and (binding.phase != names.FLUSHING or binding.stop == 0.0)
+                and (binding.phase != names.FLUSHING or binding.stop_grace_s == 0.0)
             ):
                 binding.stop_sent = True
                 orders.setdefault(machine, []).append(
-                    stop_order(binding.task_id, binding.attempt, binding.stop)
+                    stop_order(binding.task_id, binding.attempt, binding.stop_grace_s)
                 )
         for machine, stops in orders.items():
             self.term.spawn(self.send(machine, stops[:MAX_COMMANDS]))
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -20,7 +20,7 @@
 )
 MACHINES = Gauge("salthead_machines", "Machines by phase", ["phase"], registry=REGISTRY)
 WAITING = Gauge("salthead_waiting_tasks", "Tasks with no machine", registry=REGISTRY)
-AWAITING = Gauge(
+BLOCKED_JOBS = Gauge(
     "salthead_awaiting_jobs", "Jobs that wait for other jobs to be done", registry=REGISTRY
 )
 ACTIVE = Gauge("salthead_active_jobs", "Jobs that are not over", registry=REGISTRY)
@@ -81,7 +81,7 @@
 ADOPTED = Counter(
     "salthead_tasks_adopted_total", "Tasks of earlier leaders taken over", registry=REGISTRY
 )
-STRAYS_FOUND = Counter(
+ORPHANS_FOUND = Counter(
     "salthead_stray_tasks_total", "Tasks found that no binding explains", registry=REGISTRY
 )
 SPENT = Gauge(
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -12,7 +12,7 @@
 # kept for it on machines that empty, and another gang may use this one.
 CLAIM_HEARTBEAT_INTERVALS = 3.0
 # Arrays of this urgency and below are the low-priority ones, which wait for whole gangs.
-LOW_RANK = names.URGENCIES.index("normal")
+LOW_PRIORITY = names.URGENCIES.index("normal")
 
 GUARANTEED, GANGS, ARRAYS = range(3)
 
@@ -22,9 +22,9 @@
 
     A job that has waited for half of the time in which any has to begin stays in front.
     """
-    if job.job_id in within or order.overdue(job, now):
+    if job.job_id in within or order.start_overdue(job, now):
         return GUARANTEED
-    return GANGS if job.gang or job.rank < LOW_RANK else ARRAYS
+    return GANGS if job.gang or job.priority < LOW_PRIORITY else ARRAYS
 
 
 def in_order(jobs: list[Job], within: set[str], now: float) -> list[Job]:
@@ -38,12 +38,12 @@
     Without that, arrays would take each machine that comes up for a gang before its last one is
     there. The bound on how long anything is kept from others holds for these as well.
     """
-    if machine.held_for and now < machine.held_until:
+    if machine.reserved_for and now < machine.reserved_until:
         return
     until = now + CLAIM_HEARTBEAT_INTERVALS * ledger.limits.workers.heartbeat_interval_s
-    for job in ledger.line.jobs:
+    for job in ledger.pending.jobs:
         if job.job_id in displaced and _lacks(ledger, job, machine, now):
-            ledger.room.keep(machine, job.job_id, until)
+            ledger.capacity_index.reserve(machine, job.job_id, until)
             return
         if not job.gang and job.waiting() and _suits(ledger, job, machine):
             return  # it stands before the gangs in line, and is served first
@@ -62,7 +62,7 @@
         return False
     if not placement.allows(job, machine) or quota_left(ledger, job) < task_count:
         return False
-    kept = ledger.room.kept_for(job.job_id, now)
+    kept = ledger.capacity_index.reserved_machines(job.job_id, now)
     counts: dict[int, int] = {}
     for one in kept:
         counts[one.zone] = counts.get(one.zone, 0) + 1
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -102,7 +102,9 @@
         self._grow(self.seen_at)
         if machine.phase == UP:
             self.sets.up(machine.zone, machine.index)
-            machine.withheld = self._withholds(machine.zone) and not self._is_open(machine)
+            machine.awaiting_slow_start = self._withholds(machine.zone) and not self._is_open(
+                machine
+            )
         elif machine.phase == LOST:
             self.sets.lease_over(machine.zone, machine.index)
             if not machine.reconciled:
@@ -187,8 +189,8 @@
         """What ran on machines that never reported to this leader is not known, so that all jobs
         which an earlier leader may have started count as displaced."""
         self.unknown_losses.discard(zone)
-        for job in self.ledger.live.values():
-            if not job.fresh and (job.waiting() > 0 or job.failed):
+        for job in self.ledger.ready_jobs.values():
+            if not job.accepted_this_term and (job.waiting() > 0 or job.failed):
                 self.lost_tasks[zone].setdefault(job.job_id, now)
 
     def _continue_return(self, zone: int, now: float) -> None:
@@ -210,7 +212,7 @@
             for machine in self.ledger.machines.values()
             if machine.zone == zone and machine.index in current.open
             for binding in machine.bindings.values()
-            if not binding.started and binding.stop is None
+            if not binding.started and binding.stop_grace_s is None
         ]
         return Progress(len(waits), max(waits, default=0.0))
 
@@ -237,9 +239,9 @@
             if machine.zone != zone:
                 continue
             withheld = withholds and not self._is_open(machine)
-            if machine.withheld and not withheld:
-                machine.freed = True  # the next report offers its room
-            machine.withheld = withheld
+            if machine.awaiting_slow_start and not withheld:
+                machine.has_freed_capacity = True  # the next report offers its room
+            machine.awaiting_slow_start = withheld
 
     # -- evacuation ---------------------------------------------------------------------
 
@@ -254,7 +256,7 @@
             self.lost_tasks[zone] = {
                 job_id: at
                 for job_id, at in self.lost_tasks[zone].items()
-                if at >= oldest and job_id in self.ledger.live
+                if at >= oldest and job_id in self.ledger.ready_jobs
             }
             if state.phase in OUT:
                 found |= self.lost_tasks[zone]
@@ -262,7 +264,7 @@
 
     def evacuating(self) -> bool:
         """Whether work that a lost zone has displaced still waits."""
-        live = self.ledger.live
+        live = self.ledger.ready_jobs
         return any(
             (job := live.get(job_id)) is not None and (job.waiting() > 0 or job.failed)
             for job_id in self.displaced_jobs
--- a/src/salthead/zones/state.py
+++ b/src/salthead/zones/state.py
@@ -47,7 +47,7 @@
         self.reason = ""
         self.losses = 0.0  # earlier losses, as they are remembered at ``losses_at``
         self.losses_at = now
-        self.heard_since: float | None = None  # since when a lost zone is heard well enough
+        self.recovering_since: float | None = None  # since when a lost zone is heard well enough
 
     def remembered_losses(self, now: float) -> float:
         """Earlier losses, each of which counts half after the policy's half-life."""
@@ -67,7 +67,7 @@
             self.losses = self.remembered_losses(now) + 1.0
             self.losses_at = now
         self.phase, self.since, self.reason = phase, now, reason
-        self.heard_since = None
+        self.recovering_since = None
 
     def observe(self, evidence: ZoneHealth, now: float) -> bool:
         """Take new evidence in; whether the phase has changed."""
@@ -107,10 +107,10 @@
         # heard is a share of those that are there or came back.
         there = max(heard, evidence.machines - evidence.expired)
         if heard == 0 or heard < self.policy.return_share * there:
-            self.heard_since = None
-        elif self.heard_since is None:
-            self.heard_since = now
-        elif now - self.heard_since >= self.return_after_s(now):
+            self.recovering_since = None
+        elif self.recovering_since is None:
+            self.recovering_since = now
+        elif now - self.recovering_since >= self.return_after_s(now):
             self.enter(ZonePhase.RECOVERING, f"{heard} machines are heard again", now)
 
     def _look_for_relapse(self, evidence: ZoneHealth, now: float) -> None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -644,10 +644,8 @@
             raise UnansweredError("refused")
         version = self.versions[name]
         if path == "/peer/knocks":
-            known = version is production.THIS
-            return Answer(
-                200, controller.connectivity_report(*([body["leads"]] if known and body else []))
-            )
+            leads = bool(body) and body.get("leads") is True
+            return Answer(200, version.connectivity_report(controller, leads))
         if path == "/peer/submit":
             try:
                 status, found = await controller.submit(
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -140,7 +140,7 @@
     machine(led, "m2", zone="south")
     anywhere, south = job(led, job_id="req-1"), job(led, job_id="req-2", zone="south")
     large = job(led, job_id="req-3", vcpus=20.0)
-    assert [led.may_place(one) for one in (anywhere, south, large)] == [False, True, True]
+    assert [led.may_schedule(one) for one in (anywhere, south, large)] == [False, True, True]
 
 
 @pytest.mark.parametrize(
@@ -304,7 +304,7 @@
     elif before == "lost":
         led.tick(20.0)
     elif before == "warned":
-        found.warn_at = 5.0
+        found.reclaim_at = 5.0
     elif before == "unregistered":
         found.registered = False
         led.bind(job(led, task_count=1), 0, found, 5, 2.0)
@@ -316,7 +316,7 @@
     assert found.last_heartbeat_at == (2.0 if refused else heard)
     assert found.incarnation == (2 if given.get("incarnation") == 2 and not refused else 1)
     if not refused and heard == 9.0:
-        assert (found.warn_at is None) == ("warning_s" not in given)
+        assert (found.reclaim_at is None) == ("warning_s" not in given)
 
 
 def test_a_leader_without_its_lease_judges_nothing() -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -73,8 +73,8 @@
 
 FAULTS: list[tuple[Callable[[Ledger], None], Invariant]] = [
     (bound_twice, Invariant.BOUND_ONCE),
-    (done_task, Invariant.NOT_OVER),
-    (cancelled, Invariant.NOT_OVER),
+    (done_task, Invariant.NOT_TERMINAL),
+    (cancelled, Invariant.NOT_TERMINAL),
     (above_the_limit, Invariant.WITHIN_LIMIT),
     (beside_silent_machines, Invariant.WITHIN_LIMIT),
     (beside_an_unknown_stray, Invariant.WITHIN_LIMIT),
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -46,7 +46,7 @@
 def test_a_pass_does_not_grow_with_a_fleet_that_is_full() -> None:
     def cost(machines: int) -> int:
         led = full(machines)
-        return calls(lambda: placement.place(led, random.Random(1), 10.0))
+        return calls(lambda: placement.schedule(led, random.Random(1), 10.0))
 
     assert grown(cost) <= MARGIN
 
@@ -118,7 +118,7 @@
         led = leader.term.ledger
         for n in range(2000):
             found = machine(led, f"host-9{n:05d}", world.now(), fencing_token=led.fencing_token)
-            found.condemned = "full"
+            found.quarantine_reason = "full"
         asked: list[int] = []
 
         async def provision(kind: Any, count: int) -> None:
@@ -167,10 +167,10 @@
 def test_the_roster_loop_looks_only_at_machines_that_the_service_does_not_know() -> None:
     led = full(LARGE)
     assert led.unregistered == {}
-    fresh = led.add_machine("m-new", "small", "north", False, 0.0)
-    assert list(led.unregistered) == [fresh]
-    led.mark_registered(fresh)
-    assert fresh.registered and led.unregistered == {}
+    accepted_this_term = led.add_machine("m-new", "small", "north", False, 0.0)
+    assert list(led.unregistered) == [accepted_this_term]
+    led.mark_registered(accepted_this_term)
+    assert accepted_this_term.registered and led.unregistered == {}
 
 
 @pytest.mark.parametrize(("value_kb", "most"), [(2.0, 160), (4.0, 80), (16.0, 20)])
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,14 +5,14 @@
 import pytest
 
 from helpers import heartbeat, job, ledger, machine, ready, spec, verbs
-from salthead.coordination import fleet_plan, machine_health, placement, strays
+from salthead.coordination import fleet_plan, machine_health, orphans, placement
 from salthead.coordination.lease import certainly_expired_at
 from salthead.coordination.model import LOST, UP
 from salthead.protocol.messages import Submission
 
 
 def place(led, now=0.0):
-    return placement.place(led, random.Random(1), now)
+    return placement.schedule(led, random.Random(1), now)
 
 
 def test_a_start_is_ordered_until_a_report_shows_it() -> None:
@@ -128,9 +128,9 @@
         led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         machine(led, "m2")
         old = job(led, job_id="req-1")
-        new = led.add_job(spec(job_id="req-2", team="red"), 0.0, fresh=True)
+        new = led.add_job(spec(job_id="req-2", team="red"), 0.0, accepted_this_term=True)
         big = led.add_job(
-            spec(job_id="req-3", team="red", task_count=3, vcpus=6.0), 0.0, fresh=True
+            spec(job_id="req-3", team="red", task_count=3, vcpus=6.0), 0.0, accepted_this_term=True
         )
         place(led, 1.0)
         assert new is not None and len(new.bindings) == 2
@@ -150,7 +150,7 @@
         assert led.ready and 0 in one.bindings
         place(led, 1.2)
         assert one.bindings[1].phase == ""
-        led.want_stop(one.bindings[1], 0.0)
+        led.request_stop(one.bindings[1], 0.0)
         led.handle_heartbeat(heartbeat("m1", 5, ("req-1/0", 3, "running")), 1.5, direct=True)
         assert 1 in one.bindings, "its start may be on the way in an answer to a report"
         led.tick(certainly_expired_at(0.0, led.limits.workers.lease_s) + 0.1)
@@ -233,7 +233,7 @@
         place(led)
         assert not led.jobs["req-1"].bindings, "whose quota the stray uses is not known yet"
         ended: Submission = spec(job_id="req-9", team="red", vcpus=23.0)
-        strays.identify_job(led, ended)
+        orphans.identify_job(led, ended)
         place(led, 5.0)
         assert not led.jobs["req-1"].bindings, "23 of 24 CPUs are taken"
         led.handle_heartbeat(heartbeat("m1", 2), 6.0)
@@ -338,7 +338,7 @@
         assert led.handle_heartbeat(saving, 3.0) == [], "a second stop could end the saving"
         saved = heartbeat(names[0], 5, ("req-1/0", one.attempt, "exited", "halted", True))
         led.handle_heartbeat(saved, 4.0)
-        assert one.bindings[1].stop == 3.0, "the others keep their grace"
+        assert one.bindings[1].stop_grace_s == 3.0, "the others keep their grace"
 
 
 def test_a_machine_that_fails_several_jobs_is_condemned_and_a_bad_job_condemns_none() -> None:
@@ -352,7 +352,7 @@
         led.handle_heartbeat(
             heartbeat(f"m{n}", sequence, ("req-5/0", binding.attempt, "exited", "error")), 1.0
         )
-    assert not any(m.condemned for m in led.machines.values())
+    assert not any(m.quarantine_reason for m in led.machines.values())
     for job_id in ("req-6", "req-7"):
         sequence += 1
         good = job(led, job_id=job_id, task_count=1)
@@ -360,7 +360,7 @@
         led.handle_heartbeat(
             heartbeat("m0", sequence, (f"{job_id}/0", 90 + sequence, "exited", "error")), 2.0
         )
-    assert [m.name for m in led.machines.values() if m.condemned] == ["m0"]
+    assert [m.name for m in led.machines.values() if m.quarantine_reason] == ["m0"]
 
 
 class TestCopies:
@@ -466,7 +466,7 @@
         on = one.bindings[0].machine.name
         led.handle_heartbeat(heartbeat(on, 2, ("req-1/0", one.bindings[0].attempt, "running")), 1.0)
         led.request_cancel(one)
-        assert one.waiting() == 0 and not one.over and led.phase_of(one)[0] == "running"
+        assert one.waiting() == 0 and not one.terminal_phase and led.phase_of(one)[0] == "running"
         orders = led.handle_heartbeat(
             heartbeat(on, 3, ("req-1/0", one.bindings[0].attempt, "running")), 2.0
         )
@@ -513,7 +513,7 @@
 
 class TestKeptZones:
     @pytest.mark.parametrize(
-        ("cancelled", "stray", "cancel_s", "allowed"),
+        ("cancelled", "orphan", "cancel_s", "allowed"),
         [
             ("", False, 40.0, True),
             ("durably", False, 40.0, False),
@@ -525,7 +525,7 @@
     def test_a_zone_is_kept_only_while_nothing_there_has_to_end(
         self,
         cancelled: str,
-        stray: bool,
+        orphan: bool,
         cancel_s: float,
         allowed: bool,
     ) -> None:
@@ -542,7 +542,7 @@
         one = job(led, task_count=1)
         place(led)
         shown = [("req-1/0", one.bindings[0].attempt, "running")]
-        if stray:
+        if orphan:
             shown.append(("req-9/0", 3, "running"))
         led.handle_heartbeat(heartbeat("m1", 2, *shown, zone="south"), 1.0)
         if cancelled == "durably":
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -11,7 +11,7 @@
 from helpers import spec
 from salthead.controller import controller as controller_module
 from salthead.coordination import ledger, zone_leases
-from salthead.coordination.pipelines import Pipelines
+from salthead.coordination.dependency_graph import DependencyGraph
 from standins import World, run
 
 PERIODS = 3
@@ -34,7 +34,7 @@
         parts |= {
             "term": term,
             "ledger": term.ledger,
-            "pipelines": term.ledger.pipelines,
+            "pipelines": term.ledger.dependency_graph,
             "estimates": term.ledger.estimates,
             "outcomes": term.outcomes,
             "job records": term.job_records,
@@ -43,7 +43,7 @@
             "done pages": term.pages.parts,
             "machine registry": term.pages.machine_registry,
             "pages": term.pages,
-            "withheld": term.ledger.withheld,
+            "withheld": term.ledger.blocked_actions,
         }
     return {
         f"{part}.{name}": len(value)
@@ -72,7 +72,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(controller_module, "MAX_REMEMBERED_OUTCOMES", CACHE)
-    monkeypatch.setattr(Pipelines, "MAX_REMEMBERED_ENDED", CACHE)
+    monkeypatch.setattr(DependencyGraph, "MAX_REMEMBERED_ENDED", CACHE)
     monkeypatch.setattr(ledger, "MIN_REMEMBERED_JOBS", CACHE)
     monkeypatch.setattr(ledger, "MIN_REMEMBERED_MACHINES", CACHE)
     monkeypatch.setattr(zone_leases, "MIN_REMEMBERED_REDIRECTS", CACHE)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -118,14 +118,14 @@
     # Seen on prairie-ledger-grown: 998 of 1000 began in time, and a quarter of the money went
     # into machines that stood free for a boot's time.
     led = ready(objectives=[{"kind": "guarantee", "within_s": 5.0, "share": 0.9}])
-    assert led.prompt.spare() == 0.0, "until there is evidence the aim counts as just met"
+    assert led.start_attainment.spare() == 0.0, "until there is evidence the aim counts as just met"
     for _ in range(200):
-        led.prompt.judge(True)
-    assert led.prompt.spare() > 0.99
+        led.start_attainment.record_attainment(True)
+    assert led.start_attainment.spare() > 0.99
     for _ in range(5):
-        led.prompt.judge(False)
-    assert led.prompt.spare() == 0.0
-    assert ready().prompt.spare() == 0.0, "no aim, nothing to spare"
+        led.start_attainment.record_attainment(False)
+    assert led.start_attainment.spare() == 0.0
+    assert ready().start_attainment.spare() == 0.0, "no aim, nothing to spare"
 
 
 def test_of_guaranteed_jobs_those_come_first_that_can_still_begin_in_time() -> None:
@@ -145,6 +145,6 @@
     arrivals = Arrivals(0.0)
     assert not arrivals.stopped(500.0), "nothing has come yet"
     for n in range(1, 40):
-        arrivals.came(3.0 * n)
+        arrivals.record_arrival(3.0 * n)
     assert not arrivals.stopped(117.0 + 20.0)
     assert arrivals.stopped(117.0 + 25.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,9 +12,9 @@
 import test_days
 from helpers import heartbeat, job, machine, ready, settings, spec
 from salthead.controller.controller import Controller
-from salthead.coordination import fleet_plan, order, placement, preemption, waiting
+from salthead.coordination import dependencies, fleet_plan, order, placement, preemption
+from salthead.coordination.dependency_graph import DependencyGraph
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.pipelines import Pipelines
 from salthead.protocol import names
 from salthead.state_store import records
 from standins import World, run
@@ -29,8 +29,8 @@
     jobs: dict[str, list[str]],
     ranks: dict[str, int] | None = None,
     dues: dict[str, float] | None = None,
-) -> Pipelines:
-    made = Pipelines()
+) -> DependencyGraph:
+    made = DependencyGraph()
     for job_id, depends_on in jobs.items():
         due = (dues or {}).get(job_id)
         made.add(
@@ -87,8 +87,8 @@
     assert "".join(sorted(made.aborted(root))) == dependency_cancelled
     assert not set(dependency_cancelled) & made.nodes.keys()
     left = set(jobs) - set(dependency_cancelled) - {root}
-    assert set(made.nodes) == left and not made.unsure
-    assert all(set(made.nodes[job_id].after) <= left for job_id in left)
+    assert set(made.nodes) == left and not made.unresolved
+    assert all(set(made.nodes[job_id].dependents) <= left for job_id in left)
 
 
 @pytest.mark.parametrize(
@@ -114,9 +114,11 @@
     expected: dict[str, tuple[int, float]],
 ) -> None:
     made = graph(jobs, ranks, dues)
-    for job_id, (rank, due) in expected.items():
+    for job_id, (priority, due) in expected.items():
         node = made.nodes[job_id]
-        assert (node.inherited_rank, node.inherited_due) == (rank, (due, due + 50.0)), job_id
+        assert (node.inherited_priority, node.inherited_due) == (priority, (due, due + 50.0)), (
+            job_id
+        )
     assert expected.keys() - {"c", "b"} <= set(made.moved)
 
 
@@ -125,19 +127,19 @@
     made.revise([("c", 25.0), ("b", 25.0)])
     assert made.nodes["a"].inherited_due[0] == 65.0
     assert made.aborted("d") == []
-    assert made.nodes["a"].inherited_rank == 2 and made.nodes["b"].inherited_rank == 3
+    assert made.nodes["a"].inherited_priority == 2 and made.nodes["b"].inherited_priority == 3
     assert made.nodes["b"].inherited_due == NEVER
     assert made.nodes["a"].inherited_due[0] == 300.0 - 10.0 - 25.0
     made.done("a", 1.0)
     made.done("c", 2.0)
-    assert made.job_classes == {} and not made.unsure
+    assert made.job_classes == {} and not made.unresolved
 
 
 def test_a_job_is_unsure_while_one_that_it_needs_is() -> None:
     made = graph({"b": ["z"], "c": ["b"], "d": []})
-    assert [made.is_unsure(job_id) for job_id in "bcd"] == [True, True, False]
+    assert [made.has_unresolved_dependency(job_id) for job_id in "bcd"] == [True, True, False]
     made.done("z", 1.0)
-    assert not made.is_unsure("c")
+    assert not made.has_unresolved_dependency("c")
 
 
 # -- the ledger ---------------------------------------------------------------------------
@@ -162,7 +164,7 @@
     led = ready()
     pipeline(led)
     job(led, job_id="req-9", task_count=8, vcpus=2.0, at=1.0)  # fits into the guarantee only alone
-    assert placement.entitled(led) == {"req-1"} if led.jobs["req-9"].size()[0] > 14 else True
+    assert placement.guaranteed_jobs(led) == {"req-1"} if led.jobs["req-9"].size()[0] > 14 else True
     assert {one.job_id for one in placement.queue(led, set(), 300.0)} == {"req-1", "req-9"}
     led.jobs["req-9"].dependency_cancelled = True
     plan = fleet_plan.plan(led, 300.0, fleet_plan.CapacityBackoff(), {})
@@ -193,7 +195,7 @@
     if started:
         led.bind(first, 0, found, 1, 0.0).started = 100.0 + left - 20.0
     else:
-        led.live["req-1"].awaiting = False
+        led.ready_jobs["req-1"].blocked_on_dependencies = False
     job(led, job_id="req-2", depends_on=["req-1"], task_count=1, vcpus=0.1)
     job(led, job_id="req-9", depends_on=depends_on, task_count=40, vcpus=8.0, estimated_run_s=300.0)
     plan = fleet_plan.plan(led, 100.0, fleet_plan.CapacityBackoff(), {})
@@ -211,7 +213,7 @@
             world.state.keys[key] = (value, 1, None)
         while (leader := world.leader()) is None or not leader.term.ledger.loaded:
             await asyncio.sleep(0.001)
-        assert leader.term.ledger.pipelines.is_unsure("req-4")
+        assert leader.term.ledger.dependency_graph.has_unresolved_dependency("req-4")
         found = await leader.poll("req-4")
         again = await leader.submit(spec("req-3"))
         return [found["phase"], again[1]["phase"]]
@@ -223,7 +225,7 @@
     led = ready()
     machine(led, "m1")
     pipeline(led)
-    placement.place(led, random.Random(1), 0.0)
+    placement.schedule(led, random.Random(1), 0.0)
     first = led.jobs["req-1"]
     led.handle_heartbeat(
         heartbeat("m1", 2, ("req-1/0", first.bindings[0].attempt, "exited", "done")), 90.0
@@ -232,17 +234,17 @@
     assert led.phase_of(led.jobs["req-2"])[0] == "queued"
     led.end_job(first, names.DONE, 91.0)
     second = led.jobs["req-2"]
-    assert second.waiting() == 4 and second.since == 91.0 and second.fresh
+    assert second.waiting() == 4 and second.since == 91.0 and second.accepted_this_term
     assert not led.jobs["req-3"].waiting()
     assert not order.reserving(second, 140.0), "a minute counts from when it could begin"
     # Later terms know it from the record; a clock ahead of ours does not make it younger.
     later = ready(200.0)
     later.wall_ahead = 1000.0
     job(later, 200.0, job_id="req-2", depends_on=["req-1"], at=1005.0)
-    waiting.resolve(later, "req-1", names.DONE, 1091.0, 200.0)
-    assert later.jobs["req-2"].since == 91.0 and not later.jobs["req-2"].fresh
+    dependencies.resolve(later, "req-1", names.DONE, 1091.0, 200.0)
+    assert later.jobs["req-2"].since == 91.0 and not later.jobs["req-2"].accepted_this_term
     job(later, 200.0, job_id="req-4", depends_on=["req-5"], at=1005.0)
-    waiting.resolve(later, "req-5", names.DONE, 1999.0, 201.0)
+    dependencies.resolve(later, "req-5", names.DONE, 1999.0, 201.0)
     assert later.jobs["req-4"].since == 201.0
 
 
@@ -254,15 +256,17 @@
     )
     machine(led, "m1")
     other = job(led, job_id="req-8", task_count=4, urgency="normal", team="red")
-    placement.place(led, random.Random(1), 0.0)
-    assert len(other.bindings) == 4 and led.ranks == [0, 0, 4, 0]
+    placement.schedule(led, random.Random(1), 0.0)
+    assert len(other.bindings) == 4 and led.bound_by_priority == [0, 0, 4, 0]
     pipeline(led, urgency="idle")
-    assert led.jobs["req-1"].rank == 2 and led.jobs["req-1"].due == NEVER
+    assert led.jobs["req-1"].priority == 2 and led.jobs["req-1"].due == NEVER
     job(
         led, job_id="req-7", depends_on=["req-3", "req-8"], urgency="prod", deadline_s=100.0, at=0.0
     )
     first = led.jobs["req-1"]
-    assert first.rank == 0 and led.ranks == [4, 0, 0, 0], "what runs counts by its new rank"
+    assert first.priority == 0 and led.bound_by_priority == [4, 0, 0, 0], (
+        "what runs counts by its new rank"
+    )
     # run times of three after it: 20 s each, and it runs for 20 s itself
     assert first.due[0] == 100.0 - 60.0 and first.due[1] == 150.0 - 60.0
     assert order.target(led, first, 20.0, 0.0) == 20.0
@@ -271,10 +275,10 @@
     low = job(led, job_id="req-6", urgency="urgent", team="blue")
     binding = led.bind(low, 0, led.machines["m1"], 99, 0.0)
     for now, may in ((5.0, False), (15.0, True)):  # at first there is time yet
-        rank = preemption.rank_to_push(led, first, now)
-        assert preemption.may_stop(led, first, rank, binding, set(), now) == may
+        priority = preemption.preempting_priority(led, first, now)
+        assert preemption.may_preempt(led, first, priority, binding, set(), now) == may
     led.end_job(led.jobs["req-7"], names.ABORTED, 5.0)
-    assert first.rank == 2 and first.due == NEVER and led.ranks == [0, 1, 4, 0]
+    assert first.priority == 2 and first.due == NEVER and led.bound_by_priority == [0, 1, 4, 0]
 
 
 def test_estimates_that_move_move_due_times() -> None:
@@ -300,7 +304,7 @@
     # One that comes now, before those are written.
     late = job(led, job_id="req-4", depends_on=["req-3"])
     assert late.dependency_cancelled and not late.waiting()
-    placement.place(led, random.Random(1), 2.0)
+    placement.schedule(led, random.Random(1), 2.0)
     assert not led.machines["m1"].bindings
     assert led.handle_heartbeat(heartbeat("m1", 2, ("req-2/0", 5, "running")), 3.0) == [
         {"verb": "stop", "piece": "req-2/0", "try": 5, "leeway_s": 0.0}
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,7 +12,7 @@
 
 
 def place(led: Ledger, now: float = 0.0, seed: int = 1):
-    return placement.place(led, random.Random(seed), now)
+    return placement.schedule(led, random.Random(seed), now)
 
 
 @pytest.mark.parametrize(
@@ -45,16 +45,16 @@
         (lambda m: None, True),
         (lambda m: setattr(m, "registered", False), False),
         (lambda m: setattr(m, "reconciled", False), False),
-        (lambda m: setattr(m, "warn_at", 50.0), False),
-        (lambda m: setattr(m, "condemned", "x"), False),
+        (lambda m: setattr(m, "reclaim_at", 50.0), False),
+        (lambda m: setattr(m, "quarantine_reason", "x"), False),
         (lambda m: setattr(m, "terminating", True), False),
         (
             lambda m: setattr(m, "last_heartbeat_at", -7.0),
             False,
         ),  # three heartbeat intervals are 6 s
         (lambda m: setattr(m, "last_heartbeat_at", -5.0), True),
-        (lambda m: (setattr(m, "held_for", "req-8"), setattr(m, "held_until", 9.0)), False),
-        (lambda m: (setattr(m, "held_for", "req-8"), setattr(m, "held_until", -1.0)), True),
+        (lambda m: (setattr(m, "reserved_for", "req-8"), setattr(m, "reserved_until", 9.0)), False),
+        (lambda m: (setattr(m, "reserved_for", "req-8"), setattr(m, "reserved_until", -1.0)), True),
     ],
 )
 def test_only_machines_that_are_certain_are_used(spoil, fits: bool) -> None:
@@ -108,7 +108,7 @@
     )
     assert place(led, 1.0) == [], "nothing has changed"
     assert place(led, 2.0) == [one] and one.pause_until == 4.0
-    led.events.room_freed = lambda m, now: placement.offer(led, m, random.Random(1), now)
+    led.events.room_freed = lambda m, now: placement.backfill(led, m, random.Random(1), now)
     led.add_machine("m1", "small", "north", False, 2.5, registered=True)
     assert verbs(led.handle_heartbeat(heartbeat("m1", 1), 2.5)) == [("start", "req-1/0")]
     assert one.bindings and one.pause == 0.0, "room that came ends the pause"
@@ -201,12 +201,12 @@
     one = job(led, job_id="req-1", at=2.0, **({"task_count": 1, "vcpus": 4.0} | mine))
     one.since = -999.0
     preemption.preempt(led, place(led, 1.0), 1.0)
-    assert any(b.stop is not None for b in other.bindings.values()) == stopped
-    assert any(m.held_for == one.job_id for m in led.machines.values()) == stopped
+    assert any(b.stop_grace_s is not None for b in other.bindings.values()) == stopped
+    assert any(m.reserved_for == one.job_id for m in led.machines.values()) == stopped
 
 
 @pytest.mark.parametrize(
-    ("shape", "pushed", "waited", "stopped"),
+    ("shape", "preempted", "waited", "stopped"),
     [
         ("array", False, 1.0, False),
         ("array", False, 59.0, False),
@@ -217,7 +217,7 @@
     ],
 )
 def test_work_makes_way_for_a_guarantee_only_where_hiring_has_not_helped(
-    shape: str, pushed: bool, waited: float, stopped: bool
+    shape: str, preempted: bool, waited: float, stopped: bool
 ) -> None:
     # Seen on troubles and rough, prairie-ledger: 2,400 stops a day, gangs every few seconds.
     led = ready()
@@ -226,7 +226,7 @@
     other = job(led, job_id="req-9", shape=shape, task_count=4, vcpus=8.0, at=1.0)
     place(led)
     assert len(other.bindings) == 4
-    other.pushed = pushed
+    other.preempted = preempted
     job(led, job_id="req-1", team="red", task_count=1, vcpus=4.0, at=2.0, urgency="idle")
     for name in list(led.machines):
         led.handle_heartbeat(
@@ -242,7 +242,7 @@
             waited,
         )
     preemption.preempt(led, place(led, waited), waited)
-    assert any(b.stop is not None for b in other.bindings.values()) == stopped
+    assert any(b.stop_grace_s is not None for b in other.bindings.values()) == stopped
 
 
 def test_small_tasks_are_stopped_rather_than_a_gang_that_has_just_begun() -> None:
@@ -259,8 +259,8 @@
         binding.phase, binding.started = "running", -15.0 + index
     urgent = job(led, job_id="req-1", task_count=1, urgency="urgent")
     preemption.preempt(led, [urgent], 1.0)
-    assert [n for n, b in small.bindings.items() if b.stop is not None] == [3]
-    assert not any(b.stop is not None for b in gang.bindings.values())
+    assert [n for n, b in small.bindings.items() if b.stop_grace_s is not None] == [3]
+    assert not any(b.stop_grace_s is not None for b in gang.bindings.values())
 
 
 def test_room_made_is_kept_for_the_job_it_was_made_for() -> None:
@@ -328,11 +328,11 @@
         for found in (used[0], spare):
             led.handle_heartbeat(heartbeat(found.name, 3), 4.0)
         attempt = one.attempt
-        placement.redraw(led, random.Random(1), 4.0)
+        placement.reschedule_unsent(led, random.Random(1), 4.0)
         assert one.bindings[2].machine is spare and one.bindings[2].attempt == attempt
         assert one.bindings[1].machine is used[1], "its start was told: it may be there"
         assert not one.failed and not used[2].bindings and used[2].used[0] == 0.0
-        assert led.usage[one.team][0] == 24.0 and sum(led.ranks) == 3
+        assert led.usage[one.team][0] == 24.0 and sum(led.bound_by_priority) == 3
         assert verbs(led.handle_heartbeat(heartbeat(spare.name, 4), 5.0)) == [("start", "req-1/2")]
 
     def test_a_member_stays_in_its_gangs_zone(self) -> None:
@@ -340,7 +340,7 @@
         one = self.gang(led, 3, single_zone=True)
         place(led)
         machine(led, "s1", 4.0, zone="south")
-        placement.redraw(led, random.Random(1), 4.0)
+        placement.reschedule_unsent(led, random.Random(1), 4.0)
         assert all(b.machine.zone == led.zones.get("north") for b in one.bindings.values())
 
     @pytest.mark.parametrize(("told", "left"), [(False, 0), (True, 1)])
@@ -355,7 +355,7 @@
         place(led)
         if told:
             led.handle_heartbeat(heartbeat("m1", 2), 0.1)
-        placement.redraw(led, random.Random(1), 4.0)
+        placement.reschedule_unsent(led, random.Random(1), 4.0)
         assert len(one.bindings) == left
         assert one.waiting() == 1 - left and led.usage[one.team][0] == 2.0 * left
 
@@ -368,13 +368,15 @@
         assert len(other.bindings) == 16
         one = job(led, shape="gang", task_count=3, vcpus=8.0, urgency="urgent", at=2.0)
         preemption.preempt(led, place(led, 1.0), 1.0)
-        kept = {m.name for m in led.room.kept_for(one.job_id, 1.0)}
+        kept = {m.name for m in led.capacity_index.reserved_machines(one.job_id, 1.0)}
         silent = sorted(kept)[0]
         for name in set(led.machines) - {silent}:
             led.machines[name].last_heartbeat_at = 5.0
         one.pause_until = 0.0
         preemption.preempt(led, place(led, 5.0), 5.0)
-        assert {m.name for m in led.room.kept_for(one.job_id, 5.0)} == set(led.machines) - {silent}
+        assert {m.name for m in led.capacity_index.reserved_machines(one.job_id, 5.0)} == set(
+            led.machines
+        ) - {silent}
 
 
 class TestKeepingRoom:
@@ -391,13 +393,13 @@
         led = ready()
         self.crowd(led, 3)
         gang = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=8.0)
-        gangs.keep_room(led, place(led), 0.0)
+        gangs.reserve_machines(led, place(led), 0.0)
         late = job(led, job_id="req-2", task_count=8, at=2000.0)
         place(led)
-        kept = [m.name for m in led.machines.values() if m.held_for == "req-1"]
+        kept = [m.name for m in led.machines.values() if m.reserved_for == "req-1"]
         assert kept == ["m0", "m1"], "those that are free first"
         before = dict(late.bindings)
-        led.events.room_freed = lambda m, now: placement.offer(led, m, random.Random(1), now)
+        led.events.room_freed = lambda m, now: placement.backfill(led, m, random.Random(1), now)
         for name in kept:
             led.handle_heartbeat(
                 heartbeat(
@@ -419,16 +421,16 @@
         gang = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=8.0, at=0.0)
         if crowded:
             job(led, job_id="req-2", task_count=1)
-        gangs.keep_room(led, [gang], 0.0)
-        assert any(m.held_for for m in led.machines.values()) == kept
+        gangs.reserve_machines(led, [gang], 0.0)
+        assert any(m.reserved_for for m in led.machines.values()) == kept
 
     def test_room_is_kept_only_once_half_of_the_wait_is_gone(self) -> None:
         led = ready(objectives=[{"kind": "wait", "class": "b", "within_s": 100.0, "share": 0.9}])
         self.crowd(led)
         gang = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=8.0, at=0.0)
         job(led, job_id="req-2", task_count=1)
-        gangs.keep_room(led, [gang], 0.0)
-        assert not any(m.held_for for m in led.machines.values())
+        gangs.reserve_machines(led, [gang], 0.0)
+        assert not any(m.reserved_for for m in led.machines.values())
         for name in ("m0", "m1"):
             led.handle_heartbeat(
                 heartbeat(
@@ -436,15 +438,15 @@
                 ),
                 60.0,
             )
-        gangs.keep_room(led, [gang], 60.0)
-        assert all(m.held_for for m in led.machines.values())
+        gangs.reserve_machines(led, [gang], 60.0)
+        assert all(m.reserved_for for m in led.machines.values())
 
     def test_all_or_none(self) -> None:
         led = ready()
         self.crowd(led, 1)
         gang = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=8.0)
-        gangs.keep_room(led, [gang], 0.0)
-        assert not any(m.held_for for m in led.machines.values())
+        gangs.reserve_machines(led, [gang], 0.0)
+        assert not any(m.reserved_for for m in led.machines.values())
 
 
 class TestFleet:
@@ -513,7 +515,7 @@
         ("spoil", "now", "back"),
         [
             (lambda led: machine(led, "m1"), 30.0, False),
-            (lambda led: setattr(machine(led, "m1"), "condemned", "sick"), 1.0, True),
+            (lambda led: setattr(machine(led, "m1"), "quarantine_reason", "sick"), 1.0, True),
             (lambda led: setattr(machine(led, "m1"), "phase", "lost"), 1.0, True),
             (lambda led: led.add_machine("m1", "small", "north", False, 0.0), 50.0, False),
             (lambda led: led.add_machine("m1", "small", "north", False, 0.0), 61.0, True),
@@ -614,7 +616,7 @@
         heartbeat("m1", 2, ("req-1/0", attempt, "running"), spot=True, warning_s=left), 1.0
     )
     preemption.drain(led, 1.0)
-    assert (one.bindings[0].stop is not None) == stopped
+    assert (one.bindings[0].stop_grace_s is not None) == stopped
 
 
 class TestQuotaForGangs:
@@ -661,7 +663,7 @@
         for found in led.machines.values():
             found.last_heartbeat_at = 200.0
         led.machines["m3"].cap = (40.0, 0.0, 99.0)
-        led.room.reindex(led.machines["m3"])
+        led.capacity_index.reindex(led.machines["m3"])
         place(led, 200.0)
         assert gang.bindings and led.rest_until[gang.team] == 210.0
         again = job(led, job_id="req-5", team="red", shape="gang", task_count=2, vcpus=8.0, at=0.0)
@@ -723,9 +725,9 @@
         place(led)
         one = job(led, shape="gang", task_count=2, vcpus=8.0, at=2.0)
         for name in led.machines:  # by an earlier pass, which found nothing to push aside
-            led.room.keep(led.machines[name], one.job_id, 9.0)
+            led.capacity_index.reserve(led.machines[name], one.job_id, 9.0)
         preemption.preempt(led, place(led, 1.0), 1.0)
-        assert all(b.stop is not None for b in other.bindings.values())
+        assert all(b.stop_grace_s is not None for b in other.bindings.values())
         stops, led.stops = len(led.stops), []
         preemption.preempt(led, [one], 1.5)
         assert stops == 8 and not led.stops, "room is being made already"
@@ -754,7 +756,7 @@
 
     def test_small_tasks_stay_away_while_a_gang_waits_unless_time_presses(self) -> None:
         led, whole = self.crowd()
-        led.machines["big0"].condemned = "x"
+        led.machines["big0"].quarantine_reason = "x"
         small = job(led, job_id="req-2", task_count=10, vcpus=2.0, deadline_s=60.0, at=0.0)
         place(led, 1.0)
         assert not whole.bindings and len(small.bindings) == 8
@@ -774,7 +776,7 @@
 
 
 def _kept(led: Ledger, one: Job, now: float) -> None:
-    led.room.keep(led.machines["m1"], "req-8", now + 5.0)
+    led.capacity_index.reserve(led.machines["m1"], "req-8", now + 5.0)
 
 
 def _failed_there(led: Ledger, one: Job, now: float) -> None:
@@ -834,9 +836,9 @@
     one = job(led, job_id="req-1", task_count=1)
     for now in range(120):
         found.last_heartbeat_at = float(now)
-        led.room.keep(found, "req-8", now + 5.0)
+        led.capacity_index.reserve(found, "req-8", now + 5.0)
         place(led, float(now))
-    assert not one.bindings and one.held_since is None
+    assert not one.bindings and one.held_back_since is None
 
 
 @pytest.mark.parametrize("times", [1, 4, 40])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -50,8 +50,8 @@
         machine(led, f"m{n}", zone=("north", "south")[n % 2])
     for n in range(jobs):
         job(led, job_id=f"req-{n}", task_count=machines, vcpus=2.0, estimated_run_s=50.0)
-    placement.place(led, rng, 0.0)
-    led.events.room_freed = lambda m, now: placement.offer(led, m, rng, now)
+    placement.schedule(led, rng, 0.0)
+    led.events.room_freed = lambda m, now: placement.backfill(led, m, rng, now)
     assert sum(one.waiting() for one in led.jobs.values()) > machines
     return led
 
@@ -84,7 +84,7 @@
     assert many == 4 and calls(lambda: led.handle_heartbeat(same, 3.0)) <= 3
     # But whatever is wanted of the machine, or has ended there, is.
     bound = next(iter(led.machines["m1"].bindings.values()))
-    led.want_stop(bound, 0.0)
+    led.request_stop(bound, 0.0)
     orders = led.handle_heartbeat(heartbeat("m1", 5, *shown(led, "m1")), 4.0)
     assert orders is not None and [order["verb"] for order in orders] == ["stop"]
     done = shown(led, "m1", gone=1)
@@ -107,10 +107,10 @@
             for n in range(many):
                 job(led, job_id=f"req-{n}", task_count=60)
         elif what == "task":
-            placement.place(led, random.Random(1), 0.0)
+            placement.schedule(led, random.Random(1), 0.0)
             before = tracemalloc.get_traced_memory()[0]
             job(led, job_id="req-1", task_count=many, vcpus=8.0)
-            placement.place(led, random.Random(1), 1.0)
+            placement.schedule(led, random.Random(1), 1.0)
             assert len(led.jobs["req-1"].bindings) == many
         used = tracemalloc.get_traced_memory()[0] - before
         tracemalloc.stop()
@@ -169,7 +169,7 @@
 def test_a_pass_over_a_full_fleet_looks_at_no_machine() -> None:
     def cost(machines: int) -> int:
         led = full(machines)
-        return calls(lambda: placement.place(led, random.Random(1), 10.0))
+        return calls(lambda: placement.schedule(led, random.Random(1), 10.0))
 
     assert cost(600) <= cost(60) * 1.3
 
@@ -179,7 +179,7 @@
     # were nearly half of it (3,053 calls for 40 jobs).
     led = full(600)
     assert len(led.jobs) == 40
-    assert calls(lambda: placement.place(led, random.Random(1), 10.0)) < 2_000
+    assert calls(lambda: placement.schedule(led, random.Random(1), 10.0)) < 2_000
 
 
 def test_a_plan_makes_no_more_machines_than_can_be_hired() -> None:
@@ -235,7 +235,7 @@
     ("work", "most"),
     [
         (lambda led, now: led.tick(now), 4),
-        (lambda led, now: placement.redraw(led, random.Random(1), now), 4),
+        (lambda led, now: placement.reschedule_unsent(led, random.Random(1), now), 4),
         (lambda led, now: led.failover.unreconciled_capacity(), 4),
     ],
     ids=["tick", "redraw", "silent"],
@@ -260,7 +260,7 @@
     for n in range(80):
         machine(led, f"m{n}", zone=("north", "south")[n % 2], spot=n % 3 == 0)
         found = led.machines[f"m{n}"]
-        found.cordoned, found.condemned = n % 7 == 0, "x" if n % 11 == 0 else ""
+        found.cordoned, found.quarantine_reason = n % 7 == 0, "x" if n % 11 == 0 else ""
         filler = job(led, job_id=f"req-{n}", task_count=1, vcpus=rng.uniform(0.5, 8.0))
         led.bind(filler, 0, found, 1, 0.0)
     one = job(led, job_id="req-999", vcpus=2.5, spot=bool(seed % 2), zone=None)
@@ -268,9 +268,9 @@
         m.name
         for m in led.machines.values()
         if placement.allows(one, m)
-        and placement.usable(led, m, 1.0)
+        and placement.available(led, m, 1.0)
         and m.fits(one.need)
-        and placement.open_to(led, one, m, 1.0)
+        and placement.is_open_to(led, one, m, 1.0)
     }
     found_names = [m.name for m in placement.candidates(led, one, 1.0)]
     assert len(found_names) == len(set(found_names)) and set(found_names) == expected
@@ -278,10 +278,10 @@
     machines = sorted(placement.candidates(led, one, 1.0), key=lambda m: m.fullest())
     seen = dict.fromkeys(found_names, 0)
     for _ in range(4000):
-        seen[placement.draw(machines, rng).name] += 1
+        seen[placement.pick(machines, rng).name] += 1
     pairs = len(machines) * (len(machines) - 1) / 2
-    for rank, one_machine in enumerate(machines):
-        share = (len(machines) - 1 - rank) / pairs
+    for priority, one_machine in enumerate(machines):
+        share = (len(machines) - 1 - priority) / pairs
         assert abs(seen[one_machine.name] / 4000 - share) < 0.04
 
 
@@ -293,8 +293,8 @@
         led = leader.term.ledger
         for n in range(1000):
             found = machine(led, f"host-{n:06d}", world.now(), fencing_token=led.fencing_token)
-            found.condemned, found.warn_at = "fails its tasks", world.now()
-            led.room.keep(found, f"req-{n:06d}", world.now() + 60.0)
+            found.quarantine_reason, found.reclaim_at = "fails its tasks", world.now()
+            led.capacity_index.reserve(found, f"req-{n:06d}", world.now() + 60.0)
             job(led, job_id=f"req-{n:06d}", team="blue", job_class="b" * 60, task_count=100_000)
         return dict(leader.term.views.overview())
 
@@ -393,7 +393,7 @@
         one = heartbeat("m1", 3, *shown(led, "m1", 1))
         found = [
             calls(lambda: led.handle_heartbeat(one, 2.0)),
-            calls(lambda: placement.place(led, random.Random(1), 10.0)),
+            calls(lambda: placement.schedule(led, random.Random(1), 10.0)),
             calls(lambda: fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})),
         ]
         led.tick(11.0)  # the task that ended has moved an estimate, and due times follow once
@@ -435,7 +435,7 @@
                 deadline_s=1e6,
             )
         )
-        assert led.jobs["req-0"].rank == 0 and led.jobs["req-0"].due[0] < 1e6
+        assert led.jobs["req-0"].priority == 0 and led.jobs["req-0"].due[0] < 1e6
         end = calls(lambda: led.end_job(led.jobs["req-0"], "aborted", 5.0))
         assert len(led.pending_aborts) == length
         return last, end
@@ -480,10 +480,10 @@
         while (leader := world.leader()) is None or not leader.term.ledger.loaded:
             await asyncio.sleep(0.05)
         began = world.now()
-        while leader.term.ledger.pipelines.unsure:
+        while leader.term.ledger.dependency_graph.unresolved:
             await asyncio.sleep(0.05)
         ledger = leader.term.ledger
-        assert sum(one.awaiting for one in ledger.jobs.values()) == 598
+        assert sum(one.blocked_on_dependencies for one in ledger.jobs.values()) == 598
         assert ledger.jobs["req-650"].since < 1000.5
         return world.now() - began, reads, world
 
@@ -511,7 +511,7 @@
     for n in range(25):
         machine(led, f"m{n}").last_heartbeat_at = 100.0
     running = job(led, job_id="req-1", task_count=100, estimated_run_s=run_s)
-    placement.place_array(led, running, random.Random(1), 0.0)
+    placement.schedule_array(led, running, random.Random(1), 0.0)
     for binding in running.bindings.values():
         binding.started = 100.0 - min(age_s, run_s - 0.01)
     assert len(running.bindings) == 100
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -248,14 +248,14 @@
 def test_a_zone_whose_leases_have_ended_gets_no_new_work() -> None:
     led, recovery = two_zones()
     one = job(led, task_count=30, vcpus=2.0)
-    assert placement.place_array(led, one, random.Random(1), 0.0) > 0
+    assert placement.schedule_array(led, one, random.Random(1), 0.0) > 0
     lose(led, recovery)
     assert [state.phase for state in recovery.states] == [AVAILABLE, LOST]
     assert one.job_id in recovery.displaced_jobs and recovery.evacuating()
     speak(led, 21.0, "s", incarnation=2)
     recovery.observe(21.0)
     south = [m for m in led.machines.values() if m.zone == 1]
-    assert all(m.phase == "up" and m.withheld for m in south)
+    assert all(m.phase == "up" and m.awaiting_slow_start for m in south)
     assert {m.zone for m in placement.candidates(led, one, 21.0)} == {0}
     assert recovery.max_provision(0) is None and recovery.max_provision(1) == 0
 
@@ -264,8 +264,8 @@
     # Its first report would be answered with starts, before the zones are looked at again.
     led, recovery = two_zones()
     lose(led, recovery)
-    assert machine(led, "s-new", now=20.5, zone="south").withheld
-    assert not machine(led, "n-new", now=20.5, zone="north").withheld
+    assert machine(led, "s-new", now=20.5, zone="south").awaiting_slow_start
+    assert not machine(led, "n-new", now=20.5, zone="north").awaiting_slow_start
 
 
 def test_nothing_is_judged_before_a_takeover_is_complete() -> None:
@@ -297,11 +297,11 @@
         speak(led, now, "s", incarnation=2)
         led.tick(now)
         recovery.observe(now)
-        opened.append(sum(not m.withheld for m in led.machines.values() if m.zone == 1))
+        opened.append(sum(not m.awaiting_slow_start for m in led.machines.values() if m.zone == 1))
     assert opened == sorted(opened), "never fewer"
     assert opened[0] == 0 and {0, 2, 4, 8} == set(opened)
     assert recovery.states[1].phase is AVAILABLE and not recovery.slow_starts
-    assert all(m.freed or not m.withheld for m in led.machines.values())
+    assert all(m.has_freed_capacity or not m.awaiting_slow_start for m in led.machines.values())
 
 
 @pytest.mark.parametrize(
@@ -317,13 +317,13 @@
 )
 def test_the_gate_opens_in_time(held_s: float, entitled: bool, open_to_it: bool) -> None:
     led, recovery = two_zones()
-    led.prompt.within_s = 5.0
+    led.start_attainment.within_s = 5.0
     lose(led, recovery)
     speak(led, 21.0, "s", incarnation=2)
     one = job(led, now=0.0, task_count=1)
-    one.entitled, one.held_since = entitled, 21.0 - held_s
+    one.within_guarantee, one.held_back_since = entitled, 21.0 - held_s
     found = next(m for m in led.machines.values() if m.zone == 1)
-    assert found.withheld and placement.open_to(led, one, found, 21.0) is open_to_it
+    assert found.awaiting_slow_start and placement.is_open_to(led, one, found, 21.0) is open_to_it
 
 
 def test_the_only_zone_is_never_withheld() -> None:
@@ -336,7 +336,7 @@
     lose(led, recovery)
     assert recovery.states[1].phase is LOST and recovery.max_provision(1) is None
     speak(led, 21.0, "s", incarnation=2)
-    assert not any(m.withheld for m in led.machines.values())
+    assert not any(m.awaiting_slow_start for m in led.machines.values())
 
 
 def test_work_is_evacuated_in_order() -> None:
@@ -371,12 +371,12 @@
     recovery.states[1].enter(LOST, "", 0.0)
     recovery.lost_tasks[1][gang.job_id] = 0.0
     recovery.observe(0.0)
-    led.line.jobs = [gang, array]
-    led.line.least_cpus = 2.0
+    led.pending.jobs = [gang, array]
+    led.pending.min_cpus = 2.0
     rng = random.Random(1)
-    led.events.room_freed = lambda m, now: placement.offer(led, m, rng, now)
+    led.events.room_freed = lambda m, now: placement.backfill(led, m, rng, now)
     first = machine(led, "n-new1", zone="north")
-    assert first.held_for == gang.job_id and not first.bindings
+    assert first.reserved_for == gang.job_id and not first.bindings
     second = led.add_machine("n-new2", "small", "north", False, 0.0, registered=True)
     assert len(verbs(led.handle_heartbeat(heartbeat("n-new2", 1), 0.0))) == 1
     assert len(gang.bindings) == 2 and not array.bindings
@@ -398,9 +398,9 @@
     led, _ = two_zones(each=3)
     led.caps[0] = (4.0, 0.0)
     gang = job(led, job_id="req-2", shape="gang", task_count=2, vcpus=7.0)
-    led.line.jobs = [job(led, job_id="req-1", **first), gang]
+    led.pending.jobs = [job(led, job_id="req-1", **first), gang]
     evacuation.claim(led, {gang.job_id: 0.0}, led.machines["n0"], 0.0)
-    assert (led.machines["n0"].held_for == gang.job_id) is claimed
+    assert (led.machines["n0"].reserved_for == gang.job_id) is claimed
 
 
 @pytest.mark.parametrize("evacuating", [False, True])
@@ -416,8 +416,8 @@
         recovery.states[1].enter(LOST, "", 0.0)
         recovery.lost_tasks[1][gang.job_id] = 0.0
         recovery.observe(0.0)
-    gangs.keep_room(led, [gang], 1.0)
-    assert len(led.room.kept_for(gang.job_id, 1.0)) == (2 if evacuating else 0)
+    gangs.reserve_machines(led, [gang], 1.0)
+    assert len(led.capacity_index.reserved_machines(gang.job_id, 1.0)) == (2 if evacuating else 0)
 
 
 @pytest.mark.parametrize("phase", list(ZonePhase))
@@ -430,7 +430,7 @@
     gang.attempt = 77
     recovery.states[1].enter(phase, "", 0.0)
     found.last_heartbeat_at = -100.0
-    placement.redraw(led, random.Random(1), 1.0)
+    placement.reschedule_unsent(led, random.Random(1), 1.0)
     moved = len(gang.bindings) == 2
     assert moved is (phase is AVAILABLE)
     assert gang.failed is not moved
@@ -464,7 +464,7 @@
 def test_hires_go_elsewhere_and_come_back_a_few_at_a_time() -> None:
     led, recovery = two_zones()
     for found in led.machines.values():
-        found.condemned = "x"
+        found.quarantine_reason = "x"
     led.caps = [(1e9, 1e9) for _ in led.caps]
     job(led, task_count=400, vcpus=2.0, estimated_run_s=500.0)
 
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -246,7 +246,7 @@
     found["submission refused"] = await reply_bytes(
         clients.submit(request(given(spec("req-2", team="none"))))
     )
-    placement.place(ledger, random.Random(1), NOW)
+    placement.schedule(ledger, random.Random(1), NOW)
     found["starts"] = await reply_bytes(clients.heartbeat(request(heartbeat("m0", 2))))
     job = ledger.jobs["req-1"]
     binding = job.bindings[0]
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -140,7 +140,7 @@
         ledger.add_job(
             spec(job_id=f"req-{n}", task_count=machines, vcpus=2.0, estimated_run_s=50.0), now
         )
-    placement.place(ledger, random.Random(1), now)
+    placement.schedule(ledger, random.Random(1), now)
     for name in ledger.machines:
         ledger.handle_heartbeat(shown(ledger, name, 2), now)
 
