--- a/src/salthead/coordination/capacity_backoff.py
+++ b/src/salthead/coordination/capacity_backoff.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from salthead.coordination.model import Kind
+from salthead.coordination.model import MachineKind
 
 # After a refusal the same kind is asked for again with doubling pauses.
 FIRST_BACKOFF_S, MAX_BACKOFF_S = 5.0, 40.0
@@ -15,20 +15,20 @@
 class CapacityBackoff:
     """Kinds of machines that the cloud refused lately."""
 
-    until: dict[Kind, float] = field(default_factory=dict)
-    pause: dict[Kind, float] = field(default_factory=dict)
+    until: dict[MachineKind, float] = field(default_factory=dict)
+    pause: dict[MachineKind, float] = field(default_factory=dict)
 
-    def record_shortage(self, kind: Kind, now: float) -> None:
+    def record_shortage(self, kind: MachineKind, now: float) -> None:
         """The cloud had too few of a kind: ask again later, each time after twice as long."""
         pause = min(MAX_BACKOFF_S, self.pause.get(kind, FIRST_BACKOFF_S / 2) * 2)
         self.pause[kind] = pause
         self.until[kind] = now + pause
 
-    def record_success(self, kind: Kind) -> None:
+    def record_success(self, kind: MachineKind) -> None:
         """The cloud had what was asked for."""
         self.pause.pop(kind, None)
         self.until.pop(kind, None)
 
-    def allows(self, kind: Kind, now: float) -> bool:
+    def allows(self, kind: MachineKind, now: float) -> bool:
         """Whether a kind may be asked for now."""
         return now >= self.until.get(kind, -math.inf)
--- a/src/salthead/coordination/capacity_index.py
+++ b/src/salthead/coordination/capacity_index.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from salthead.coordination.model import EPSILON, UP, Kind, Machine, Vec
+from salthead.coordination.model import EPSILON, UP, Machine, MachineKind, Resources
 
 
 class CapacityIndex:
@@ -13,14 +13,14 @@
     def __init__(self) -> None:
         # Machines that are up, by kind and by how many whole CPUs they have free. A pass looks
         # at the rows with room alone, so that its cost does not grow with a full fleet.
-        self.free: dict[Kind, list[dict[Machine, None]]] = {}
+        self.free: dict[MachineKind, list[dict[Machine, None]]] = {}
         self.reserved: dict[Machine, None] = {}  # machines that are, or lately were, kept for a job
 
     def reindex(self, machine: Machine) -> None:
         """Note how much is free on the machine now."""
         whole = -1
         if machine.phase == UP:
-            whole = max(0, int(machine.cap[0] - machine.used[0] + EPSILON))
+            whole = max(0, int(machine.capacity.cpus - machine.allocated.cpus + EPSILON))
         if whole == machine.free_whole_cpus:
             return
         rows = self.free.setdefault(machine.kind, [])
@@ -32,12 +32,12 @@
             rows[whole][machine] = None
         machine.free_whole_cpus = whole
 
-    def with_room(self, kinds: Iterable[Kind], need: Vec) -> Iterable[Machine]:
+    def with_room(self, kinds: Iterable[MachineKind], request: Resources) -> Iterable[Machine]:
         """Machines of these kinds that have room, in the index's own order."""
         for kind in kinds:
-            for row in self.free[kind][int(need[0]) :]:
+            for row in self.free[kind][int(request.cpus) :]:
                 for machine in row:
-                    if machine.fits(need):
+                    if machine.fits(request):
                         yield machine
 
     def reserve(self, machine: Machine, job_id: str, until: float) -> None:
--- a/src/salthead/coordination/failover.py
+++ b/src/salthead/coordination/failover.py
@@ -13,7 +13,15 @@
 import logging
 from typing import TYPE_CHECKING
 
-from salthead.coordination.model import ANYTHING, EPSILON, UP, Job, Kind, Machine, Vec
+from salthead.coordination.model import (
+    EPSILON,
+    UNBOUNDED_RESOURCES,
+    UP,
+    Job,
+    Machine,
+    MachineKind,
+    Resources,
+)
 from salthead.event_log import event
 
 if TYPE_CHECKING:
@@ -31,7 +39,7 @@
         self.ledger = ledger
         self.logged_at = ledger.term_started_at
         self._capacity_total: tuple[float, float] | None = None
-        self._kinds: dict[Kind, Vec] = {}
+        self._kinds: dict[MachineKind, Resources] = {}
 
     def invalidate_capacity(self) -> None:
         """What was summed may have grown: machines or their types have become known."""
@@ -84,16 +92,18 @@
             unreconciled = self.unreconciled_machines()
             capacities = [self._capacity(machine) for machine in unreconciled]
             self._capacity_total = (
-                sum(cap[0] for cap in capacities),
-                sum(cap[1] for cap in capacities),
+                sum(capacity.cpus for capacity in capacities),
+                sum(capacity.gpus for capacity in capacities),
             )
-            self._kinds = {m.kind: cap for m, cap in zip(unreconciled, capacities, strict=True)}
+            self._kinds = {
+                m.kind: capacity for m, capacity in zip(unreconciled, capacities, strict=True)
+            }
         return self._capacity_total
 
-    def _capacity(self, machine: Machine) -> Vec:
+    def _capacity(self, machine: Machine) -> Resources:
         """What the machine may hold: anything while its type is unknown."""
         known = machine.machine_type in self.ledger.machine_types
-        return machine.cap if known else ANYTHING
+        return machine.capacity if known else UNBOUNDED_RESOURCES
 
     def could_run(self, job: Job) -> bool:
         """Whether one of them may be running a task of the job that an earlier leader started.
@@ -106,6 +116,6 @@
             (job.spec.spot or not spot)
             and (job.allowed_types is None or type_index in job.allowed_types)
             and (job.zone is None or job.zone == zone)
-            and all(c + EPSILON >= n for c, n in zip(cap, job.need, strict=True))
-            for (type_index, zone, spot), cap in self._kinds.items()
+            and all(c + EPSILON >= n for c, n in zip(capacity, job.request, strict=True))
+            for (type_index, zone, spot), capacity in self._kinds.items()
         )
--- a/src/salthead/coordination/fleet_plan.py
+++ b/src/salthead/coordination/fleet_plan.py
@@ -20,7 +20,7 @@
     supply,
 )
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import BOOTING, Job, Kind, Machine
+from salthead.coordination.model import BOOTING, Job, Machine, MachineKind, machine_kind
 from salthead.coordination.scale_in import (
     MIN_CHARGE_S,
     FleetCounts,
@@ -43,24 +43,24 @@
 class Plan:
     """What to hire, by kind, and which machines to return."""
 
-    to_provision: dict[Kind, int] = field(default_factory=dict)
+    to_provision: dict[MachineKind, int] = field(default_factory=dict)
     to_terminate: list[Machine] = field(default_factory=list)
     reasons: dict[str, str] = field(default_factory=dict)  # of the returns, by machine
 
 
 def kinds_for(
     ledger: Ledger, job: Job, capacity_backoff: CapacityBackoff, now: float
-) -> list[Kind]:
+) -> list[MachineKind]:
     """Kinds that suit the job, the cheapest place for one of its tasks first.
 
     Types that are the only ones for another class come last: their number is limited, and small
     tasks on them would keep that class waiting.
     """
-    found: list[tuple[bool, float, Kind]] = []
+    found: list[tuple[bool, float, MachineKind]] = []
     for type_index, machine_type in ledger.machine_types.items():
         if job.allowed_types is not None and type_index not in job.allowed_types:
             continue
-        fit = per_machine(ledger.capacity(type_index), job.need)
+        fit = per_machine(ledger.capacity(type_index), job.request)
         if fit < 1:
             continue
         for name in machine_type.zones:
@@ -70,7 +70,7 @@
             for spot in (False, True):
                 if spot and (not job.spec.spot or machine_type.spot_price is None):
                     continue
-                kind = (type_index, zone, spot)
+                kind = machine_kind(type_index, zone, spot)
                 if capacity_backoff.allows(kind, now) and max_provision(ledger, zone) > 0:
                     last = type_index in ledger.scarce and not job.constrained
                     found.append((last, price(ledger, kind) / fit, kind))
@@ -101,9 +101,9 @@
     fifty seconds, beside 1,700 CPUs that were not hired.
     """
     boot_s = min_boot_s(ledger)
-    work = sum(job.waiting() * job.need[0] * ledger.run_s(job) for job in line if not job.gang)
+    work = sum(job.waiting() * job.request.cpus * ledger.run_s(job) for job in line if not job.gang)
     rate = order.fleet_cpus(ledger)
-    booting = sum([m.cap[0] for m in ledger.machines.values() if m.phase == BOOTING])
+    booting = sum([m.capacity.cpus for m in ledger.machines.values() if m.phase == BOOTING])
     # One array that comes, or a fleet that begins to boot, has a long line, too: what is hired for
     # that comes too late, and what is then too much was given back too deep.
     if work <= boot_s * rate or booting > MAX_BOOTING_SHARE * rate:
@@ -119,7 +119,7 @@
     ledger: Ledger,
     now: float,
     capacity_backoff: CapacityBackoff,
-    provisioning: dict[Kind, int],
+    provisioning: dict[MachineKind, int],
 ) -> Plan:
     """The difference between the fleet that the queue wants and the one that is there."""
     result = Plan()
@@ -131,11 +131,11 @@
     new: list[Slot] = []
     if ledger.ready:
         slots, new = _provide_for_line(ledger, now, capacity_backoff, provisioning)
-    counts: dict[Kind, int] = defaultdict(int)
+    counts: dict[MachineKind, int] = defaultdict(int)
     for slot in new:
         counts[slot.kind] += 1
     result.to_provision = {
-        kind: min(count, max_provision(ledger, kind[1])) for kind, count in counts.items()
+        kind: min(count, max_provision(ledger, kind.zone)) for kind, count in counts.items()
     }
     needed = {slot.machine.name for slot in slots if slot.machine is not None and slot.taken}
     if ledger.ready:
@@ -151,14 +151,17 @@
 
 
 def _provide_for_line(
-    ledger: Ledger, now: float, capacity_backoff: CapacityBackoff, provisioning: dict[Kind, int]
+    ledger: Ledger,
+    now: float,
+    capacity_backoff: CapacityBackoff,
+    provisioning: dict[MachineKind, int],
 ) -> tuple[list[Slot], list[Slot]]:
     """What there is, filled with those in line, and the machines that they lack."""
     slots: list[Slot] = []
     new: list[Slot] = []
     left: dict[int, list[float]] = {
         team: [most[n] - ledger.usage[team][n] for n in range(2)]
-        for team, most in enumerate(ledger.caps)
+        for team, most in enumerate(ledger.team_limits)
     }
     line = placement.queue(ledger, placement.guaranteed_jobs(ledger), now)
     span = serving_span_s(ledger, line, now)
@@ -169,7 +172,7 @@
         # A place that is still taken serves the line for what is left of the span. Counted as
         # free at once, a fleet of short tasks looked large enough for too long a line.
         span = max(1.0, span - there.mean_wait_s())
-    pool = Pool(slots, min((job.need[0] for job in [*line, *soon]), default=0.0))
+    pool = Pool(slots, min((job.request.cpus for job in [*line, *soon]), default=0.0))
     for job in line:
         _provide(ledger, job, job.waiting(), pool, new, left[job.team], span, capacity_backoff, now)
     for job in soon:
@@ -220,8 +223,8 @@
     now: float,
 ) -> None:
     for n in range(2):
-        if job.need[n] > 0:
-            count = min(count, max(0, math.floor((left[n] + 1e-6) / job.need[n])))
+        if job.request[n] > 0:
+            count = min(count, max(0, math.floor((left[n] + 1e-6) / job.request[n])))
     if job.gang:
         if count < job.spec.task_count:
             return
@@ -232,13 +235,13 @@
             math.ceil(count * ledger.run_s(job) / max(span, 1.0)),
         )
     for n in range(2):
-        left[n] -= count * job.need[n]
+        left[n] -= count * job.request[n]
     provisionable = kinds_for(ledger, job, capacity_backoff, now)
     # What would be hired first is filled first, so that it is what is dear that falls empty.
     there = provisionable + sorted(
         (kind for kind in pool.slots if kind not in provisionable and suits(job, kind)),
         key=lambda kind: (
-            price(ledger, kind) if kind[0] in ledger.machine_types else math.inf,
+            price(ledger, kind) if kind.machine_type in ledger.machine_types else math.inf,
             kind,
         ),
     )
@@ -246,17 +249,17 @@
         zone = _best_zone(job, pool, there, provisionable, count)
         if zone is None:
             return
-        there = [kind for kind in there if kind[1] == zone]
-        provisionable = [kind for kind in provisionable if kind[1] == zone]
+        there = [kind for kind in there if kind.zone == zone]
+        provisionable = [kind for kind in provisionable if kind.zone == zone]
     if not job.spec.spread_zones:
         _fill_or_provision(ledger, job, count, there, provisionable, pool, new)
         return
     # The cheapest kinds alone would all be in one zone, where half of the job may not be.
     most, counts = (job.spec.task_count + 1) // 2, placement.zone_counts(job)
-    for zone in dict.fromkeys(kind[1] for kind in there):
+    for zone in dict.fromkeys(kind.zone for kind in there):
         part = max(0, min(count, most - counts.get(zone, 0)))
-        here = [kind for kind in there if kind[1] == zone]
-        provisionable_here = [kind for kind in provisionable if kind[1] == zone]
+        here = [kind for kind in there if kind.zone == zone]
+        provisionable_here = [kind for kind in provisionable if kind.zone == zone]
         count -= part - _fill_or_provision(ledger, job, part, here, provisionable_here, pool, new)
 
 
@@ -264,17 +267,17 @@
     ledger: Ledger,
     job: Job,
     count: int,
-    there: list[Kind],
-    provisionable: list[Kind],
+    there: list[MachineKind],
+    provisionable: list[MachineKind],
     pool: Pool,
     new: list[Slot],
 ) -> int:
     """Put a job's tasks on what there is, and plan hires for the rest; how many found no place."""
     for kind in there:
         if count:
-            count = pool.fill(kind, job.need, count)
+            count = pool.fill(kind, job.request, count)
     for kind in provisionable:
-        most = max_provision(ledger, kind[1])
+        most = max_provision(ledger, kind.zone)
         count = _plan_provisioning(ledger, job, count, kind, most, pool, new)
         if not count or most == max_provision_per_plan(ledger):
             break  # the next kind is for what a zone that returns may not hire yet
@@ -282,18 +285,18 @@
 
 
 def _plan_provisioning(
-    ledger: Ledger, job: Job, count: int, kind: Kind, most: int, pool: Pool, new: list[Slot]
+    ledger: Ledger, job: Job, count: int, kind: MachineKind, most: int, pool: Pool, new: list[Slot]
 ) -> int:
     """Add machines of a kind for a job's tasks; how many tasks are left.
 
     No more than ``most`` are hired at a time: a line of thousands of tasks must not make thousands
     of slots in each plan, when the leader has the least time for it.
     """
-    capacity = ledger.capacity(kind[0])
+    capacity = ledger.capacity(kind.machine_type)
     planned = sum([slot.kind == kind for slot in new])
     while count and planned < most:
         slot = Slot(kind, list(capacity))
-        count -= slot.fill(job.need, count)
+        count -= slot.fill(job.request, count)
         new.append(slot)
         pool.add(slot)
         planned += 1
@@ -303,14 +306,14 @@
 def _best_zone(
     job: Job,
     pool: Pool,
-    there: list[Kind],
-    provisionable: list[Kind],
+    there: list[MachineKind],
+    provisionable: list[MachineKind],
     count: int,
 ) -> int | None:
     """The zone in which a gang that must stay together lacks the fewest machines."""
     have: dict[int, int] = defaultdict(int)
     for kind in there:
-        have[kind[1]] += pool.places(kind, job.need)
-    provisionable_zones = {kind[1] for kind in provisionable}
+        have[kind.zone] += pool.places(kind, job.request)
+    provisionable_zones = {kind.zone for kind in provisionable}
     usable = [z for z in have if have[z] >= count or z in provisionable_zones]
     return max(usable, key=lambda z: (min(have[z], count), -z), default=None)
--- a/src/salthead/coordination/fleet_supply.py
+++ b/src/salthead/coordination/fleet_supply.py
@@ -7,7 +7,7 @@
 
 from salthead.coordination.estimates import left_s
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import BOOTING, UP, Job, Kind, Machine, Vec
+from salthead.coordination.model import BOOTING, UP, Job, Machine, MachineKind, Resources
 
 
 class Slot:
@@ -15,26 +15,28 @@
 
     __slots__ = ("kind", "room", "machine", "taken")
 
-    def __init__(self, kind: Kind, room: list[float], machine: Machine | None = None) -> None:
+    def __init__(
+        self, kind: MachineKind, room: list[float], machine: Machine | None = None
+    ) -> None:
         self.kind = kind
         self.room = room
         self.machine = machine
         self.taken = False
 
-    def fill(self, need: Vec, most: int) -> int:
+    def fill(self, request: Resources, most: int) -> int:
         """Take as many tasks as fit, up to ``most``; how many that were."""
         room = self.room
         count = most
         for n in (0, 1, 2):  # the innermost loop of a plan
-            if need[n] > 0:
-                places = int((room[n] + 1e-6) // need[n])
+            if request[n] > 0:
+                places = int((room[n] + 1e-6) // request[n])
                 if places < count:
                     count = places
         if count <= 0:
             return 0
         self.taken = True
         for n in (0, 1, 2):
-            room[n] -= count * need[n]
+            room[n] -= count * request[n]
         return count
 
 
@@ -43,7 +45,7 @@
 
     def __init__(self, slots: list[Slot], least: float) -> None:
         self.least = least  # CPUs of the smallest task
-        self.slots: dict[Kind, list[Slot]] = {}
+        self.slots: dict[MachineKind, list[Slot]] = {}
         for slot in slots:
             self.add(slot)
 
@@ -51,7 +53,7 @@
         """Add a machine's room."""
         self.slots.setdefault(slot.kind, []).append(slot)
 
-    def fill(self, kind: Kind, need: Vec, count: int) -> int:
+    def fill(self, kind: MachineKind, request: Resources, count: int) -> int:
         """Put tasks into the slots of one kind, in their order; how many found none."""
         slots = self.slots.get(kind)
         if slots is None:
@@ -60,42 +62,42 @@
         for slot in slots:
             if not count:
                 break
-            count -= slot.fill(need, count)
+            count -= slot.fill(request, count)
             full = full or slot.room[0] + 1e-6 < self.least
         if full:
             self.slots[kind] = [s for s in slots if s.room[0] + 1e-6 >= self.least]
         return count
 
-    def places(self, kind: Kind, need: Vec) -> int:
+    def places(self, kind: MachineKind, request: Resources) -> int:
         """How many tasks fit into the slots of a kind."""
         return sum(
             min(
-                (int((r + 1e-6) // n) for r, n in zip(slot.room, need, strict=True) if n > 0),
+                (int((r + 1e-6) // n) for r, n in zip(slot.room, request, strict=True) if n > 0),
                 default=0,
             )
             for slot in self.slots.get(kind, ())
         )
 
 
-def price(ledger: Ledger, kind: Kind) -> float:
+def price(ledger: Ledger, kind: MachineKind) -> float:
     """What a machine of a kind costs an hour."""
-    machine_type = ledger.machine_types[kind[0]]
-    if kind[2] and machine_type.spot_price is not None:
+    machine_type = ledger.machine_types[kind.machine_type]
+    if kind.spot and machine_type.spot_price is not None:
         return machine_type.spot_price
     return machine_type.rate
 
 
-def per_machine(cap: Vec, need: Vec) -> int:
+def per_machine(capacity: Resources, request: Resources) -> int:
     """How many tasks fit on an empty machine."""
-    return int(min((c + 1e-6) // n for c, n in zip(cap, need, strict=True) if n > 0))
+    return int(min((c + 1e-6) // n for c, n in zip(capacity, request, strict=True) if n > 0))
 
 
-def suits(job: Job, kind: Kind) -> bool:
+def suits(job: Job, kind: MachineKind) -> bool:
     """Whether a job may run on machines of a kind."""
     return (
-        (job.spec.spot or not kind[2])
-        and (job.allowed_types is None or kind[0] in job.allowed_types)
-        and (job.zone is None or kind[1] == job.zone)
+        (job.spec.spot or not kind.spot)
+        and (job.allowed_types is None or kind.machine_type in job.allowed_types)
+        and (job.zone is None or kind.zone == job.zone)
     )
 
 
@@ -117,7 +119,7 @@
         return self.frees_in / self.cpus if self.cpus > 0 else 0.0
 
 
-def supply(ledger: Ledger, now: float, provisioning: dict[Kind, int]) -> Supply:
+def supply(ledger: Ledger, now: float, provisioning: dict[MachineKind, int]) -> Supply:
     """What there is, will soon be free, boots, or is being hired."""
     found = Supply()
     soon_s = 0.7 * min_boot_s(ledger)
@@ -126,12 +128,12 @@
         if not _counts(ledger, machine, now):
             continue
         if machine.phase == BOOTING:
-            found.slots.append(Slot(machine.kind, list(machine.cap), machine))
+            found.slots.append(Slot(machine.kind, list(machine.capacity), machine))
         elif machine.phase == UP:
             room = _room_soon(machine, runs, soon_s, found, now)
             found.slots.append(Slot(machine.kind, room, machine))
     for kind, count in provisioning.items():
-        found.slots += [Slot(kind, list(ledger.capacity(kind[0]))) for _ in range(count)]
+        found.slots += [Slot(kind, list(ledger.capacity(kind.machine_type))) for _ in range(count)]
     return found
 
 
@@ -151,7 +153,7 @@
     machine: Machine, runs: dict[str, float], soon_s: float, found: Supply, now: float
 ) -> list[float]:
     """What is free on a machine, and what will be soon; counted in the supply."""
-    room = list(machine.free())
+    room = machine.free()
     found.cpus += room[0]
     for binding in machine.bindings.values():
         job = binding.job
@@ -161,8 +163,8 @@
         elif job is not None and binding.started > 0.0:
             left = left_s(runs.get(job.job_id, math.inf), now - binding.started)
         if left <= soon_s:
-            found.cpus += binding.need[0]
-            found.frees_in += left * binding.need[0]
+            found.cpus += binding.request.cpus
+            found.frees_in += left * binding.request.cpus
             for n in range(3):
-                room[n] += binding.need[n]
+                room[n] += binding.request[n]
     return room
--- a/src/salthead/coordination/gangs.py
+++ b/src/salthead/coordination/gangs.py
@@ -20,9 +20,9 @@
 
 def room_at(ledger: Ledger, machine: Machine, job: Job, now: float) -> float | None:
     """When the machine should have room for one task of the job; None if never."""
-    if any(c + EPSILON < n for c, n in zip(machine.cap, job.need, strict=True)):
+    if any(c + EPSILON < n for c, n in zip(machine.capacity, job.request, strict=True)):
         return None
-    left = list(machine.free())
+    left = machine.free()
     ends = []
     for binding in machine.bindings.values():
         other = binding.job
@@ -32,16 +32,16 @@
             else ledger.estimates.run_s(other.spec.job_class, other.spec.estimated_run_s)
         )
         age_s = now - binding.started if binding.started else 0.0
-        ends.append((now + left_s(run_s, age_s), binding.need))
+        ends.append((now + left_s(run_s, age_s), binding.request))
     ends.sort(key=lambda pair: pair[0])
     at = now
-    for end, need in ends:
-        if all(left[n] + EPSILON >= job.need[n] for n in range(3)):
+    for end, request in ends:
+        if all(left[n] + EPSILON >= job.request[n] for n in range(3)):
             break
         at = end
         for n in range(3):
-            left[n] += need[n]
-    return at if all(left[n] + EPSILON >= job.need[n] for n in range(3)) else None
+            left[n] += request[n]
+    return at if all(left[n] + EPSILON >= job.request[n] for n in range(3)) else None
 
 
 def reserve_machines(ledger: Ledger, unschedulable: list[Job], now: float) -> None:
--- a/src/salthead/coordination/invariants.py
+++ b/src/salthead/coordination/invariants.py
@@ -91,9 +91,9 @@
     def _within_limit(self, job: Job, found: dict[str, object]) -> bool:
         ledger = self.ledger
         silent = (0.0, 0.0) if ledger.ready else ledger.failover.unreconciled_capacity()
-        usage, most = ledger.usage[job.team], ledger.caps[job.team]
+        usage, most = ledger.usage[job.team], ledger.team_limits[job.team]
         fits = all(
-            not job.need[n] or usage[n] + silent[n] + job.need[n] <= most[n] + EPSILON * 10
+            not job.request[n] or usage[n] + silent[n] + job.request[n] <= most[n] + EPSILON * 10
             for n in range(2)
         )
         if fits and not ledger.unknown_jobs:
@@ -103,7 +103,7 @@
             team=job.spec.team,
             booked=usage[0],
             silent=silent[0],
-            needed=job.need[0],
+            needed=job.request.cpus,
             limit=most[0],
             unknown_jobs=len(ledger.unknown_jobs),
             **found,
@@ -142,21 +142,23 @@
     def _audit_machine(self, machine: Machine) -> None:
         total = [0.0, 0.0, 0.0]
         for binding in (*machine.bindings.values(), *machine.orphans.values()):
-            for n, amount in enumerate(binding.need):
+            for n, amount in enumerate(binding.request):
                 total[n] += amount
-        if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, machine.used, strict=True)):
-            self._broken(Invariant.SUMS_AGREE, machine=machine.name, sum=total, booked=machine.used)
+        allocated = machine.allocated
+        booked = [allocated.cpus, allocated.gpus, allocated.memory_gb]
+        if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, booked, strict=True)):
+            self._broken(Invariant.SUMS_AGREE, machine=machine.name, sum=total, booked=booked)
 
     def _audit_teams(self) -> None:
         ledger = self.ledger
         totals = [[0.0, 0.0] for _ in ledger.usage]
         for job in ledger.jobs.values():
             for n in range(2):
-                totals[job.team][n] += job.need[n] * len(job.bindings)
+                totals[job.team][n] += job.request[n] * len(job.bindings)
         for machine in ledger.machines.values():
             for orphan in machine.orphans.values():
                 for n in range(2 if orphan.team >= 0 else 0):
-                    totals[orphan.team][n] += orphan.need[n]
+                    totals[orphan.team][n] += orphan.request[n]
         for team, (total, usage) in enumerate(zip(totals, ledger.usage, strict=True)):
             if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, usage, strict=True)):
                 name = ledger.team_names[team]
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -28,13 +28,14 @@
     EPSILON,
     GONE,
     LOST,
-    NOTHING,
+    NO_RESOURCES,
     UP,
     Binding,
     Job,
     Machine,
     ReleaseReason,
-    Vec,
+    Resources,
+    ResourceUsage,
 )
 from salthead.coordination.worker_leases import WorkerLeases
 from salthead.coordination.zone_hooks import ZoneHooks
@@ -121,7 +122,8 @@
         self.zones = Interner(list(limits.zones))
         self.type_names = Interner()
         self.machine_types: dict[int, MachineType] = {}
-        self.caps = [(team.cpus_max, team.gpus_max) for team in limits.teams]
+        self.capacities: dict[int, Resources] = {}  # of a machine, by type
+        self.team_limits = [(team.cpus_max, team.gpus_max) for team in limits.teams]
         self.guarantees = [(team.cpus, team.gpus) for team in limits.teams]
         self.capacity_index = CapacityIndex()
         # Types that are the only ones for some class of jobs, as seen in this term.
@@ -145,7 +147,7 @@
         self.ready = False
         # tasks on machines whose job we do not know: their team is unknown until it is read
         self.unknown_jobs: set[str] = set()
-        self.team_of: dict[str, tuple[int, Vec]] = {}
+        self.team_of: dict[str, tuple[int, Resources]] = {}
         self.orphan_jobs: dict[str, int] = {}  # stray tasks by job: such a job starts nothing
         self.newer_fencing_token = 0
         self.failover = Failover(self)
@@ -187,20 +189,20 @@
         for machine_type in machine_types:
             index = self.type_names.intern(machine_type.name)
             self.machine_types[index] = machine_type
+            self.capacities[index] = Resources(
+                machine_type.vcpus, machine_type.accelerators, machine_type.ram_gb
+            )
             for zone in machine_type.zones:
                 self.zones.intern(zone)
-            cap = (machine_type.vcpus, machine_type.accelerators, machine_type.ram_gb)
+            capacity = self.capacity(index)
             for machine in self.machines.values():
                 if machine.machine_type == index:
-                    machine.cap = cap
+                    machine.capacity = capacity
                     self.capacity_index.reindex(machine)
 
-    def capacity(self, type_index: int) -> Vec:
+    def capacity(self, type_index: int) -> Resources:
         """CPUs, GPUs and memory of a machine of this type; nothing while the type is unknown."""
-        machine_type = self.machine_types.get(type_index)
-        if machine_type is None:
-            return NOTHING
-        return (machine_type.vcpus, machine_type.accelerators, machine_type.ram_gb)
+        return self.capacities.get(type_index, NO_RESOURCES)
 
     def run_s(self, job: Job) -> float:
         """How long one of the job's tasks should run, by its owner's estimate and by experience."""
@@ -222,7 +224,7 @@
             spec=spec,
             team=team,
             priority=names.URGENCIES.index(spec.urgency),
-            need=(spec.vcpus, spec.accelerators, spec.ram_gb),
+            request=Resources(spec.vcpus, spec.accelerators, spec.ram_gb),
             allowed_types=allowed_types,
             zone=None if spec.zone is None else self.zones.intern(spec.zone),
             submitted=min(now, spec.at - self.wall_ahead) if spec.at else now,
@@ -247,7 +249,8 @@
             for type_index in self.machine_types
             if (job.allowed_types is None or type_index in job.allowed_types)
             and all(
-                c + EPSILON >= n for c, n in zip(self.capacity(type_index), job.need, strict=True)
+                c + EPSILON >= n
+                for c, n in zip(self.capacity(type_index), job.request, strict=True)
             )
         }
 
@@ -308,7 +311,7 @@
 
     def _forget(self, job: Job) -> None:
         if job.terminal_phase and not job.bindings and self.jobs.get(job.job_id) is job:
-            self.team_of[job.job_id] = (job.team, job.need)
+            self.team_of[job.job_id] = (job.team, job.request)
             if len(self.team_of) > max(MIN_REMEMBERED_JOBS, REMEMBERED_FLEETS * self.largest_fleet):
                 self.team_of.pop(next(iter(self.team_of)))
             del self.jobs[job.job_id]
@@ -316,20 +319,21 @@
 
     # -- bookings -----------------------------------------------------------------------
 
-    def book(self, machine: Machine, need: Vec, team: int, sign: float) -> None:
+    def book(self, machine: Machine, request: Resources, team: int, sign: float) -> None:
         """Book a task's need on a machine and its team, or take the booking back."""
-        used = machine.used
+        allocated = machine.allocated
         if sign < 0:
             machine.has_freed_capacity = True
-        for n in range(3):
-            used[n] += sign * need[n]
+        allocated.cpus += sign * request.cpus
+        allocated.gpus += sign * request.gpus
+        allocated.memory_gb += sign * request.memory_gb
         if not machine.busy():
-            machine.used = [0.0, 0.0, 0.0]
+            machine.allocated = ResourceUsage()
         self.capacity_index.reindex(machine)
         if team >= 0:
             usage = self.usage[team]
-            usage[0] = max(0.0, usage[0] + sign * need[0])
-            usage[1] = max(0.0, usage[1] + sign * need[1])
+            usage[0] = max(0.0, usage[0] + sign * request.cpus)
+            usage[1] = max(0.0, usage[1] + sign * request.gpus)
 
     def set_phase(self, machine: Machine, phase: str) -> None:
         """Change a machine's phase, and what is indexed by it."""
@@ -354,7 +358,7 @@
         ``granted``: by a new decision to start it, which its team's limit has to allow.
         """
         sound = self.invariants.may_bind(job, index, machine, granted)
-        binding = Binding(job, index, attempt, machine, job.need, job.team, since=now)
+        binding = Binding(job, index, attempt, machine, job.request, job.team, since=now)
         binding.rejected = not sound
         if index in job.bindings or (job.job_id, index) in machine.bindings:
             # Put in the place of the one that there is, that one would never be released.
@@ -363,7 +367,7 @@
         machine.unchanged = False
         job.bindings[index] = binding
         self.bound_by_priority[job.priority] += 1
-        self.book(machine, job.need, job.team, 1.0)
+        self.book(machine, job.request, job.team, 1.0)
         if not sound:
             self.request_stop(binding, 0.0)
         return binding
@@ -393,7 +397,7 @@
         machine.unchanged = False
         job.bindings.pop(binding.index, None)
         self.bound_by_priority[job.priority] -= 1
-        self.book(machine, binding.need, binding.team, -1.0)
+        self.book(machine, binding.request, binding.team, -1.0)
         if job.gang:
             if not job.complete and not job.failed:
                 self.fail_gang(job, now, f"{binding.task_id} on {machine.name}: {proof} {detail}")
@@ -412,7 +416,7 @@
         binding.machine.unchanged = False
         del job.bindings[binding.index]
         self.bound_by_priority[job.priority] -= 1
-        self.book(binding.machine, binding.need, binding.team, -1.0)
+        self.book(binding.machine, binding.request, binding.team, -1.0)
         self.bind(job, binding.index, machine, binding.attempt, now)
 
     def fail_gang(self, job: Job, now: float, why: str) -> None:
--- a/src/salthead/coordination/model.py
+++ b/src/salthead/coordination/model.py
@@ -2,19 +2,51 @@
 
 from __future__ import annotations
 
+import functools
 import math
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 from enum import StrEnum
+from typing import NamedTuple
 
 from salthead.evidence.links import WorkerLinks
 from salthead.protocol import names
 from salthead.protocol.messages import Submission, TaskStatus
 
-Vec = tuple[float, float, float]
-Kind = tuple[int, int, bool]  # type, zone, spot
-NOTHING: Vec = (0.0, 0.0, 0.0)
-ANYTHING: Vec = (math.inf, math.inf, math.inf)
+
+class Resources(NamedTuple):
+    """What a task requests, or what a machine has."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+
+class MachineKind(NamedTuple):
+    """Machines that are alike: type and zone by their dense indices, and whether they are spot."""
+
+    machine_type: int
+    zone: int
+    spot: bool
+
+
+@functools.cache
+def machine_kind(machine_type: int, zone: int, spot: bool) -> MachineKind:
+    """The kind with these indices: one object for each, since plans ask for thousands."""
+    return MachineKind(machine_type, zone, spot)
+
+
+@dataclass(slots=True)
+class ResourceUsage:
+    """What the tasks of one machine have been allocated."""
+
+    cpus: float = 0.0
+    gpus: float = 0.0
+    memory_gb: float = 0.0
+
+
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
+UNBOUNDED_RESOURCES = Resources(math.inf, math.inf, math.inf)
 EPSILON = 1e-6
 
 UP, BOOTING, LOST, GONE = "up", "booting", "lost", "gone"
@@ -40,7 +72,7 @@
     index: int
     attempt: int
     machine: Machine
-    need: Vec
+    request: Resources
     team: int
     phase: str = ""  # empty until a report shows it
     since: float = 0.0
@@ -74,9 +106,9 @@
     machine_type: int
     zone: int
     spot: bool
-    cap: Vec
+    capacity: Resources
     phase: str = BOOTING
-    used: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
+    allocated: ResourceUsage = field(default_factory=ResourceUsage)
     registered: bool = False
     reconciled: bool = False  # reported under this term's token
     incarnation: int = 0
@@ -113,27 +145,49 @@
     awaiting_slow_start: bool = False  # in a zone that was lost, and not yet open to new work
     free_whole_cpus: int = -1  # whole CPUs that are free, as its ledger last indexed it
     # Kept rather than derived: plans read it a thousand times each.
-    kind: Kind = field(init=False)
+    kind: MachineKind = field(init=False)
 
     def __post_init__(self) -> None:
-        self.kind = (self.machine_type, self.zone, self.spot)
+        self.kind = machine_kind(self.machine_type, self.zone, self.spot)
 
-    def free(self) -> Vec:
-        """What is free."""
-        return (self.cap[0] - self.used[0], self.cap[1] - self.used[1], self.cap[2] - self.used[2])
+    def free(self) -> list[float]:
+        """CPUs, GPUs and memory that are not allocated, as a list that the caller may change."""
+        return [
+            self.capacity.cpus - self.allocated.cpus,
+            self.capacity.gpus - self.allocated.gpus,
+            self.capacity.memory_gb - self.allocated.memory_gb,
+        ]
 
-    def fits(self, need: Vec) -> bool:
+    def fits(self, request: Resources) -> bool:
         """Whether there is room for a task."""
-        cap, used = self.cap, self.used
+        capacity, allocated = self.capacity, self.allocated
         return (
-            used[0] + need[0] <= cap[0] + EPSILON
-            and used[1] + need[1] <= cap[1] + EPSILON
-            and used[2] + need[2] <= cap[2] + EPSILON
+            allocated.cpus + request.cpus <= capacity.cpus + EPSILON
+            and allocated.gpus + request.gpus <= capacity.gpus + EPSILON
+            and allocated.memory_gb + request.memory_gb <= capacity.memory_gb + EPSILON
         )
 
+    def places_for(self, request: Resources) -> float:
+        """How many tasks with this request fit into what is free, with fractions."""
+        capacity, allocated = self.capacity, self.allocated
+        places = math.inf
+        if request.cpus > 0:
+            places = (capacity.cpus - allocated.cpus + EPSILON) / request.cpus
+        if request.gpus > 0:
+            places = min(places, (capacity.gpus - allocated.gpus + EPSILON) / request.gpus)
+        if request.memory_gb > 0:
+            free_gb = capacity.memory_gb - allocated.memory_gb
+            places = min(places, (free_gb + EPSILON) / request.memory_gb)
+        return places
+
     def fullest(self) -> float:
         """The largest booked share of CPUs, GPUs or memory."""
-        return max((u / c if c > 0 else 0.0) for u, c in zip(self.used, self.cap, strict=True))
+        allocated, capacity = self.allocated, self.capacity
+        return max(
+            allocated.cpus / capacity.cpus if capacity.cpus > 0 else 0.0,
+            allocated.gpus / capacity.gpus if capacity.gpus > 0 else 0.0,
+            allocated.memory_gb / capacity.memory_gb if capacity.memory_gb > 0 else 0.0,
+        )
 
     def has_image(self, name: str, size_gb: float, cache_gb: float) -> None:
         """A task that has its image was seen: the cache keeps the most recently used ones."""
@@ -158,7 +212,7 @@
     spec: Submission
     team: int
     priority: int  # 0 is the highest urgency
-    need: Vec
+    request: Resources
     allowed_types: frozenset[int] | None  # None: any
     zone: int | None
     submitted: float  # in this ledger's steady time
@@ -209,10 +263,10 @@
         """Whether all of its tasks are done."""
         return self.n_done >= self.spec.task_count
 
-    def size(self) -> Vec:
-        """What all unfinished tasks take together."""
+    def size(self) -> tuple[float, float]:
+        """CPUs and GPUs that all unfinished tasks take together."""
         left = self.spec.task_count - (0 if self.gang else self.n_done)
-        return (self.need[0] * left, self.need[1] * left, self.need[2] * left)
+        return self.request.cpus * left, self.request.gpus * left
 
     def waiting(self) -> int:
         """How many tasks have no machine."""
--- a/src/salthead/coordination/order.py
+++ b/src/salthead/coordination/order.py
@@ -122,14 +122,14 @@
         if start_overdue(job, now):
             continue
         run_s = ledger.run_s(job)
-        work = job.waiting() * max(job.need[0], 0.1) * run_s
+        work = job.waiting() * max(job.request.cpus, 0.1) * run_s
         rows.append((target(ledger, job, run_s, now), job.since, job.job_id, work, job))
     rows.sort(key=lambda row: row[:3])
     kept: list[tuple[float, float, str, float, Job]] = []
     behind: list[tuple[float, float, str, float, Job]] = []
     # What limits the work ahead is the fleet, and for each team also its own limit.
     fleet_load = Load(rate)
-    loads = [Load(min(rate, most[0]) if most[0] > 0 else rate) for most in ledger.caps]
+    loads = [Load(min(rate, most[0]) if most[0] > 0 else rate) for most in ledger.team_limits]
     put_off: set[int] = set()
     for at, row in enumerate(rows):
         if row[0] == math.inf:
@@ -153,4 +153,4 @@
 
 def fleet_cpus(ledger: Ledger) -> float:
     """CPUs of all machines that are up or coming."""
-    return sum([m.cap[0] for m in ledger.machines.values() if not m.quarantine_reason])
+    return sum([m.capacity.cpus for m in ledger.machines.values() if not m.quarantine_reason])
--- a/src/salthead/coordination/orphans.py
+++ b/src/salthead/coordination/orphans.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from salthead import metrics
-from salthead.coordination.model import NOTHING, Binding, Machine, Vec
+from salthead.coordination.model import NO_RESOURCES, Binding, Machine, Resources
 from salthead.event_log import event
 from salthead.protocol.messages import Submission
 
@@ -30,11 +30,11 @@
     job_id, index, attempt = key
     job = ledger.jobs.get(job_id)
     if job is not None:
-        team, need = job.team, job.need
+        team, request = job.team, job.request
     elif job_id in ledger.team_of:
-        team, need = ledger.team_of[job_id]
+        team, request = ledger.team_of[job_id]
     else:
-        team, need = -1, NOTHING
+        team, request = -1, NO_RESOURCES
         ledger.unknown_jobs.add(job_id)
     event(
         log,
@@ -49,15 +49,15 @@
     )
     metrics.ORPHANS_FOUND.inc()
     ledger.orphan_jobs[job_id] = ledger.orphan_jobs.get(job_id, 0) + 1
-    machine.orphans[key] = Binding(job, index, attempt, machine, need, team, orphan=True)
-    ledger.book(machine, need, team, 1.0)
+    machine.orphans[key] = Binding(job, index, attempt, machine, request, team, orphan=True)
+    ledger.book(machine, request, team, 1.0)
 
 
 def drop(ledger: Ledger, machine: Machine, key: OrphanKey) -> None:
     """The stray task is certainly gone: release what it took."""
     orphan = machine.orphans.pop(key)
     event(log, "orphan_gone", task=f"{key[0]}/{key[1]}", attempt=key[2], machine=machine.name)
-    ledger.book(machine, orphan.need, orphan.team, -1.0)
+    ledger.book(machine, orphan.request, orphan.team, -1.0)
     left = ledger.orphan_jobs.pop(key[0], 1) - 1
     if left > 0:
         ledger.orphan_jobs[key[0]] = left
@@ -69,11 +69,11 @@
 def identify_job(ledger: Ledger, spec: Submission) -> None:
     """The record of an ended job whose tasks are still on machines: count them in."""
     team = ledger.team_names.get(spec.team)
-    need: Vec = (spec.vcpus, spec.accelerators, spec.ram_gb)
-    ledger.team_of[spec.job_id] = (-1 if team is None else team, need)
+    request = Resources(spec.vcpus, spec.accelerators, spec.ram_gb)
+    ledger.team_of[spec.job_id] = (-1 if team is None else team, request)
     ledger.unknown_jobs.discard(spec.job_id)
     for machine in ledger.machines.values():
         for key, orphan in machine.orphans.items():
             if key[0] == spec.job_id and orphan.team < 0:
-                orphan.need, orphan.team = need, -1 if team is None else team
-                ledger.book(machine, need, orphan.team, 1.0)
+                orphan.request, orphan.team = request, -1 if team is None else team
+                ledger.book(machine, request, orphan.team, 1.0)
--- a/src/salthead/coordination/placement.py
+++ b/src/salthead/coordination/placement.py
@@ -9,7 +9,7 @@
 
 from salthead.coordination import order
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import EPSILON, UP, Job, Kind, Machine, ReleaseReason
+from salthead.coordination.model import EPSILON, UP, Job, Machine, MachineKind, ReleaseReason
 from salthead.coordination.start_rules import quota_left, startable, wanted
 from salthead.event_log import event
 from salthead.protocol import names
@@ -52,7 +52,9 @@
     waiting = [job for job in ledger.ready_jobs.values() if startable(ledger, job)]
     start_target_s = ledger.start_attainment.within_s
     first = [job for job in waiting if job.job_id in within and now - job.since <= start_target_s]
-    first.sort(key=lambda job: (job.priority, job.waiting() * job.need[0], job.since, job.job_id))
+    first.sort(
+        key=lambda job: (job.priority, job.waiting() * job.request.cpus, job.since, job.job_id)
+    )
     young = {job.job_id for job in first}
     rate = order.fleet_cpus(ledger)
     for guaranteed in (True, False):
@@ -131,15 +133,9 @@
     left = job.spec.task_count if job.gang else 1
     if quota_left(ledger, job, heed=False) < left:
         return False
-    for machine in ledger.capacity_index.with_room(suitable_kinds(ledger, job), job.need):
+    for machine in ledger.capacity_index.with_room(suitable_kinds(ledger, job), job.request):
         if available(ledger, machine, now):
-            left -= int(
-                min(
-                    (c - u + EPSILON) / n
-                    for c, u, n in zip(machine.cap, machine.used, job.need, strict=True)
-                    if n > 0
-                )
-            )
+            left -= int(machine.places_for(job.request))
             if left <= 0:
                 return True
     return False
@@ -210,7 +206,7 @@
     """
 
     def __init__(self, ledger: Ledger, job: Job, candidates: Iterable[Machine]) -> None:
-        self.need = job.need
+        self.request = job.request
         self.pools: list[list[Machine]] = [[], [], [], []]
         image = job.spec.image
         for machine in candidates:
@@ -231,7 +227,7 @@
 
     def used(self, machine: Machine) -> None:
         """Drop the machine if one more task does not fit any more."""
-        if not machine.fits(self.need):
+        if not machine.fits(self.request):
             for pool in self.pools:
                 if machine in pool:
                     pool.remove(machine)
@@ -241,14 +237,14 @@
         self.pools = [[m for m in pool if m.zone != zone] for pool in self.pools]
 
 
-def suitable_kinds(ledger: Ledger, job: Job) -> list[Kind]:
+def suitable_kinds(ledger: Ledger, job: Job) -> list[MachineKind]:
     """The kinds of machines there are that suit the job."""
     return [
         kind
         for kind in ledger.capacity_index.free
-        if (job.spec.spot or not kind[2])
-        and (job.allowed_types is None or kind[0] in job.allowed_types)
-        and (job.zone is None or kind[1] == job.zone)
+        if (job.spec.spot or not kind.spot)
+        and (job.allowed_types is None or kind.machine_type in job.allowed_types)
+        and (job.zone is None or kind.zone == job.zone)
     ]
 
 
@@ -256,7 +252,7 @@
     """The filter: machines that suit the job and have room for one task, zones aside."""
     return [
         machine
-        for machine in ledger.capacity_index.with_room(suitable_kinds(ledger, job), job.need)
+        for machine in ledger.capacity_index.with_room(suitable_kinds(ledger, job), job.request)
         if available(ledger, machine, now) and is_open_to(ledger, job, machine, now)
     ]
 
@@ -340,8 +336,10 @@
         machine = candidate_pools.pick(rng)
         if machine is None:
             break
-        for n in range(3):  # a booking that only later members of the draw see
-            machine.used[n] += job.need[n]
+        # An allocation that only later members of the gang see.
+        machine.allocated.cpus += job.request.cpus
+        machine.allocated.gpus += job.request.gpus
+        machine.allocated.memory_gb += job.request.memory_gb
         candidate_pools.used(machine)
         chosen.append(machine)
         if job.spec.spread_zones:
@@ -349,8 +347,9 @@
             if not zone_open(job, machine.zone, counts):
                 candidate_pools.close(machine.zone)
     for machine in chosen:
-        for n in range(3):
-            machine.used[n] -= job.need[n]
+        machine.allocated.cpus -= job.request.cpus
+        machine.allocated.gpus -= job.request.gpus
+        machine.allocated.memory_gb -= job.request.memory_gb
     if len(chosen) < job.spec.task_count:
         return False
     job.attempt = ledger.next_attempt()
@@ -447,11 +446,11 @@
     if ledger.zone_hooks is not None:
         ledger.zone_hooks.claim(machine, now)
     for job in ledger.pending.jobs:
-        if machine.cap[0] - machine.used[0] + EPSILON < ledger.pending.min_cpus:
+        if machine.capacity.cpus - machine.allocated.cpus + EPSILON < ledger.pending.min_cpus:
             return
         if (
             now < job.wait_until
-            or not machine.fits(job.need)
+            or not machine.fits(job.request)
             or not allows(job, machine)
             or not startable(ledger, job)
             or not is_open_to(ledger, job, machine, now)
@@ -468,9 +467,11 @@
     ledger.capacity_index.expire_reservations(now)
     within = guaranteed_jobs(ledger)
     ledger.pending.jobs = queue(ledger, within, now)
-    ledger.pending.min_cpus = min((job.need[0] for job in ledger.pending.jobs), default=math.inf)
+    ledger.pending.min_cpus = min(
+        (job.request.cpus for job in ledger.pending.jobs), default=math.inf
+    )
     ledger.pending.constrained = any(job.constrained for job in ledger.pending.jobs)
-    reserved: list[Job | None] = [None for _ in ledger.caps]
+    reserved: list[Job | None] = [None for _ in ledger.team_limits]
     for job in ledger.pending.jobs:
         job.within_guarantee = job.within_guarantee or job.job_id in within
         record_attainment(ledger, job, now)
@@ -499,7 +500,7 @@
         and not held_back_too_long(job, now)
         and (job.gang or order.pressing(ahead, now))
     ):
-        job.quota_reserved_ahead = ahead.size()[:2]
+        job.quota_reserved_ahead = ahead.size()
     quota_exhausted = _short_of_quota(ledger, job)
     if job.quota_exhausted and not quota_exhausted:
         job.pause_until = 0.0
@@ -540,7 +541,7 @@
         fencing_token=ledger.fencing_token,
         booked_cpus=ledger.usage[job.team][0],
         silent_cpus=silent[0],
-        limit_cpus=ledger.caps[job.team][0],
+        limit_cpus=ledger.team_limits[job.team][0],
         kept_cpus=job.quota_reserved_ahead[0],
         unknown_jobs=len(ledger.unknown_jobs),
         ready=ledger.ready,
--- a/src/salthead/coordination/preemption.py
+++ b/src/salthead/coordination/preemption.py
@@ -7,7 +7,7 @@
 
 from salthead.coordination import order, placement
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import UP, Binding, Job, Machine, Vec
+from salthead.coordination.model import UP, Binding, Job, Machine, Resources
 from salthead.coordination.start_rules import quota_left
 from salthead.protocol import names
 
@@ -50,7 +50,7 @@
         run = max(0.0, now - member.started) if member.started else 0.0
         if job.spec.checkpoint_interval_s > 0 and not (member.phase and run <= 0):
             run = min(run, job.spec.checkpoint_save_s)
-        lost += (run + restart_s) * max(member.need[0], 0.1)
+        lost += (run + restart_s) * max(member.request.cpus, 0.1)
     return lost
 
 
@@ -122,7 +122,7 @@
         m
         for m in placement.suitable_machines(ledger, job, now)
         if not placement.heartbeat_overdue(ledger, m, now)
-        and all(c + 1e-6 >= n for c, n in zip(m.cap, job.need, strict=True))
+        and all(c + 1e-6 >= n for c, n in zip(m.capacity, job.request, strict=True))
     ]
     zones: list[int | None] = [None]
     if job.gang and job.spec.single_zone:
@@ -173,7 +173,7 @@
         stoppable.sort(key=lambda pair: pair[0], reverse=True)
         room[machine.name] = left
         options[machine.name] = stoppable
-        picked = _victims(left, stoppable, job.need)
+        picked = _victims(left, stoppable, job.request)
         if picked is not None:
             heap.append((sum(cost for cost, _ in picked), at, picked))
     heapq.heapify(heap)
@@ -190,12 +190,12 @@
         left = room[machine.name]
         victims = [binding for _, binding in picked]
         for n in range(3):
-            left[n] += sum(victim.need[n] for victim in victims) - job.need[n]
+            left[n] += sum(victim.request[n] for victim in victims) - job.request[n]
         options[machine.name] = [o for o in options[machine.name] if o[1] not in victims]
         plan.setdefault(machine.name, (machine, []))[1].extend(victims)
         total += cost
         placed += 1
-        again = _victims(left, options[machine.name], job.need)
+        again = _victims(left, options[machine.name], job.request)
         if again is not None:
             heapq.heappush(heap, (sum(cost for cost, _ in again), at, again))
     if placed == 0 or (job.gang and placed < wanted):
@@ -205,29 +205,29 @@
 
 def _room_when_stopped(machine: Machine) -> list[float]:
     """What is free once all that was told to stop has gone."""
-    left = list(machine.free())
+    left = machine.free()
     for binding in machine.bindings.values():
         if binding.stop_grace_s is not None:
-            left = [free + need for free, need in zip(left, binding.need, strict=True)]
+            left = [free + request for free, request in zip(left, binding.request, strict=True)]
     return left
 
 
 def _victims(
     room: list[float],
     options: list[tuple[float, Binding]],
-    need: Vec,
+    request: Resources,
 ) -> list[tuple[float, Binding]] | None:
     """The cheapest tasks, taken from the end of the list, whose going makes room."""
     left = list(room)
     picked: list[tuple[float, Binding]] = []
     remaining = list(options)
-    while any(left[n] + 1e-6 < need[n] for n in range(3)):
+    while any(left[n] + 1e-6 < request[n] for n in range(3)):
         if not remaining:
             return None
         cost, binding = remaining.pop()
         picked.append((cost, binding))
         for n in range(3):
-            left[n] += binding.need[n]
+            left[n] += binding.request[n]
     return picked
 
 
--- a/src/salthead/coordination/scale_in.py
+++ b/src/salthead/coordination/scale_in.py
@@ -63,11 +63,11 @@
         and m.machine_type in ledger.machine_types
     ]
     costs = {
-        kind: price(ledger, kind) / max(ledger.capacity(kind[0])[0], 1e-9)
+        kind: price(ledger, kind) / max(ledger.capacity(kind.machine_type)[0], 1e-9)
         for kind in {m.kind for m in up}
     }
     up.sort(key=lambda m: (costs[m.kind], m.name))
-    slots = [Slot(m.kind, list(m.cap), m) for m in up]
+    slots = [Slot(m.kind, list(m.capacity), m) for m in up]
     cheapest = sorted(costs, key=lambda kind: (costs[kind], kind))
     # The largest first, and of these the ones that suit the fewest kinds of machines.
     running = []
@@ -75,12 +75,12 @@
         count = sum(1 for binding in job.bindings.values() if binding.stop_grace_s is None)
         if count and not job.complete:
             running.append((job, count))
-    running.sort(key=lambda row: (-row[0].need[0], row[0].spec.spot, row[0].need[2]))
-    pool = Pool(slots, min((job.need[0] for job, _ in running), default=0.0))
+    running.sort(key=lambda row: (-row[0].request.cpus, row[0].spec.spot, row[0].request.memory_gb))
+    pool = Pool(slots, min((job.request.cpus for job, _ in running), default=0.0))
     for job, count in running:
         for kind in cheapest:
             if suits(job, kind):
-                count = pool.fill(kind, job.need, count)
+                count = pool.fill(kind, job.request, count)
                 if not count:
                     break
     return slots
--- a/src/salthead/coordination/start_rules.py
+++ b/src/salthead/coordination/start_rules.py
@@ -45,14 +45,14 @@
     """How many more tasks of the job its team's limit allows; ``heed`` what is kept of it."""
     if ledger.unknown_jobs:
         return 0  # a stray task's team is not known yet
-    usage, most = ledger.usage[job.team], ledger.caps[job.team]
+    usage, most = ledger.usage[job.team], ledger.team_limits[job.team]
     left = float(job.spec.task_count)
     for n in range(2):
-        if job.need[n] > 0:
+        if job.request[n] > 0:
             # Any team may be using all of the machines that have not been heard from.
             silent = 0.0 if ledger.ready else ledger.failover.unreconciled_capacity()[n]
             free = most[n] - usage[n] - silent - (job.quota_reserved_ahead[n] if heed else 0.0)
-            if free + EPSILON < job.need[n]:
+            if free + EPSILON < job.request[n]:
                 return 0  # of an unlimited silent room a division would make no number
-            left = min(left, (free + EPSILON) // job.need[n])
+            left = min(left, (free + EPSILON) // job.request[n])
     return max(0, int(left))
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -11,7 +11,7 @@
 
 from salthead.coordination import fleet_plan
 from salthead.coordination.capacity_backoff import CapacityBackoff
-from salthead.coordination.model import BOOTING, Kind
+from salthead.coordination.model import BOOTING, MachineKind
 from salthead.coordination.scale_in import TerminationDecision
 from salthead.evidence.gate import Action, Precondition
 from salthead.protocol import names
@@ -61,7 +61,7 @@
         self.limits = term.limits
         self.provision_request_count = 0
         self.plan_requested = asyncio.Event()  # a job has come for which there is no machine
-        self.provisioning: dict[Kind, int] = {}
+        self.provisioning: dict[MachineKind, int] = {}
         self.capacity_backoff = CapacityBackoff()
         # A quarter is left for the other controllers' reads of machine types.
         self.cloud_budget = Budget(term.limits.cloud.rps * 0.7, term.limits.cloud.rps, term.now)
@@ -178,7 +178,7 @@
                 max(MIN_PLAN_INTERVAL_S, PAUSE_FACTOR * (self.now() - began))
             )
 
-    async def provision(self, kind: Kind, count: int) -> None:
+    async def provision(self, kind: MachineKind, count: int) -> None:
         """Rent machines of a kind; the same request is repeated until it is answered."""
         machine_type, zone, spot = kind
         self.provision_request_count += 1
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -86,7 +86,7 @@
                 "name": name,
                 "cpus": round(ledger.usage[n][0], 3),
                 "guaranteed": ledger.guarantees[n][0],
-                "most": ledger.caps[n][0],
+                "most": ledger.team_limits[n][0],
             }
             for n, name in enumerate(ledger.team_names.names)
         ]
@@ -120,8 +120,8 @@
             "zone": self.ledger.zones[machine.zone],
             "kind": "spot" if machine.spot else "ordinary",
             "phase": machine.phase,
-            "cpus": machine.cap[0],
-            "used": round(machine.used[0], 3),
+            "cpus": machine.capacity.cpus,
+            "used": round(machine.allocated.cpus, 3),
             "note": ", ".join(note for note in notes if note),
         }
 
@@ -131,16 +131,16 @@
         for machine in self.ledger.machines.values():
             if machine.phase != UP:
                 self.spent[machine.phase] = (
-                    self.spent.get(machine.phase, 0.0) + machine.cap[0] * passed
+                    self.spent.get(machine.phase, 0.0) + machine.capacity.cpus * passed
                 )
                 continue
-            free = max(0.0, machine.cap[0] - machine.used[0])
+            free = max(0.0, machine.capacity.cpus - machine.allocated.cpus)
             why = placement.unavailable_reason(self.ledger, machine, now)
             use = f"free, {why}" if why else "free"
             self.spent[use] = self.spent.get(use, 0.0) + free * passed
             for binding in machine.bindings.values():
                 what = binding.phase or "starting"
-                self.spent[what] = self.spent.get(what, 0.0) + binding.need[0] * passed
+                self.spent[what] = self.spent.get(what, 0.0) + binding.request.cpus * passed
         for what, amount in self.spent.items():
             metrics.SPENT.labels(what).set(amount)
 
@@ -162,8 +162,8 @@
                 "fleet %s; %.0f of %.0f CPUs booked, %d idle; %d jobs, %d tasks waiting, %d bound; "
                 "CPU-seconds spent: %s",
                 phases,
-                sum(m.used[0] for m in machines),
-                sum(m.cap[0] for m in machines),
+                sum(m.allocated.cpus for m in machines),
+                sum(m.capacity.cpus for m in machines),
                 sum(1 for m in machines if not m.busy()),
                 len(self.ledger.jobs),
                 sum(job.waiting() for job in self.ledger.ready_jobs.values()),
@@ -184,7 +184,7 @@
             for count, cpus in (
                 ("booked", self.ledger.usage[team][0]),
                 ("silent", silent),
-                ("limit", self.ledger.caps[team][0]),
+                ("limit", self.ledger.team_limits[team][0]),
             ):
                 metrics.TEAM_CPUS.labels(name, count).set(cpus)
         for why, machines in self.ledger.failover.by_reason().items():
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -51,14 +51,14 @@
 
 def _suits(ledger: Ledger, job: Job, machine: Machine) -> bool:
     """Whether a task of the job may start on the machine now."""
-    fits = machine.fits(job.need) and placement.allows(job, machine)
+    fits = machine.fits(job.request) and placement.allows(job, machine)
     return fits and quota_left(ledger, job) > 0
 
 
 def _lacks(ledger: Ledger, job: Job, machine: Machine, now: float) -> bool:
     """Whether the gang waits for machines like this one, and may use it beside those it has."""
     task_count = job.spec.task_count
-    if not job.gang or job.waiting() < task_count or not machine.fits(job.need):
+    if not job.gang or job.waiting() < task_count or not machine.fits(job.request):
         return False
     if not placement.allows(job, machine) or quota_left(ledger, job) < task_count:
         return False
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -15,6 +15,7 @@
     Invariants,
 )
 from salthead.coordination.ledger import Ledger
+from salthead.coordination.model import ResourceUsage
 
 
 def bind(led: Ledger, index: int = 0, granted: bool = True) -> None:
@@ -67,7 +68,7 @@
 
 def wrong_sum_of_a_machine(led: Ledger) -> None:
     bind(led)
-    led.machines["m1"].used[2] = 0.0
+    led.machines["m1"].allocated.memory_gb = 0.0
     led.tick(AUDIT_INTERVAL_S + 1.0)
 
 
@@ -141,7 +142,7 @@
     assert one.complete
     assert verbs(led.handle_heartbeat(heartbeat("m2", 2), 1.5)) == []
     led.handle_heartbeat(heartbeat("m2", 3), 3.0)
-    assert 1 not in one.bindings and led.machines["m2"].used == [0.0, 0.0, 0.0]
+    assert 1 not in one.bindings and led.machines["m2"].allocated == ResourceUsage()
 
 
 def test_a_task_that_is_bound_already_stays_as_it_is(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,4 +151,4 @@
     bound_twice(led)
     one = led.jobs["req-1"]
     assert one.bindings[0].machine.name == "m2" and not led.machines["m1"].bindings
-    assert led.usage[one.team][0] == 4.0 and led.machines["m1"].used == [0.0, 0.0, 0.0]
+    assert led.usage[one.team][0] == 4.0 and led.machines["m1"].allocated == ResourceUsage()
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -125,7 +125,7 @@
             asked.append(count)
 
         leader.term.autoscaler.provision = provision  # type: ignore[method-assign]
-        led.caps = [(1e9, 1e9) for _ in led.caps]
+        led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
         job(led, now=world.now(), task_count=5000, vcpus=2.0, estimated_run_s=500.0)
         leader.term.autoscaler.plan_requested.set()
         await asyncio.sleep(0.3)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -7,7 +7,7 @@
 from helpers import heartbeat, job, ledger, machine, ready, spec, verbs
 from salthead.coordination import fleet_plan, machine_health, orphans, placement
 from salthead.coordination.lease import certainly_expired_at
-from salthead.coordination.model import LOST, UP
+from salthead.coordination.model import LOST, UP, ResourceUsage
 from salthead.protocol.messages import Submission
 
 
@@ -55,7 +55,7 @@
     orders = led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", attempt, "exited", cause)), 1.0)
     assert one.waiting() == (1 if again else 0)
     assert bool(orders) == again, "all but done are reaped at once"
-    assert led.usage[one.team] == [0.0, 0.0] and led.machines["m1"].used == [0.0, 0.0, 0.0]
+    assert led.usage[one.team] == [0.0, 0.0] and led.machines["m1"].allocated == ResourceUsage()
 
 
 def test_a_silent_machine_holds_task_quota_and_room_until_its_lease_is_over() -> None:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -6,6 +6,7 @@
 from salthead.coordination import order, placement
 from salthead.coordination.estimates import Arrivals, Estimates
 from salthead.coordination.ledger import Ledger
+from salthead.coordination.model import Resources
 
 AIMS = [
     {"kind": "deadline", "class": "b", "share": 0.9, "times": 1.0},
@@ -30,7 +31,7 @@
 )
 def test_order(jobs: list[tuple[str, int, float]], rate: float, expected: list[str]) -> None:
     led = ready(objectives=AIMS)
-    led.add_machine("m", "small", "north", False, 0.0).cap = (rate, 0.0, 999.0)
+    led.add_machine("m", "small", "north", False, 0.0).capacity = Resources(rate, 0.0, 999.0)
     for job_id, task_count, deadline_s in jobs:
         job(
             led,
@@ -72,7 +73,7 @@
     # Seen on steady, prairie-ledger-grown: the fleet had room, the team's limit had not, and
     # large gangs took all of it for longer than the small ones could wait.
     led = ready(objectives=AIMS)
-    led.add_machine("m", "small", "north", False, 0.0).cap = (1000.0, 0.0, 9999.0)
+    led.add_machine("m", "small", "north", False, 0.0).capacity = Resources(1000.0, 0.0, 9999.0)
     job(
         led,
         job_id="req-1",
@@ -100,7 +101,7 @@
 def test_whoever_waited_for_long_without_beginning_comes_first() -> None:
     # The largest go behind, but the users' bound holds for them as well.
     led = ready(objectives=AIMS)
-    led.add_machine("m", "small", "north", False, 0.0).cap = (8.0, 0.0, 999.0)
+    led.add_machine("m", "small", "north", False, 0.0).capacity = Resources(8.0, 0.0, 999.0)
     job(led, job_id="req-1", task_count=200, deadline_s=30.0, at=0.0, estimated_run_s=20.0)
     begun = job(led, job_id="req-2", task_count=200, deadline_s=30.0, at=0.0, estimated_run_s=20.0)
     begun.first_start = 1.0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 from salthead.coordination import fleet_plan, gangs, machine_health, order, placement, preemption
 from salthead.coordination.estimates import left_s
 from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import Job
+from salthead.coordination.model import Job, Resources, ResourceUsage
 
 
 def place(led: Ledger, now: float = 0.0, seed: int = 1):
@@ -68,7 +68,7 @@
 def test_of_two_drawn_the_lower_fullest_dimension_wins() -> None:
     led = ready()
     for name, used in (("m1", [4.0, 0.0, 1.0]), ("m2", [2.0, 0.0, 24.0])):
-        machine(led, name).used = used
+        machine(led, name).allocated = ResourceUsage(*used)
     one = job(led, task_count=1)
     place(led)
     assert one.bindings[0].machine.name == "m1", "half of the CPUs is less than most of the memory"
@@ -149,7 +149,7 @@
     place(led)
     assert len(one.bindings) == placed
     if not placed:
-        assert all(m.used == [0.0, 0.0, 0.0] for m in led.machines.values()), "released"
+        assert all(m.allocated == ResourceUsage() for m in led.machines.values()), "released"
 
 
 def test_zones_of_arrays_follow_the_tasks_that_are_still_there() -> None:
@@ -193,7 +193,7 @@
 def test_who_may_be_stopped(mine: dict, theirs: dict, stopped: bool) -> None:
     led = ready()
     other = job(led, job_id="req-9", at=1.0, **({"task_count": 4} | theirs))
-    cpus = other.need[0] * other.spec.task_count
+    cpus = other.request[0] * other.spec.task_count
     for n in range(int(cpus // 8)):
         machine(led, f"m{n}")
     place(led)
@@ -331,7 +331,7 @@
         placement.reschedule_unsent(led, random.Random(1), 4.0)
         assert one.bindings[2].machine is spare and one.bindings[2].attempt == attempt
         assert one.bindings[1].machine is used[1], "its start was told: it may be there"
-        assert not one.failed and not used[2].bindings and used[2].used[0] == 0.0
+        assert not one.failed and not used[2].bindings and used[2].allocated.cpus == 0.0
         assert led.usage[one.team][0] == 24.0 and sum(led.bound_by_priority) == 3
         assert verbs(led.handle_heartbeat(heartbeat(spare.name, 4), 5.0)) == [("start", "req-1/2")]
 
@@ -659,10 +659,10 @@
         led, gang, small = self.world(190.0)
         place(led, 190.0)
         assert not small.bindings
-        led.caps[gang.team] = (40.0, 0.0)
+        led.team_limits[gang.team] = (40.0, 0.0)
         for found in led.machines.values():
             found.last_heartbeat_at = 200.0
-        led.machines["m3"].cap = (40.0, 0.0, 99.0)
+        led.machines["m3"].capacity = Resources(40.0, 0.0, 99.0)
         led.capacity_index.reindex(led.machines["m3"])
         place(led, 200.0)
         assert gang.bindings and led.rest_until[gang.team] == 210.0
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -396,7 +396,7 @@
     first: dict[str, Any], claimed: bool
 ) -> None:
     led, _ = two_zones(each=3)
-    led.caps[0] = (4.0, 0.0)
+    led.team_limits[0] = (4.0, 0.0)
     gang = job(led, job_id="req-2", shape="gang", task_count=2, vcpus=7.0)
     led.pending.jobs = [job(led, job_id="req-1", **first), gang]
     evacuation.claim(led, {gang.job_id: 0.0}, led.machines["n0"], 0.0)
@@ -465,7 +465,7 @@
     led, recovery = two_zones()
     for found in led.machines.values():
         found.quarantine_reason = "x"
-    led.caps = [(1e9, 1e9) for _ in led.caps]
+    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
     job(led, task_count=400, vcpus=2.0, estimated_run_s=500.0)
 
     def to_provision(now: float) -> dict[int, int]:
