--- a/src/salthead/autoscaling/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -28,7 +28,7 @@
 from salthead.cluster.model import BOOTING, Job, Machine, MachineKind, machine_kind
 from salthead.scheduling import placement, queue_order
 
-log = logging.getLogger("salthead.fleet")
+log = logging.getLogger(__name__)
 
 MAX_PROVISION_BATCH = 50  # in one call
 # In one plan, of a kind: the least, and a part of the fleet, so that a fleet of any size can grow.
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -9,7 +9,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import BOOTING, LOST, UP, Machine
 
-log = logging.getLogger("salthead.returns")
+log = logging.getLogger(__name__)
 
 # A deleted machine costs at least this long (protocol), so nothing shorter is worth a hire.
 MIN_CHARGE_S = 60.0
--- a/src/salthead/cluster/dependencies.py
+++ b/src/salthead/cluster/dependencies.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from salthead.cluster.ledger import Ledger
 
-log = logging.getLogger("salthead.waiting")
+log = logging.getLogger(__name__)
 
 
 def add_job(ledger: Ledger, job: Job) -> None:
--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from salthead.cluster.ledger import Ledger
 
-log = logging.getLogger("salthead.takeover")
+log = logging.getLogger(__name__)
 
 LOG_INTERVAL_S = 2.0
 
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from salthead.cluster.ledger import Ledger
 
-log = logging.getLogger("salthead.invariants")
+log = logging.getLogger(__name__)
 
 AUDIT_INTERVAL_S = 30.0  # between sums over the bookings of teams
 SWEEPS_PER_AUDIT = 60  # looks, two a second, in which each machine is looked at once
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -55,7 +55,7 @@
 if TYPE_CHECKING:
     from salthead.failure_detection.shared_silence import SharedSilence
 
-log = logging.getLogger("salthead.ledger")
+log = logging.getLogger(__name__)
 
 LEADER_LEASE, TOKEN_CURRENT = int(Precondition.LEADER_LEASE), int(Precondition.TOKEN_CURRENT)
 JOBS_KNOWN, FLEET_RECONCILED = int(Precondition.JOBS_KNOWN), int(Precondition.FLEET_RECONCILED)
--- a/src/salthead/cluster/machine_health.py
+++ b/src/salthead/cluster/machine_health.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from salthead.cluster.ledger import Ledger
 
-log = logging.getLogger("salthead.reports")
+log = logging.getLogger(__name__)
 
 # Errors of different jobs in a row, with nothing completed between, that condemn a machine.
 QUARANTINE_ERRORS = 2
--- a/src/salthead/cluster/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from salthead.cluster.ledger import Ledger
 
-log = logging.getLogger("salthead.strays")
+log = logging.getLogger(__name__)
 
 OrphanKey = tuple[str, int, int]  # job, task number and attempt
 
--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -40,7 +40,7 @@
 )
 from salthead.transport.client import Caller, UnansweredError
 
-log = logging.getLogger("salthead.controller")
+log = logging.getLogger(__name__)
 
 LAG_CHECK_INTERVAL_S, MAX_LAG_S = 0.25, 0.5
 MAX_REMEMBERED_OUTCOMES = 20_000
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -24,7 +24,7 @@
 from salthead.transport.client import UnansweredError
 from salthead.transport.http import PrefixRoutes, Reply, Request, Route, Router
 
-log = logging.getLogger("salthead.handlers")
+log = logging.getLogger(__name__)
 
 # Errors that mean 503: the answer is not known now, and may be in a moment.
 UNDECIDED_ERRORS = (
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from salthead.controller.controller import Controller
 
-log = logging.getLogger("salthead.submissions")
+log = logging.getLogger(__name__)
 
 # A submission has 5 s; what was looked up by then is known when it comes again.
 MAX_LOOKUP_S = 3.0
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -22,7 +22,7 @@
     from salthead.cluster.ledger import Ledger
     from salthead.networks.silence import NetworkSilence
 
-log = logging.getLogger("salthead.evidence")
+log = logging.getLogger(__name__)
 
 # Two generations of two report periods each: silence is seen after two to four of them.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from salthead.cluster.ledger import Ledger
 
-log = logging.getLogger("salthead.reports")
+log = logging.getLogger(__name__)
 
 JOBS_KNOWN, MACHINE_NOT_TERMINATED = (
     int(Precondition.JOBS_KNOWN),
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from salthead.cluster.ledger import Ledger
 
-log = logging.getLogger("salthead.reports")
+log = logging.getLogger(__name__)
 
 # Keeps an answer to a worker well under 64 KiB; the rest follows in the next answer.
 MAX_COMMANDS = 400
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from salthead.leader.term import Term
 
-log = logging.getLogger("salthead.rental")
+log = logging.getLogger(__name__)
 
 # A loop whose rounds take long pauses for this many times as long, so that reports have the
 # processor for most of the time whatever the size of the fleet and the queue.
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from salthead.leader.term import Term
 
-log = logging.getLogger("salthead.job_records")
+log = logging.getLogger(__name__)
 
 # Between looks at what became of awaited jobs.
 DEPENDENCY_CHECK_INTERVAL_S = 0.2
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from salthead.leader.term import Term
 
-log = logging.getLogger("salthead.lead")
+log = logging.getLogger(__name__)
 
 LEASE_CHECK_INTERVAL_S = 0.25  # between looks at whether the lease is certain
 
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from salthead.leader.term import Term
 
-log = logging.getLogger("salthead.outcomes")
+log = logging.getLogger(__name__)
 
 RETRY_S = 0.5
 
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -38,7 +38,7 @@
     from salthead.leader.link_loop import LinkLoop
     from salthead.leader.zone_loop import ZoneLoop
 
-log = logging.getLogger("salthead.term")
+log = logging.getLogger(__name__)
 
 # Between passes over the queue, when something has changed and when nothing has. Room that frees is
 # filled with the report that shows it, so that a pass is for jobs that come and pauses that end.
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -14,7 +14,7 @@
     from salthead.networks.silence import NetworkView
     from salthead.zones.recovery import ZoneView
 
-log = logging.getLogger("salthead.views")
+log = logging.getLogger(__name__)
 
 ACCOUNTING_INTERVAL_S, FLEET_LOG_INTERVAL_S = 2.0, 10.0
 OVERVIEW_ROWS = 150
--- a/src/salthead/scheduling/gangs.py
+++ b/src/salthead/scheduling/gangs.py
@@ -15,7 +15,7 @@
 from salthead.cluster.start_rules import quota_left
 from salthead.scheduling import placement, queue_order
 
-log = logging.getLogger("salthead.gangs")
+log = logging.getLogger(__name__)
 
 
 def room_at(ledger: Ledger, machine: Machine, job: Job, now: float) -> float | None:
--- a/src/salthead/scheduling/placement.py
+++ b/src/salthead/scheduling/placement.py
@@ -14,7 +14,7 @@
 from salthead.protocol import wire_names
 from salthead.scheduling import queue_order
 
-log = logging.getLogger("salthead.placement")
+log = logging.getLogger(__name__)
 
 FRESH_HEARTBEAT_INTERVALS = 3.0
 FIRST_PAUSE_S = 2.0
--- a/src/salthead/scheduling/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -11,7 +11,7 @@
 from salthead.protocol import wire_names
 from salthead.scheduling import placement, queue_order
 
-log = logging.getLogger("salthead.preemption")
+log = logging.getLogger(__name__)
 
 
 # Boots that a job within its guarantee waits for hired machines before others' work is stopped.
--- a/src/salthead/transport/http.py
+++ b/src/salthead/transport/http.py
@@ -29,7 +29,7 @@
 from salthead.protocol.messages import encode_plain
 from salthead.transport.connections import Connections
 
-log = logging.getLogger("salthead.http")
+log = logging.getLogger(__name__)
 
 CBOR = "application/cbor"
 RETRY_AFTER_S = "1"
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from salthead.networks.silence import NetworkSilence, NetworkView
 
-log = logging.getLogger("salthead.zones")
+log = logging.getLogger(__name__)
 
 # Two generations of two report periods each: silence is seen after two to four of them.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
