--- a/src/salthead/autoscaling/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -1,4 +1,4 @@
-"""How many machines of which kind: what to hire, and what to return."""
+"""How many machines of which kind: what to provision, and what to return."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @dataclass
 class Plan:
-    """What to hire, by kind, and which machines to return."""
+    """What to provision, by kind, and which machines to return."""
 
     to_provision: dict[MachineKind, int] = field(default_factory=dict)
     to_terminate: list[Machine] = field(default_factory=list)
@@ -79,12 +79,12 @@
 
 
 def max_provision_per_plan(ledger: Ledger) -> int:
-    """How many machines of a kind one plan may hire."""
+    """How many machines of a kind one plan may provision."""
     return max(MIN_PROVISION_PER_PLAN, int(PROVISION_SHARE_PER_PLAN * len(ledger.machines)))
 
 
 def max_provision(ledger: Ledger, zone: int) -> int:
-    """How many machines of a kind may be hired in a zone by one plan."""
+    """How many machines of a kind may be provisioned in a zone by one plan."""
     if ledger.shared_silence is not None and zone in ledger.shared_silence.unheard_zones:
         return 0  # a machine that boots behind a cut serves nobody
     hooks = ledger.zone_hooks
@@ -98,14 +98,14 @@
 
     Nor is one worth its least charge for less work than that, unless the line stays longer than a
     boot. Seen on loss, moana-buoys-fleet: 12,000 tasks waited for up to a minute, with deadlines of
-    fifty seconds, beside 1,700 CPUs that were not hired.
+    fifty seconds, beside 1,700 CPUs that were not provisioned.
     """
     boot_s = min_boot_s(ledger)
     work = sum(job.waiting() * job.request.cpus * ledger.run_s(job) for job in line if not job.gang)
     rate = queue_order.fleet_cpus(ledger)
     booting = sum([m.capacity.cpus for m in ledger.machines.values() if m.phase == BOOTING])
-    # One array that comes, or a fleet that begins to boot, has a long line, too: what is hired for
-    # that comes too late, and what is then too much was given back too deep.
+    # One array that comes, or a fleet that begins to boot, has a long line, too: what is
+    # provisioned for that comes too late, and what is then too much was given back too deep.
     if work <= boot_s * rate or booting > MAX_BOOTING_SHARE * rate:
         ledger.pending.long_since = None
         return max(MIN_CHARGE_S, boot_s)
@@ -237,7 +237,7 @@
     for n in range(2):
         left[n] -= count * job.request[n]
     provisionable = kinds_for(ledger, job, capacity_backoff, now)
-    # What would be hired first is filled first, so that it is what is dear that falls empty.
+    # What would be provisioned first is filled first, so that it is what is dear that falls empty.
     there = provisionable + sorted(
         (kind for kind in pool.slots if kind not in provisionable and suits(job, kind)),
         key=lambda kind: (
@@ -272,7 +272,8 @@
     pool: Pool,
     new: list[Slot],
 ) -> int:
-    """Put a job's tasks on what there is, and plan hires for the rest; how many found no place."""
+    """Put a job's tasks on what there is, and plan provisions for the rest; how many found no
+    place."""
     for kind in there:
         if count:
             count = pool.fill(kind, job.request, count)
@@ -280,7 +281,7 @@
         most = max_provision(ledger, kind.zone)
         count = _plan_provisioning(ledger, job, count, kind, most, pool, new)
         if not count or most == max_provision_per_plan(ledger):
-            break  # the next kind is for what a zone that returns may not hire yet
+            break  # the next kind is for what a zone that returns may not provision yet
     return count
 
 
@@ -289,8 +290,8 @@
 ) -> int:
     """Add machines of a kind for a job's tasks; how many tasks are left.
 
-    No more than ``most`` are hired at a time: a line of thousands of tasks must not make thousands
-    of slots in each plan, when the leader has the least time for it.
+    No more than ``most`` are provisioned at a time: a line of thousands of tasks must not make
+    thousands of slots in each plan, when the leader has the least time for it.
     """
     capacity = ledger.capacity(kind.machine_type)
     planned = sum([slot.kind == kind for slot in new])
--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -11,7 +11,7 @@
 
 
 class Slot:
-    """A machine in the plan: one that is there, is booting, or would be hired."""
+    """A machine in the plan: one that is there, is booting, or would be provisioned."""
 
     __slots__ = ("kind", "room", "machine", "taken")
 
@@ -120,7 +120,7 @@
 
 
 def supply(ledger: Ledger, now: float, provisioning: dict[MachineKind, int]) -> Supply:
-    """What there is, will soon be free, boots, or is being hired."""
+    """What there is, will soon be free, boots, or is being provisioned."""
     found = Supply()
     soon_s = 0.7 * min_boot_s(ledger)
     runs = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
@@ -142,7 +142,7 @@
     if machine.quarantine_reason or machine.terminating or machine.reclaim_at is not None:
         return False
     if machine.unresponsive_since is not None:
-        return False  # so that another is hired in its place
+        return False  # so that another is provisioned in its place
     # Behind a cut, its lease kept by another controller, it is no place to start anything.
     return (
         not machine.reconciled or now - machine.last_heartbeat_at <= ledger.limits.workers.lease_s
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -11,11 +11,11 @@
 
 log = logging.getLogger(__name__)
 
-# A deleted machine costs at least this long (protocol), so nothing shorter is worth a hire.
+# A deleted machine costs at least this long (protocol), so nothing shorter is worth a provision.
 MIN_CHARGE_S = 60.0
 # A boot this many times longer than the cloud names is taken for one that never ends.
 BOOT_PATIENCE = 2.5
-# Up to this part of the roster, silence after a takeover is the machines' own fault.
+# Up to this part of the machine registry, silence after a failover is the machines' own fault.
 MAX_SILENT_SHARE = 0.15
 # Reasons for a return that news of the machine takes away.
 LOST_REASON, SILENT_REASON = "lost", "silent after a takeover"
@@ -29,7 +29,7 @@
     """Cordon machines without which all that runs and waits would have fitted for a while.
 
     The pair draw spreads tasks over all machines, so that none is ever idle for long and a
-    fleet that was hired for a peak would stay. Tasks are packed, in thought, on the cheapest
+    fleet that was provisioned for a peak would stay. Tasks are packed, in thought, on the cheapest
     machines; a machine that stays untouched takes no more tasks and is returned once empty.
     """
     slots = _pack(ledger)
@@ -115,7 +115,7 @@
 
 
 class FleetCounts:
-    """What a plan counts once over the fleet: for each machine anew, a takeover in which half of
+    """What a plan counts once over the fleet: for each machine anew, a failover in which half of
     a thousand are silent took a million steps a plan."""
 
     def __init__(self, ledger: Ledger, now: float) -> None:
@@ -124,7 +124,7 @@
         # are up behind the cut, with no tasks left; waiting for them for as long as a boot takes
         # is cheaper than to return them and boot as many.
         self.mass_loss = sum(1 for m in ledger.machines.values() if m.phase == LOST) > most
-        # Silent machines to return rather than wait for their leases to end. After a takeover one
+        # Silent machines to return rather than wait for their leases to end. After a failover one
         # dead or hanging machine holds up every start for a whole lease. The cloud's word that it
         # is gone settles that at the price of one boot. Many silent machines are a cut, not
         # broken machines, and are waited for.
--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -1,8 +1,8 @@
-"""What a new leader can't know until each machine of the roster is accounted for.
+"""What a new leader can't know until each machine of the machine registry is accounted for.
 
-A machine that an earlier leader had in the roster may run anything until it has reported under
-this term's token, or its worker's lease must be over. Until then it counts against every team, and
-no job that it could be running is started anywhere else.
+A machine that an earlier leader had in the machine registry may run anything until it has reported
+under this term's token, or its worker's lease must be over. Until then it counts against every
+team, and no job that it could be running is started anywhere else.
 
 What is not known counts as the unfavourable case: a machine of a type that is not known, not yet or
 not any more, has room for anything.
@@ -108,8 +108,8 @@
     def could_run(self, job: Job) -> bool:
         """Whether one of them may be running a task of the job that an earlier leader started.
 
-        An earlier leader started tasks only on machines of the roster that their job allows and
-        that they fit on.
+        An earlier leader started tasks only on machines of the machine registry that their job
+        allows and that they fit on.
         """
         self.unreconciled_capacity()
         return any(
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -1,8 +1,8 @@
 """The leader's ledger: machines, jobs, and which task is bound to which machine.
 
-Pure: the caller passes the time and a report, and gets orders back. A task is *bound* from the
-decision to place it until it is certain that it is not on its machine: a report without it that
-is newer than the answer that ordered it, a newer session, the end of the worker's lease, or the
+Pure: the caller passes the time and a heartbeat, and gets orders back. A task is *bound* from the
+decision to place it until it is certain that it is not on its machine: a heartbeat without it that
+is newer than the answer that ordered it, a newer incarnation, the end of the worker's lease, or the
 cloud's word that the machine is gone. While it is bound it holds its booking on the machine, its
 team's quota and its zone.
 """
@@ -63,8 +63,8 @@
 
 # An attempt is the term's token and a counter, so no two starts of any terms share one.
 ATTEMPT_BITS = 24
-# Ended jobs whose team is remembered, for stray tasks of theirs, and returned machines, for late
-# copies of their reports and for a machine list that lags. These are the least: a fleet of which
+# Ended jobs whose team is remembered, for orphan tasks of theirs, and returned machines, for late
+# copies of their heartbeats and for a machine list that lags. These are the least: a fleet of which
 # everything can go at once needs room for all of it, or its machines are taken for new ones.
 MIN_REMEMBERED_JOBS, MIN_REMEMBERED_MACHINES = 5000, 2000
 REMEMBERED_FLEETS = 2  # how many times the largest fleet of this term is remembered
@@ -87,7 +87,7 @@
     changed: Callable[[], None] = lambda: None
     completed: Callable[[Job], None] = lambda job: None  # all tasks of the job are done
     aborts_pending: Callable[[], None] = lambda: None
-    # Placement, called between what a report says and the starts that its answer carries.
+    # Placement, called between what a heartbeat says and the starts that its answer carries.
     room_freed: Callable[[Machine, float], None] = lambda machine, now: None
 
 
@@ -149,7 +149,7 @@
         # tasks on machines whose job we do not know: their team is unknown until it is read
         self.unknown_jobs: set[str] = set()
         self.team_of: dict[str, tuple[int, Resources]] = {}
-        self.orphan_jobs: dict[str, int] = {}  # stray tasks by job: such a job starts nothing
+        self.orphan_jobs: dict[str, int] = {}  # orphan tasks by job: such a job starts nothing
         self.newer_fencing_token = 0
         self.failover = Failover(self)
         self.invariants = Invariants(self)
@@ -266,7 +266,7 @@
             self.events.completed(job)
 
     def mark_done(self, job: Job, index: int) -> None:
-        """A report says that a task is done."""
+        """A heartbeat says that a task is done."""
         # A gang's tasks complete together: one that is done speaks for all.
         which = range(job.spec.task_count) if job.gang else (index,)
         for one in which:
@@ -459,11 +459,12 @@
         now: float,
         registered: bool = False,
     ) -> Machine:
-        """A machine heard of: hired, listed, reporting, or in the roster of an earlier term.
+        """A machine heard of: provisioned, listed, reporting, or in the machine registry of an
+        earlier term.
 
-        A machine enters the roster when it first reports. One that a new leader finds there is
-        therefore not booting: it is up until its lease must be over, however long ago it was
-        hired. Taking it for a machine that never came up would return running machines.
+        A machine enters the machine registry with its first heartbeat. One that a new leader finds
+        there is therefore not booting: it is up until its lease must be over, however long ago it
+        was provisioned. Taking it for a machine that never came up would return running machines.
         """
         machine = self.machines.get(name)
         if machine is None:
@@ -517,7 +518,7 @@
         self.events.changed()
 
     def tick(self, now: float) -> None:
-        """What time alone decides: leases that are surely over, and the end of a takeover."""
+        """What time alone decides: leases that are surely over, and the end of a failover."""
         dependencies.revise_runs(self)
         self.invariants.audit(now)
         # Of a leader without its lease workers may be another one's by now: what it last heard
@@ -540,8 +541,8 @@
             self.events.changed()
 
     def _mark_lost(self, machine: Machine, now: float) -> None:
-        # Whatever it still reports of this session is late news: a worker that
-        # goes on does so with the next session and no tasks.
+        # Whatever it still reports of this incarnation is late news: a worker that
+        # goes on does so with the next incarnation and no tasks.
         log.info(
             "machine %s lost: unheard for %.1f s", machine.name, now - machine.last_heartbeat_at
         )
@@ -580,8 +581,9 @@
     def may_schedule(self, job: Job) -> bool:
         """Whether all tasks of the job are accounted for: the fact ``TASK_NOWHERE``.
 
-        Until every machine of the roster is, a task that no report shows may be on one that is
-        silent. A job accepted after this term began can't be: no earlier leader could start it.
+        Until every machine of the machine registry is, a task that no heartbeat shows may be on one
+        that is silent. A job accepted after this term began can't be: no earlier leader could start
+        it.
         """
         if self.ready:
             return True
@@ -596,7 +598,7 @@
         now: float,
         direct: bool = False,
     ) -> list[dict[str, Any]] | None:
-        """Orders for the worker, or None when the report must not be answered with 200."""
+        """Orders for the worker, or None when the heartbeat must not be answered with 200."""
         return handling.handle(self, heartbeat, now, direct)
 
     # -- views --------------------------------------------------------------------------
--- a/src/salthead/cluster/machine_health.py
+++ b/src/salthead/cluster/machine_health.py
@@ -20,7 +20,7 @@
 
 
 def mark_unresponsive(ledger: Ledger, machine: Machine, now: float, why: str) -> None:
-    """Its reports arrive, but answers do not reach it: it gets no work until one does."""
+    """Its heartbeats arrive, but answers do not reach it: it gets no work until one does."""
     if machine.unresponsive_since is None:
         log.info("machine %s is unresponsive: %s", machine.name, why)
         machine.unresponsive_since = now
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -56,8 +56,8 @@
     """Why a task is certainly not on its machine any more."""
 
     EXITED = "exited"
-    NOT_SHOWN = "not_shown"  # it was shown, and a newer report does not show it
-    NEVER_STARTED = "never_started"  # a report newer than all answers that ordered it lacks it
+    NOT_SHOWN = "not_shown"  # it was shown, and a newer heartbeat does not show it
+    NEVER_STARTED = "never_started"  # a heartbeat newer than all answers that ordered it lacks it
     NEVER_TOLD = "never_told"  # no answer carried its start
     LEASE_OVER = "lease_over"
     NEW_INCARNATION = "new_session"
@@ -74,7 +74,7 @@
     machine: Machine
     request: Resources
     team: int
-    phase: str = ""  # empty until a report shows it
+    phase: str = ""  # empty until a heartbeat shows it
     since: float = 0.0
     started: float = 0.0
     start_sends: int = 0  # answers that carried its start
@@ -133,11 +133,12 @@
     cordoned: bool = False  # takes no more tasks, so that it empties and can be returned
     seen_in_earlier_term: bool = False  # reported, though not under this term's token
     first_acknowledged_at: float = math.inf  # when it was first answered
-    unresponsive_since: float | None = None  # reports arrive, but nothing reaches it
+    unresponsive_since: float | None = None  # heartbeats arrive, but nothing reaches it
     unresponsive_times: int = 0
     trusted_again_at: float = 0.0  # after it was unresponsive: when it may be given work again
-    has_freed_capacity: bool = False  # has room that it had not at its last report
-    # What its last report showed, and whether that left nothing to do: the same again is no news.
+    has_freed_capacity: bool = False  # has room that it had not at its last heartbeat
+    # What its last heartbeat showed, and whether that left nothing to do: the same again is no
+    # news.
     last_tasks: list[TaskStatus] = field(default_factory=list)
     unchanged: bool = False
     index: int = -1  # a dense number, for sets of machines
--- a/src/salthead/cluster/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -1,6 +1,6 @@
-"""Stray tasks: those on a machine that no binding explains, so that their stop is wanted.
+"""Orphan tasks: those on a machine that no binding explains, so that their stop is wanted.
 
-Until a report shows that one is gone it holds its booking on the machine, its team's quota, and
+Until a heartbeat shows that one is gone it holds its booking on the machine, its team's quota, and
 its job, of which nothing is started. Of a job that is unknown here the team is unknown as well, and
 nothing at all is started until its record has been read.
 """
@@ -24,7 +24,7 @@
 
 
 def add(ledger: Ledger, machine: Machine, key: OrphanKey) -> None:
-    """Note a stray task that a report shows, and book what it takes."""
+    """Note a orphan task that a heartbeat shows, and book what it takes."""
     if key in machine.orphans:
         return
     job_id, index, attempt = key
@@ -54,7 +54,7 @@
 
 
 def drop(ledger: Ledger, machine: Machine, key: OrphanKey) -> None:
-    """The stray task is certainly gone: release what it took."""
+    """The orphan task is certainly gone: release what it took."""
     orphan = machine.orphans.pop(key)
     event(log, "orphan_gone", task=f"{key[0]}/{key[1]}", attempt=key[2], machine=machine.name)
     ledger.book(machine, orphan.request, orphan.team, -1.0)
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -1,7 +1,7 @@
 """Which tasks may start now, and how much of a team's limit is left: every path asks here.
 
-Passes of placement, room offered by a report, draws made again, room made by stopping others, and
-the answers that carry starts each had a part of these conditions of their own.
+Passes of placement, room offered by a heartbeat, draws made again, room made by stopping others,
+and the answers that carry starts each had a part of these conditions of their own.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 def startable(ledger: Ledger, job: Job) -> bool:
     """Whether tasks of the job that have no machine may be given one now.
 
-    A stray task of the job may be any of them; what an earlier leader started may be on a machine
+    An orphan task of the job may be any of them; what an earlier leader started may be on a machine
     that is not accounted for.
     """
     return (
@@ -44,7 +44,7 @@
 def quota_left(ledger: Ledger, job: Job, heed: bool = True) -> int:
     """How many more tasks of the job its team's limit allows; ``heed`` what is kept of it."""
     if ledger.unknown_jobs:
-        return 0  # a stray task's team is not known yet
+        return 0  # a orphan task's team is not known yet
     usage, most = ledger.usage[job.team], ledger.team_limits[job.team]
     left = float(job.spec.task_count)
     for n in range(2):
--- a/src/salthead/cluster/zone_hooks.py
+++ b/src/salthead/cluster/zone_hooks.py
@@ -12,7 +12,7 @@
     """Told of what happens on machines; asked what may be admitted, and in which order."""
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """A report of the machine was news."""
+        """A heartbeat of the machine was news."""
 
     def phase_changed(self, machine: Machine) -> None:
         """A machine is up, its lease has ended, or it is gone."""
@@ -21,7 +21,7 @@
         """The tasks were lost with their machine."""
 
     def started(self, binding: Binding, now: float) -> None:
-        """A report shows for the first time that the task has its image."""
+        """A heartbeat shows for the first time that the task has its image."""
 
     def failed(self, machine: Machine) -> None:
         """A task has failed on the machine."""
@@ -39,4 +39,4 @@
         """Whether a gang that lost this machine must not be completed elsewhere."""
 
     def max_provision(self, zone: int) -> int | None:
-        """How many machines of a kind may be hired in the zone at a time; None: no bound."""
+        """How many machines of a kind may be provisioned in the zone at a time; None: no bound."""
--- a/src/salthead/controller/connectivity.py
+++ b/src/salthead/controller/connectivity.py
@@ -23,8 +23,8 @@
 # The load balancer's probes are about this far apart.
 CONNECTIVITY_TIMEOUT_S = 1.0
 
-# For how long a report that came here may be news to the leader, which asks every two seconds; and
-# of how many it is told at a time: 64 KiB have room for twice as many.
+# For how long a heartbeat that came here may be news to the leader, which asks every two seconds;
+# and of how many it is told at a time: 64 KiB have room for twice as many.
 REDIRECTED_HEARTBEAT_WINDOW_S = 6.0
 MAX_LISTED_HEARTBEATS = 1500
 
--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -164,7 +164,7 @@
         )
 
     def overloaded(self) -> bool:
-        """Whether submissions are shed, so that reports and decisions keep their turn.
+        """Whether submissions are shed, so that heartbeats and decisions keep their turn.
 
         More submissions in progress than the state service takes writes in a second can't be
         answered in time anyway.
@@ -220,14 +220,14 @@
     # -- what workers ask ---------------------------------------------------------------
 
     def redirect_heartbeat(self, who: str) -> tuple[int, dict[str, Any]]:
-        """The answer to a report of a controller that may not act on it."""
+        """The answer to a heartbeat of a controller that may not act on it."""
         self.connectivity.record_redirected_worker(who)
         if self.leader not in (None, self.settings.member) and not self.connectivity.cut_off():
             return 421, {"herder": self.leader}
         return 503, {"error": "no leader"}
 
     def handle_heartbeat(self, heartbeat: Heartbeat, who: str = "") -> tuple[int, dict[str, Any]]:
-        """Status and body for a worker's report."""
+        """Status and body for a worker's heartbeat."""
         term = self.leading()
         if term is None:
             if self.zone_lease_delegate.may_acknowledge(heartbeat):
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -95,7 +95,7 @@
         )
 
     def heartbeat(self, request: Request) -> Reply:
-        """POST /hello: a worker's report, answered with commands."""
+        """POST /hello: a worker's heartbeat, answered with commands."""
         try:
             heartbeat = decode_heartbeat(request.body)
         except MalformedMessageError as error:
--- a/src/salthead/controller/zone_lease_delegate.py
+++ b/src/salthead/controller/zone_lease_delegate.py
@@ -77,8 +77,8 @@
         key = records.DELEGATION_REQUESTS + self.controller.settings.member
         row = await self.controller.state_store.get(key, urgent=True)
         if row is not None:
-            # On condition of its stamp: carried out late, it must not take away a later question,
-            # by which the next leader knows of what was allowed.
+            # On condition of its revision: carried out late, it must not take away a later
+            # question, by which the next leader knows of what was allowed.
             await self.controller.state_store.transaction(
                 {key: row.revision}, [delete(key)], urgent=True
             )
--- a/src/salthead/failure_detection/link_diagnosis.py
+++ b/src/salthead/failure_detection/link_diagnosis.py
@@ -41,7 +41,7 @@
 def link_state(machine: Machine, now: float, fresh_s: float) -> LinkState:
     """What is confirmed of one machine's links, each direction by its own evidence.
 
-    ``fresh_s``: for how long a report counts; an answer to a direct call counts for as long.
+    ``fresh_s``: for how long a heartbeat counts; an answer to a direct call counts for as long.
     """
     links = machine.links
     heartbeats_arrive = now - max(machine.last_heartbeat_at, links.last_received_at) <= fresh_s
--- a/src/salthead/failure_detection/links.py
+++ b/src/salthead/failure_detection/links.py
@@ -1,9 +1,9 @@
 """When each direction of the link between this controller and one worker was last confirmed.
 
-A report that arrives confirms that direction alone. That an answer arrived is known only from what
-the worker does next, by two rules of the protocol: a worker has one report in flight at a time and
-drops answers after its time-out, and it stays with a controller that answers 200 but tries the next
-one after a time-out.
+A heartbeat that arrives confirms that direction alone. That an answer arrived is known only from
+what the worker does next, by two rules of the protocol: a worker has one heartbeat in flight at a
+time and drops answers after its time-out, and it stays with a controller that answers 200 but tries
+the next one after a time-out.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 class WorkerLinks:
     """Evidence on one worker's link, by this controller's steady clock in seconds.
 
-    ``answers_at`` and ``commands_at`` count from the sending of what was confirmed; when a report
-    was sent is known to its worker alone, so that ``last_received_at`` is when it came.
+    ``answers_at`` and ``commands_at`` count from the sending of what was confirmed; when a
+    heartbeat was sent is known to its worker alone, so that ``last_received_at`` is when it came.
     """
 
     last_received_at: float = -math.inf  # the latest that was newer than all that were answered
@@ -25,7 +25,7 @@
     commands_at: float = -math.inf  # the latest direct call that was answered
     command_failed_at: float = -math.inf  # the latest direct call that was not
     unheard_answers: int = 0  # in a row that were certainly not accepted
-    # The newest report that was answered under this term's token, and when.
+    # The newest heartbeat that was answered under this term's token, and when.
     acknowledged_incarnation: int = 0
     acknowledged_sequence: int = -1
     acknowledged_at: float = -math.inf
@@ -33,7 +33,7 @@
     def heartbeat_received(
         self, incarnation: int, sequence: int, shows_fencing_token: bool, others: bool, now: float
     ) -> bool:
-        """A worker's own report came, not the answer to a call; whether it shows an answer lost.
+        """A worker's own heartbeat came, not the answer to a call; whether it shows an answer lost.
 
         ``shows_fencing_token``: the worker has accepted this term's token. A newer heartbeat
         than the answered one, without the token, was made after the time in which the
@@ -41,7 +41,7 @@
         effect, nor ever will.
 
         ``others``: there are other controllers, to one of which the worker would have turned had
-        it heard nothing. Then the very next report here shows that the answer was accepted.
+        it heard nothing. Then the very next heartbeat here shows that the answer was accepted.
         """
         if (incarnation, sequence) <= (self.acknowledged_incarnation, self.acknowledged_sequence):
             return False
@@ -63,11 +63,11 @@
     def turned_away(
         self, incarnation: int, sequence: int, shows_fencing_token: bool, now: float
     ) -> bool:
-        """A report came to another controller; whether it shows that the answer given here was
+        """A heartbeat came to another controller; whether it shows that the answer given here was
         lost.
 
         A worker stays with the controller that answers it. One that has shown the token may have
-        left for another reason than the last answer, unless this is the very next report.
+        left for another reason than the last answer, unless this is the very next heartbeat.
         """
         if (incarnation, sequence) <= (self.acknowledged_incarnation, self.acknowledged_sequence):
             return False
@@ -84,7 +84,7 @@
         return True
 
     def acknowledged(self, incarnation: int, sequence: int, now: float) -> None:
-        """A report is answered with 200 now."""
+        """A heartbeat is answered with 200 now."""
         if (incarnation, sequence) > (self.acknowledged_incarnation, self.acknowledged_sequence):
             self.acknowledged_incarnation, self.acknowledged_sequence = incarnation, sequence
             self.acknowledged_at = now
--- a/src/salthead/failure_detection/preconditions.py
+++ b/src/salthead/failure_detection/preconditions.py
@@ -17,7 +17,8 @@
     LEADER_LEASE = auto()  # the lease on the lead, or the promises of all peers, certainly last now
     TOKEN_CURRENT = auto()  # no worker and no write has shown a higher fencing token
     JOBS_KNOWN = auto()  # no cancellation that was confirmed to a user can be missing here
-    FLEET_RECONCILED = auto()  # each machine of the roster has reported here, or its lease is over
+    # Each machine of the machine registry has reported here, or its lease is over
+    FLEET_RECONCILED = auto()
     MACHINE_NOT_TERMINATED = auto()  # the cloud has not confirmed the machine's return
     INCARNATION_CURRENT = auto()  # the worker's incarnation is not one that must have ended
     RESPONSES_DELIVERED = auto()  # answers to the worker are not known to be lost
@@ -82,7 +83,7 @@
     }
 )
 
-# Reports and passes of placement ask hundreds of times a second: plain numbers, since operations
+# Heartbeats and passes of placement ask hundreds of times a second: plain numbers, since operations
 # on flags are functions written in Python.
 _REQUIRED_BITS = {action: int(required) for action, required in REQUIRED.items()}
 
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -2,7 +2,7 @@
 
 A cut-off machine goes on, and is back when the cut heals; one that died is not. Both look alike
 from here, but machines die one by one. Followed are the whole fleet, each zone, and each declared
-network, as sets of machines, so that a report costs one bit whatever the size of the fleet.
+network, as sets of machines, so that a heartbeat costs one bit whatever the size of the fleet.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 log = logging.getLogger(__name__)
 
-# Two generations of two report periods each: silence is seen after two to four of them.
+# Two generations of two heartbeat periods each: silence is seen after two to four of them.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
 # For how long the end of a lease counts towards a cut, in leases: all leases that one cut ends are
-# over within one lease and a report period, and what was returned meanwhile has left the fleet.
+# over within one lease and a heartbeat period, and what was returned meanwhile has left the fleet.
 EXPIRED_LEASES = 1.5
 FLEET = "fleet"
 
@@ -69,7 +69,7 @@
     # -- what happens: called by the ledger -------------------------------------------------
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """A report of the machine was news."""
+        """A heartbeat of the machine was news."""
         self.sets.recently_heard.add(machine.index)
         if self.networks is not None:
             self.networks.note(machine.index, machine.endpoint)
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -1,4 +1,4 @@
-"""How a worker's report is answered, and what it changes in the ledger, its tasks aside."""
+"""How a worker's heartbeat is answered, and what it changes in the ledger, its tasks aside."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     now: float,
     direct: bool = False,
 ) -> list[dict[str, Any]] | None:
-    """Orders for the worker, or None when the report must not be answered with 200.
+    """Orders for the worker, or None when the heartbeat must not be answered with 200.
 
     A ``direct`` report is the answer to a call of ours. It renews no lease and carries no
     orders back, and it may have been made while an answer with starts was under way, so
@@ -55,8 +55,8 @@
         and machine.reclaim_at is None
         and not ledger.newer_fencing_token
     ):
-        # Nearly all reports of a busy fleet are like this: all that an answer requires holds, as at
-        # the last one, nothing is new and nothing is wanted. Inlined from what follows, since at
+        # Nearly all heartbeats of a busy fleet are like this: all that an answer requires holds, as
+        # at the last one, nothing is new and nothing is wanted. Inlined from what follows, since at
         # 570 machines half of what a leader did for reports was to find that out.
         links = machine.links
         if heartbeat.sequence == links.acknowledged_sequence + 1 and ledger.other_controllers:
@@ -82,7 +82,7 @@
     ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[dict[str, Any]] | None:
     """Any other report: whether it may be answered, and with which orders."""
-    # Made after an answer of this term was accepted: a report of an earlier term, or of
+    # Made after an answer of this term was accepted: a heartbeat of an earlier term, or of
     # before the worker's first answer, may be a copy that comes late.
     current = heartbeat.fencing_token == ledger.fencing_token
     if heartbeat.fencing_token > ledger.fencing_token:
@@ -100,7 +100,7 @@
         if not current or not ledger.loaded:
             # The worker is told the token and reports again under it. Nothing is noted: a
             # machine that an earlier leader returned looks just like this in a late copy, and
-            # one that is not in the roster was never started anything.
+            # one that is not in the machine registry was never started anything.
             return []
         machine = ledger.add_machine(
             heartbeat.worker, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now
@@ -115,7 +115,7 @@
         return []
     if not current:
         # Its tasks may be those of long ago: an exit reaped since, a task that is elsewhere
-        # now. A machine that comes up may enter the roster meanwhile.
+        # now. A machine that comes up may enter the machine registry meanwhile.
         machine.seen_in_earlier_term = True
         machine.endpoint = machine.endpoint or heartbeat.endpoint
         return []
@@ -125,7 +125,7 @@
 def _news(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[dict[str, Any]]:
-    """Take a report in that is news under this term's token; the orders that follow."""
+    """Take a heartbeat in that is news under this term's token; the orders that follow."""
     _take_in(ledger, machine, heartbeat, now)
     if (
         machine.unchanged
@@ -149,23 +149,24 @@
 def _record_acknowledgements(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, current: bool, now: float
 ) -> None:
-    """What a worker's own report shows of the answers to those before it."""
+    """What a worker's own heartbeat shows of the answers to those before it."""
     lost = machine.links.heartbeat_received(
         heartbeat.incarnation, heartbeat.sequence, current, ledger.other_controllers, now
     )
     if lost and not machine.reconciled and ledger.shared_silence is not None:
         # None of our answers renewed its lease, nor will one of them. Counted from the last of
-        # them, deaf machines held up a takeover for two leases (33 s and 46 s of 15 s and 21 s).
+        # them, deaf machines held up a failover for two leases (33 s and 46 s of 15 s and 21 s).
         machine.acknowledged_at = -math.inf
 
 
 def heartbeat_seen_by_peer(
     ledger: Ledger, worker: str, number: tuple[int, int], shows_fencing_token: bool, now: float
 ) -> None:
-    """A report, by session and sequence, came to another controller: it missed this one's answer.
+    """A heartbeat, by incarnation and sequence, came to another controller: it missed this one's
+    answer.
 
-    A deaf worker asks all controllers in turn, so that its next report here may be three time-outs
-    away.
+    A deaf worker asks all controllers in turn, so that its next heartbeat here may be three
+    time-outs away.
     """
     machine = ledger.machines.get(worker)
     if machine is None:
@@ -199,9 +200,9 @@
 
 
 def _may_hear(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether a worker that has not shown the token may hear the answer to this report.
+    """Whether a worker that has not shown the token may hear the answer to this heartbeat.
 
-    Its lease has to be counted from some last answer, or it would hold up a takeover: one that
+    Its lease has to be counted from some last answer, or it would hold up a failover: one that
     still does not know the token after a whole lease gets no more, nor one that neither answers
     nor direct calls reach. Such calls are repeated, and one that is answered ends that.
     """
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""What the tasks that a report shows change in the ledger, and the orders that answer it."""
+"""What the tasks that a heartbeat shows change in the ledger, and the orders that answer it."""
 
 from __future__ import annotations
 
@@ -45,13 +45,14 @@
 def orders_for(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[dict[str, Any]]:
-    """Bring the ledger in line with the tasks that a report shows, and say what is to be done."""
+    """Bring the ledger in line with the tasks that a heartbeat shows, and say what is to be
+    done."""
     orders, seen, seen_orphans = _take_tasks(ledger, machine, heartbeat, now)
     _release_missing(ledger, machine, seen, now, direct)
     for orphan_key in list(machine.orphans):
         if orphan_key not in seen_orphans:
             orphans.drop(ledger, machine, orphan_key)
-    # Room that this report freed is filled by this answer, not a report period later.
+    # Room that this heartbeat freed is filled by this answer, not a heartbeat period later.
     if machine.has_freed_capacity:
         machine.has_freed_capacity = False
         ledger.events.room_freed(machine, now)
@@ -63,7 +64,8 @@
 def _take_tasks(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float
 ) -> tuple[list[dict[str, Any]], set[TaskKey], set[orphans.OrphanKey]]:
-    """Orders for the tasks that a report shows; those that are bound to the machine, and strays."""
+    """Orders for the tasks that a heartbeat shows; those that are bound to the machine, and orphan
+    tasks."""
     orders: list[dict[str, Any]] = []
     seen: set[TaskKey] = set()
     seen_orphans: set[orphans.OrphanKey] = set()
@@ -101,7 +103,7 @@
 def _take_exit(
     ledger: Ledger, binding: Binding | None, job_id: str, index: int, task: TaskStatus, now: float
 ) -> list[dict[str, Any]]:
-    """A task that has exited, and the order that removes it from the reports."""
+    """A task that has exited, and the order that removes it from the heartbeats."""
     if binding is not None:
         _exited(ledger, binding, task, now)
     else:
@@ -130,7 +132,8 @@
 def _release_missing(
     ledger: Ledger, machine: Machine, seen: set[TaskKey], now: float, direct: bool
 ) -> None:
-    """Release what is bound to the machine, not shown by its report, and so certainly not there."""
+    """Release what is bound to the machine, not shown by its heartbeat, and so certainly not
+    there."""
     for key, binding in list(machine.bindings.items()):
         if key in seen or machine.bindings.get(key) is not binding:
             continue
@@ -139,7 +142,7 @@
         elif direct:
             continue
         elif binding.stop_grace_s is not None or binding.start_sends >= MAX_UNEXECUTED_STARTS:
-            # One report is in flight at a time and late answers are dropped, so a report
+            # One heartbeat is in flight at a time and late answers are dropped, so a heartbeat
             # without the task, newer than the answers that ordered it, is proof.
             if binding.stop_grace_s is None:
                 mark_unresponsive(
@@ -165,7 +168,7 @@
             continue
         if not wanted(binding):
             # Since it was bound its task was found done elsewhere, as one of a gang whose earlier
-            # attempt had completed: released by the next report, which does not show it.
+            # attempt had completed: released by the next heartbeat, which does not show it.
             ledger.request_stop(binding, 0.0)
         elif ledger.invariants.may_send_start(binding):
             binding.start_sends += 1
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -1,4 +1,4 @@
-"""The cloud's machines for one term: what it lists, what is hired, what is returned."""
+"""The cloud's machines for one term: what it lists, what is provisioned, what is returned."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 log = logging.getLogger(__name__)
 
-# A loop whose rounds take long pauses for this many times as long, so that reports have the
+# A loop whose rounds take long pauses for this many times as long, so that heartbeats have the
 # processor for most of the time whatever the size of the fleet and the queue.
 PAUSE_FACTOR = 9.0
 MAX_TERMINATE_BATCH = 100  # machines in one call
@@ -46,13 +46,13 @@
 # Plans come at once for a job that finds no machine, and otherwise now and then.
 PLAN_INTERVAL_S, MIN_PLAN_INTERVAL_S = 1.0, 0.4
 # Between two readings of the machine list: at least this, and so long that the list, which has a
-# call for each 500 machines, takes no more than this part of the calls; hires and returns wait for
-# their turn behind them.
+# call for each 500 machines, takes no more than this part of the calls; provisions and terminates
+# wait for their turn behind them.
 LIST_INTERVAL_S, MAX_LIST_CALL_SHARE = 2.0, 1 / 3
 
 
 class Autoscaler:
-    """The loops that hire and return machines for one term."""
+    """The loops that provision and return machines for one term."""
 
     def __init__(self, term: Term) -> None:
         self.term = term
@@ -147,7 +147,7 @@
                 return calls
 
     async def fleet_loop(self) -> None:
-        """Plan the fleet, hire and return by the plan."""
+        """Plan the fleet, provision and return by the plan."""
         while True:
             # Not wait_for, as in the term's decide_loop.
             with contextlib.suppress(TimeoutError):
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -15,7 +15,7 @@
 
 
 class PeerHeartbeat(NamedTuple):
-    """A worker's report that came to a peer."""
+    """A worker's heartbeat that came to a peer."""
 
     worker: str
     incarnation: int
@@ -29,13 +29,13 @@
 
     redirected: int  # workers that came to it lately although it does not lead
     state_service_s: float | None  # since when the state service has not answered it
-    seen: list[PeerHeartbeat]  # reports that came to it lately although it does not lead
+    seen: list[PeerHeartbeat]  # heartbeats that came to it lately although it does not lead
 
 
 async def ask_connectivity(peer: Caller, leads: bool = False) -> PeerConnectivity | None:
     """Ask a peer what it reaches; None when it does not answer.
 
-    ``leads``: by a leader that wants to know which reports came there instead. The version in
+    ``leads``: by a leader that wants to know which heartbeats came there instead. The version in
     production ignores that, and names none.
     """
     body = {LEADS_FIELD: True} if leads else None
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -1,4 +1,5 @@
-"""What one term keeps on pages in the state service: done tasks, and the roster of machines."""
+"""What one term keeps on pages in the state service: done tasks, and the machine registry of
+machines."""
 
 from __future__ import annotations
 
@@ -30,7 +31,7 @@
         self.leftovers: dict[str, str] = {}  # keys that continue records of jobs that are over
 
     def new_pages(self) -> tuple[Pages, Pages]:
-        """Empty pages of done tasks and of the roster."""
+        """Empty pages of done tasks and of the machine registry."""
         kb = self.term.state_limits.value_kb
         return Pages(records.DONE_TASKS, kb), Pages(records.MACHINE_REGISTRY, kb)
 
@@ -104,7 +105,7 @@
         return batch
 
     async def registry_loop(self) -> None:
-        """A machine is in the roster, durably, before the first start is sent to it."""
+        """A machine is in the machine registry, durably, before the first start is sent to it."""
         while True:
             ledger = self.term.ledger
             for machine in ledger.unregistered:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -41,9 +41,9 @@
 log = logging.getLogger(__name__)
 
 # Between passes over the queue, when something has changed and when nothing has. Room that frees is
-# filled with the report that shows it, so that a pass is for jobs that come and pauses that end.
+# filled with the heartbeat that shows it, so that a pass is for jobs that come and pauses that end.
 MIN_PASS_INTERVAL_S, MAX_PASS_INTERVAL_S = 0.25, 0.5
-# A look at each machine, for what no report brings: a fifth of the processor time of a leader of
+# A look at each machine, for what no heartbeat brings: a fifth of the processor time of a leader of
 # 570 machines went into doing that with each pass.
 SWEEP_INTERVAL_S = 0.5
 # Placement itself looks only at tasks that no machine can be running (``Ledger.may_schedule``).
@@ -206,7 +206,7 @@
     # -- loading and following jobs -----------------------------------------------------
 
     async def unknown_jobs_loop(self) -> None:
-        """Stray tasks of jobs that are over: whose quota do they use?"""
+        """Orphan tasks of jobs that are over: whose quota do they use?"""
         while True:
             for job_id in list(self.ledger.unknown_jobs):
                 try:
@@ -242,7 +242,7 @@
             await asyncio.sleep(max(MIN_PASS_INTERVAL_S, PAUSE_FACTOR * (self.now() - now)))
 
     def backfill(self, machine: Machine, now: float) -> None:
-        """Offer room that a report has freed to those in line."""
+        """Offer room that a heartbeat has freed to those in line."""
         if self.permits(Action.SCHEDULE, TASK_NOWHERE):
             placement.backfill(self.ledger, machine, self.controller.rng, now)
 
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -67,7 +67,8 @@
             )
 
     async def reconcile(self, machine: Machine, timeout: float) -> None:
-        """Ask a machine of the roster directly: its worker may be waiting for a dead leader.
+        """Ask a machine of the machine registry directly: its worker may be waiting for a dead
+        leader.
 
         A call with our token and no orders makes the worker accept the token, after which no
         command of an earlier leader is executed, and its answer shows what it runs.
@@ -110,7 +111,7 @@
                     await self.probe(machine)
 
             # No more at a time than there are slots: what queues for one times out in the queue,
-            # and a round for each report period would pile up on those before it.
+            # and a round for each heartbeat period would pile up on those before it.
             await asyncio.gather(
                 *(some() for _ in range(self.term.controller.sockets.reconcile_slots))
             )
@@ -118,8 +119,8 @@
     async def probe_loop(self) -> None:
         """Machines that are silent, or hear no answers: whether direct calls reach them.
 
-        A few at a time: a machine that is alone in its silence is asked within a report period, and
-        of many that share theirs no answer decides anything.
+        A few at a time: a machine that is alone in its silence is asked within a heartbeat period,
+        and of many that share theirs no answer decides anything.
         """
         while True:
             await self.term.controller.sleep_with_jitter(
@@ -143,7 +144,7 @@
     def _may_reconcile(self, machine: Machine) -> bool:
         """Whether a call that is answered may make the machine one of this term's.
 
-        One whose lease is over is given work again only if its reports arrive as well: starts
+        One whose lease is over is given work again only if its heartbeats arrive as well: starts
         travel in the answers to these. Without the call a machine that was deaf for longer than a
         lease was never answered again (98 of them were returned on one-way-machines).
         """
@@ -184,7 +185,7 @@
                 machine_health.mark_responsive(self.term.ledger, machine, self.term.now())
 
     def send_stops(self) -> None:
-        """Tell stops at once, rather than in the answer to the next report.
+        """Tell stops at once, rather than in the answer to the next heartbeat.
 
         A stop names its attempt, so one that is carried out late harms nothing; answers to
         reports repeat it. Starts are never sent like this: a late one would start a task that
@@ -199,7 +200,7 @@
         for binding in wanted:
             machine = binding.machine
             if binding.stop_grace_s is None or binding.stop_sent or not binding.phase:
-                continue  # what no report shows yet is stopped by the answer to one that does
+                continue  # what no heartbeat shows yet is stopped by the answer to one that does
             if (
                 machine.reconciled
                 and machine.endpoint
@@ -213,7 +214,7 @@
             self.term.spawn(self.send(machine, stops[:MAX_COMMANDS]))
 
     async def send(self, machine: Machine, orders: list[dict[str, Any]]) -> None:
-        """Send commands once; answers to the worker's reports repeat them."""
+        """Send commands once; answers to the worker's heartbeats repeat them."""
         try:
             await self._command(machine, machine.incarnation, orders, STOP_S)
         except UnansweredError as error:
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -31,7 +31,7 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
-        self.earlier: dict[str, int] = {}  # permissions of earlier leaders, and their stamps
+        self.earlier: dict[str, int] = {}  # permissions of earlier leaders, and their revisions
 
     async def load(self) -> None:
         """Count no lease from before what an earlier leader may have allowed.
@@ -49,7 +49,7 @@
         term.ledger.leases.counted_from = term.now()
         if term.link_loop is not None:
             # Whenever a leader ends, its peers miss it, and ask before there is a new one. Each
-            # crash of a leader on prairie-ledger-hunt held the takeover up by a third of a lease.
+            # crash of a leader on prairie-ledger-hunt held the failover up by a third of a lease.
             members &= {key.removeprefix(records.DELEGATIONS) for key in permissions}
         if members:
             term.ledger.leases.counted_from = counted_until(term.now(), term.clock.ttl)
@@ -81,7 +81,7 @@
         """Let a controller behind a cut answer its zone's workers for a while."""
         term = self.term
         if not term.ledger.ready:
-            return  # a zone that is kept would hold up the takeover for as long as the cut
+            return  # a zone that is kept would hold up the failover for as long as the cut
         # Counted before it is allowed, so that whatever becomes of the write errs late.
         until = counted_until(term.now(), term.clock.ttl)
         if term.ledger.leases.delegate_zone(str(value.get("area")), until):
@@ -89,7 +89,7 @@
             await term.transaction({}, [put(records.DELEGATIONS + member, permission)], urgent=True)
 
     async def forget_loop(self) -> None:
-        """Drop earlier leaders' permissions once they are over, so that no takeover counts them."""
+        """Drop earlier leaders' permissions once they are over, so that no failover counts them."""
         while self.earlier:
             await asyncio.sleep(
                 max(0.0, self.term.ledger.leases.counted_from - self.term.now()) + RETRY_S
--- a/src/salthead/leases/leader_lease.py
+++ b/src/salthead/leases/leader_lease.py
@@ -6,7 +6,7 @@
 
 # The steady clocks of two machines drift apart by up to 0.05%; twice that is assumed.
 DRIFT = 0.001
-# A worker counts from the sending of a report, which is never after its receipt; the
+# A worker counts from the sending of a heartbeat, which is never after its receipt; the
 # slack covers timers that fire late on its side.
 SLACK_S = 0.5
 
@@ -15,7 +15,7 @@
     """Length of the leader's lease.
 
     A worker's lease has to outlive: the rest of a dead leader's lease (up to the ttl and
-    0.1 s), an election, one 4 s time-out or a few refused tries of 1 s, and a report. A
+    0.1 s), an election, one 4 s time-out or a few refused tries of 1 s, and a heartbeat. A
     third of the worker's lease leaves two thirds for these.
     """
     return max(0.5, lease_s / 3.0)
@@ -27,7 +27,7 @@
 
 
 def certainly_expired_at(answered: float, lease_s: float) -> float:
-    """When a worker whose last answered report came at ``answered`` has no tasks any more."""
+    """When a worker whose last answered heartbeat came at ``answered`` has no tasks any more."""
     return answered + lease_s * (1.0 + DRIFT) + SLACK_S
 
 
--- a/src/salthead/leases/worker_leases.py
+++ b/src/salthead/leases/worker_leases.py
@@ -19,7 +19,7 @@
     def __init__(self, ledger: Ledger, now: float) -> None:
         self.ledger = ledger
         # An earlier leader may have answered workers until it lost the lead, and this one answers
-        # them before it has read the roster: no lease is counted from before this.
+        # them before it has read the machine registry: no lease is counted from before this.
         self.counted_from = now
         # Zones whose workers another controller may be answering for this leader, and until when.
         self.delegated_until: dict[int, float] = {}
--- a/src/salthead/leases/zone_leases.py
+++ b/src/salthead/leases/zone_leases.py
@@ -2,9 +2,9 @@
 
 A cut between zones lasts longer than a worker's lease, and all that runs beyond it would be lost.
 The state service is cut from nobody, so a controller behind the cut asks the leader through it, and
-the leader allows it, to answer that zone's reports in its name: with its token and without orders.
-What is allowed ends by itself after a time that both sides know. The leader counts no lease of the
-zone from before that time, and it stops allowing when something in the zone has to end.
+the leader allows it, to answer that zone's heartbeats in its name: with its token and without
+orders. What is allowed ends by itself after a time that both sides know. The leader counts no lease
+of the zone from before that time, and it stops allowing when something in the zone has to end.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
             self.sent_on = {
                 w: at for w, at in self.sent_on.items() if now - at < self.RETURN_WINDOW_S
             }
-            # Twice as many as there are now: a larger fleet must not be walked at each report.
+            # Twice as many as there are now: a larger fleet must not be walked at each heartbeat.
             self.sent_on_most = max(MIN_REMEMBERED_REDIRECTS, 2 * len(self.sent_on))
         self.sent_on[worker] = now
         return now - before < self.RETURN_WINDOW_S
--- a/src/salthead/networks/silence.py
+++ b/src/salthead/networks/silence.py
@@ -34,7 +34,7 @@
         self.network_of: dict[int, int] = {}
 
     def note(self, machine: int, endpoint: str) -> None:
-        """A machine reports from an address."""
+        """A machine sends heartbeats from an address."""
         if not endpoint or machine in self.known:
             return
         self.known.add(machine)
--- a/src/salthead/policy.py
+++ b/src/salthead/policy.py
@@ -31,7 +31,8 @@
     step_s: float  # the shortest time for one step
     hold_most_s: float  # the longest time for which slow machines hold a step back
     slow_factor: float  # a start this many times slower than the zone's usual ones is slow
-    probe_after_s: float  # after which machines are hired in a lost zone, to see whether it is back
+    # After which machines are provisioned in a lost zone, to see whether it is back
+    probe_after_s: float
     probe_machines: int  # of each kind
     evacuation_most_s: float  # for which displaced work may change the order of the queue
 
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -241,7 +241,7 @@
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """A worker's report; MalformedMessageError if it is none."""
+    """A worker's heartbeat; MalformedMessageError if it is none."""
     heartbeat = decode(body, Heartbeat)
     if (
         not heartbeat.worker
--- a/src/salthead/scheduling/placement.py
+++ b/src/salthead/scheduling/placement.py
@@ -97,7 +97,7 @@
 
 
 def available(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Heard of lately, in the roster, and not about to go."""
+    """Heard of lately, in the machine registry, and not about to go."""
     return (
         machine.phase == UP
         and machine.registered
@@ -114,7 +114,7 @@
 
 
 def heartbeat_overdue(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether the next report should have come: a period, a quarter more, and a second for the
+    """Whether the next heartbeat should have come: a period, a quarter more, and a second for the
     way and a busy leader.
 
     Long before the filter by freshness says so, such a machine may have died. For one task the
@@ -439,7 +439,7 @@
     """Offer room that a machine has freed to the jobs in line, in their order.
 
     Those in line found no candidate elsewhere, so this machine is the one there is. A whole
-    pass for each report that frees room cost jobs times machines, at every exit of a task.
+    pass for each heartbeat that frees room cost jobs times machines, at every exit of a task.
     """
     if not ledger.loaded or not available(ledger, machine, now):
         return
--- a/src/salthead/scheduling/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -14,7 +14,8 @@
 log = logging.getLogger(__name__)
 
 
-# Boots that a job within its guarantee waits for hired machines before others' work is stopped.
+# Boots that a job within its guarantee waits for provisioned machines before others' work is
+# stopped.
 PATIENCE_BOOTS = 3.0
 
 
@@ -66,9 +67,9 @@
 
     The protocol's three sentences on preemption, and one restraint of ours.
 
-    For a guarantee, work is stopped only once machines hired for the job could have been up
+    For a guarantee, work is stopped only once machines provisioned for the job could have been up
     several times over, and a gang only once. Short tasks make way by themselves sooner than a
-    stop, a report and a start take; stopping them at once threw so much work away that
+    stop, a heartbeat and a start take; stopping them at once threw so much work away that
     guarantees were kept no more often. Gangs and jobs within guarantees pushed each other aside
     every few seconds.
     """
@@ -255,7 +256,7 @@
 def drain(ledger: Ledger, now: float) -> None:
     """Stop tasks on machines that are about to be taken, as late as is safe."""
     workers = ledger.limits.workers
-    # The order rides on the answer to the next report.
+    # The order rides on the answer to the next heartbeat.
     start_sends = 1.25 * workers.heartbeat_interval_s + 0.5
     for machine in ledger.machines.values():
         if machine.phase != UP or machine.reclaim_at is None:
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -84,7 +84,7 @@
         # Half of what all controllers together may ask is left for the others and for leases.
         self.reads = Budget(rps * 0.4, rps * 0.3, now)
         self.writes = Budget(write_rps * 0.5, write_rps * 0.5, now)
-        # The roster and done tasks: submissions and outcomes never wait behind them.
+        # The machine registry and done tasks: submissions and outcomes never wait behind them.
         self.bulk_writes = Budget(write_rps * 0.25, write_rps * 0.5, now)
         self.now = now
         self.last_response_at = -1e9  # when the service last did something for this controller
@@ -98,7 +98,7 @@
     async def get(
         self, key: str, timeout: float = 1.5, urgent: bool = False
     ) -> VersionedValue | None:
-        """One value and its stamp, or None if there is no such key."""
+        """One value and its revision, or None if there is no such key."""
         if not urgent:
             await self.reads.wait()
         caller = self.urgent if urgent else self.bulk
@@ -143,7 +143,8 @@
         urgent: bool = False,
         bulk: bool = False,
     ) -> int:
-        """Make changes on condition of stamps; the epoch after. Conflict if a condition fails."""
+        """Make changes on condition of revisions; the epoch after. Conflict if a condition
+        fails."""
         if not urgent:
             await (self.bulk_writes if bulk else self.writes).wait(len(operations))
         caller = self.urgent if urgent else self.bulk
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -1,9 +1,9 @@
 """Many small items in a few values of the state service.
 
-Each change of a key counts against the service's limit, however small the value. The roster of a
-few hundred machines and the done tasks of a hundred jobs, written key by key, would take longer
-than the fleet takes to boot, and hold up submissions and outcomes meanwhile. Packed into values
-of nearly the permitted size, they take a few changes.
+Each change of a key counts against the service's limit, however small the value. The machine
+registry of a few hundred machines and the done tasks of a hundred jobs, written key by key, would
+take longer than the fleet takes to boot, and hold up submissions and outcomes meanwhile. Packed
+into values of nearly the permitted size, they take a few changes.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         self.where: dict[str, int] = {}
         self.changes: dict[int, int] = {}  # of each page, to tell what a write covered
         self.dirty: dict[int, None] = {}  # pages that the service does not have, in order
-        # A write names the stamp of the page that it replaces: one that was given up on and is
+        # A write names the revision of the page that it replaces: one that was given up on and is
         # carried out late must not put an older page over a newer one.
         self.revisions: dict[int, int] = {}
         # Pages that an item has moved to, by the page that it left: they are written no later.
--- a/src/salthead/state_store/records.py
+++ b/src/salthead/state_store/records.py
@@ -2,11 +2,11 @@
 
 ``job/ID`` holds a job that is not over, ``over/ID`` one that is, with its outcome; a job moves from
 one to the other in one transaction, so a reader who looks at ``job`` and then at ``over`` misses it
-in neither. ``done/N`` are pages of done tasks: by stretch of a job, as ranges. ``roster/N`` are
-pages of machines. ``keep/MEMBER`` is a controller's wish to keep its zone's leases for a leader
-that can't reach the zone, ``kept/MEMBER`` the leader's permission. ``lead`` is the leader's key,
-``token`` counts its terms. ``awaits/ID/N`` continue a long list of jobs that a job awaits.
-``flavors`` are the machine types, or ``flavors/N`` if one value does not hold them.
+in neither. ``done/N`` are pages of done tasks: by stretch of a job, as ranges. ``machine
+registry/N`` are pages of machines. ``keep/MEMBER`` is a controller's wish to keep its zone's leases
+for a leader that can't reach the zone, ``kept/MEMBER`` the leader's permission. ``lead`` is the
+leader's key, ``token`` counts its terms. ``awaits/ID/N`` continue a long list of jobs that a job
+awaits. ``flavors`` are the machine types, or ``flavors/N`` if one value does not hold them.
 
 Several versions may read and write these at a time: fields are only added, as optional ones, and
 what is there keeps its meaning (``docs/design.md`` has the table).
--- a/src/salthead/transport/connections.py
+++ b/src/salthead/transport/connections.py
@@ -15,10 +15,10 @@
 ABANDONED_AFTER_S = 120.0
 # Above this part of the connections that there may be, each is closed after its answer. A fleet
 # that is larger than the number of sockets then takes turns instead of being refused: 4,000
-# workers that report every 3 s, each for 50 ms, hold about 70 connections at a time.
+# workers that heartbeat every 3 s, each for 50 ms, hold about 70 connections at a time.
 CROWDED_SHARE = 0.8
 
-Mark = tuple[int, int]  # of a report: (tenure, tally)
+Mark = tuple[int, int]  # of a heartbeat: (tenure, tally)
 
 
 class Closable(Protocol):
@@ -81,7 +81,7 @@
     def heartbeat_received(self, worker: str, mark: Mark, stream: Closable) -> None:
         """A worker has one connection: a newer one ends that before it, which may be half open.
 
-        A late copy on another connection is no newer report, and ends nothing.
+        A late copy on another connection is no newer heartbeat, and ends nothing.
         """
         if stream not in self.used_at:
             return
--- a/src/salthead/transport/http.py
+++ b/src/salthead/transport/http.py
@@ -221,7 +221,7 @@
         payload = reply.body if isinstance(reply.body, bytes) else encode_plain(reply.body)
         if self.persistent:
             # Tornado takes an encoded head as well. For each reply, its own way checks every header
-            # anew, though none of them varies but the length: a seventh of a report's time.
+            # anew, though none of them varies but the length: a seventh of a heartbeat's time.
             connections = self.router.connections
             closing = connections is not None and connections.crowded()
             sent = self.connection.write(_encoded_head(reply, len(payload), closing) + payload)
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -8,7 +8,7 @@
 from salthead.protocol import wire_names
 from salthead.scheduling import placement, queue_order
 
-# A claim lasts for so many report periods: by then the gang's other machines are up, or room is
+# A claim lasts for so many heartbeat interval: by then the gang's other machines are up, or room is
 # kept for it on machines that empty, and another gang may use this one.
 CLAIM_HEARTBEAT_INTERVALS = 3.0
 # Arrays of this urgency and below are the low-priority ones, which wait for whole gangs.
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -23,10 +23,10 @@
 
 log = logging.getLogger(__name__)
 
-# Two generations of two report periods each: silence is seen after two to four of them.
+# Two generations of two heartbeat periods each: silence is seen after two to four of them.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
-# For how long the end of a lease counts, in leases. A zone's leases end within a report period of
-# each other, but what is returned at once leaves the ledger before the last of them.
+# For how long the end of a lease counts, in leases. A zone's leases end within a heartbeat period
+# of each other, but what is returned at once leaves the ledger before the last of them.
 EXPIRED_LEASES = 3.0
 # Tasks that lost their machine this many leases before the zone was found lost belong to the loss.
 DISPLACED_LEASES = 2.0
@@ -92,7 +92,7 @@
     # -- what happens -------------------------------------------------------------------
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """A report of the machine was news."""
+        """A heartbeat of the machine was news."""
         self.sets.recently_heard.add(machine.index)
         if self.networks is not None:
             self.networks.note(machine.index, machine.endpoint)
@@ -145,7 +145,7 @@
         self._grow(now)
         self.sets.turn(now)
         if not self.ledger.ready:
-            return  # in a takeover, silence says nothing yet
+            return  # in a failover, silence says nothing yet
         for zone, state in enumerate(self.states):
             if state.observe(self.evidence(zone, now), now):
                 self._entered(zone, now)
@@ -240,7 +240,7 @@
                 continue
             withheld = withholds and not self._is_open(machine)
             if machine.awaiting_slow_start and not withheld:
-                machine.has_freed_capacity = True  # the next report offers its room
+                machine.has_freed_capacity = True  # the next heartbeat offers its room
             machine.awaiting_slow_start = withheld
 
     # -- evacuation ---------------------------------------------------------------------
@@ -284,11 +284,12 @@
         return self.states[machine.zone].phase is not ZonePhase.AVAILABLE
 
     def max_provision(self, zone: int) -> int | None:
-        """How many machines of a kind may be hired in the zone at a time; None: no bound."""
+        """How many machines of a kind may be provisioned in the zone at a time; None: no bound."""
         return self.provision_limits[zone] if zone < len(self.provision_limits) else None
 
     def _provision_limit(self, zone: int, now: float) -> int | None:
-        """No hires where machines can't be heard, few to see whether that is over, then more."""
+        """No provisions where machines can't be heard, few to see whether that is over, then
+        more."""
         if not self._withholds(zone):
             return None
         state = self.states[zone]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -155,7 +155,7 @@
 
 
 def machine(led: Ledger, name: str, now: float = 0.0, **kind: Any) -> Machine:
-    """A machine that is up, in the roster, and has reported under the token."""
+    """A machine that is up, in the machine registry, and has reported under the token."""
     led.add_machine(
         name,
         kind.get("machine_type", "small"),
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -61,7 +61,7 @@
 
 
 def scale_to(workers: int) -> None:
-    """Reports and leases as fast as loopback allows, and limits that the work exceeds."""
+    """Heartbeats and leases as fast as loopback allows, and limits that the work exceeds."""
     LIMITS["workers"].update(FAST)
     red, blue = LIMITS["teams"]
     red.update(cpus=0.05 * workers * CPUS, cpus_max=max(24.0, 0.15 * workers * CPUS))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -65,7 +65,7 @@
 
 
 class State:
-    """The state service: keys with stamps, leases, changes."""
+    """The state service: keys with revisions, leases, changes."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -273,7 +273,7 @@
         self.spot = spot
         self.born = world.now()
         self.up = self.hung = False
-        self.deaf = False  # its reports arrive, answers and commands don't reach it
+        self.deaf = False  # its heartbeats arrive, answers and commands don't reach it
         self.mute = False  # reaches no controller, while direct commands reach it
         self.cut = False  # from all controllers; what is sent meanwhile arrives when that is over
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
@@ -480,7 +480,7 @@
         self.areas = areas or {}  # of controllers; north if not named
         self.apart = False  # the zones can't reach each other
         self.frozen: set[str] = set()  # controllers that stand still; what they get waits for them
-        self.copies = 0.0  # part of the reports of which a copy comes late
+        self.copies = 0.0  # part of the heartbeats of which a copy comes late
         self.loss = 0.0  # part of the calls that are executed without an answer
         self.late: Callable[[str, str], float] = lambda source, path: 0.0
         self.specs: dict[str, Submission] = {}
@@ -499,7 +499,7 @@
         self.refused: set[str] = set()  # controllers that the state service alone refuses, with 503
         self.late_writes = 0.0  # part of the transactions that get no answer
         self.writes_at_once = False  # those are carried out at once, not seconds later
-        self.keep_copies = False  # of reports, until a new leader has begun
+        self.keep_copies = False  # of heartbeats, until a new leader has begun
         self.kept_copies: list[bytes] = []
         self.boot_s = Worker.BOOT_S
         self.fetch_s: Callable[[Worker], float] = lambda worker: 0.0  # of an image
@@ -704,7 +704,7 @@
         return answer
 
     async def held(self, worker: Worker, name: str, message: bytes) -> None:
-        """A report that arrives when the cut is over, or its controller goes on; its worker gave
+        """A heartbeat that arrives when the cut is over, or its controller goes on; its worker gave
         up."""
         while worker.cut or name in self.frozen:
             await asyncio.sleep(0.05)
@@ -715,7 +715,7 @@
                 self.broken.append(f"orders of {name}, which does not lead")
 
     async def repeat(self, message: bytes, late: float) -> None:
-        """A copy of a report that arrives at all controllers, late; nobody reads the answers."""
+        """A copy of a heartbeat that arrives at all controllers, late; nobody reads the answers."""
         await asyncio.sleep(late)
         for name, controller in list(self.controllers.items()):
             if controller is not None:
--- a/tests/test_cut_loopback.py
+++ b/tests/test_cut_loopback.py
@@ -72,7 +72,7 @@
         self.commands: dict[str, list[LinkProxy]] = {zone: [] for zone in ZONES}
         self.links: dict[str, Caller] = {}  # by zone and controller
         self.endpoints: dict[str, str] = {}
-        self.deaf: set[str] = set()  # zones whose workers' reports arrive, and no answer to them
+        self.deaf: set[str] = set()  # zones whose workers' heartbeats arrive, and no answer to them
         self.listening: list[HTTPServer] = []
 
     async def listen(self) -> None:
@@ -159,11 +159,11 @@
 
 
 async def south_deaf_while_the_leader_ends(local: CutSetup, world: CutZones) -> None:
-    """Reports arrive, answers and commands don't; then the leader ends."""
+    """Heartbeats arrive, answers and commands don't; then the leader ends."""
     # Before, the scene began with as many machines as there were by chance, at times two.
     await world.until_known("network south-1", MIN_MACHINES)
-    # Not by the proxies of reports: through one that drops answers no new connection opens, so that
-    # a single report arrives of each worker, and nothing shows its answer lost.
+    # Not by the proxies of heartbeats: through one that drops answers no new connection opens, so
+    # that a single report arrives of each worker, and nothing shows its answer lost.
     world.deaf.add("south")
     for proxy in world.commands["south"]:
         proxy.from_target.set(Mode.DROP)
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(
     ("heartbeats", "called", "lost_at"),
     [
-        # sequence and time of reports that show an old token: deaf, the same with direct calls
+        # sequence and time of heartbeats that show an old token: deaf, the same with direct calls
         # that were answered, and one that was heard once only
         ([(5, 1.0), (6, 6.0), (7, 11.0)], False, LEASE_S),
         ([(5, 1.0), (6, 6.0), (7, 11.0)], True, 11.0 + LEASE_S),
@@ -127,7 +127,7 @@
     for sequence, over in ((5, 8.0 + LEASE_S), (6, LEASE_S)):
         handling.heartbeat_seen_by_peer(led, "m1", (1, sequence), False, 9.0)
         assert led.leases.expires_at(found) == pytest.approx(over, abs=0.02)
-    # One that has joined: the very next report, or it may have left for another reason.
+    # One that has joined: the very next heartbeat, or it may have left for another reason.
     other = machine(led, "m2", 8.0)
     for sequence, unheard in ((3, 0), (2, 1)):
         handling.heartbeat_seen_by_peer(led, "m2", (1, sequence), True, 9.0)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -119,7 +119,7 @@
 
 
 async def one_way(world: World) -> None:
-    """Machines whose reports arrive, but whom answers and commands don't reach; some heal."""
+    """Machines whose heartbeats arrive, but whom answers and commands don't reach; some heal."""
     await asyncio.sleep(8.0)
     workers = [w for w in world.cloud.hosts.values() if w.up or w.tasks][:3]
     for worker in workers:
@@ -133,7 +133,8 @@
 
 
 async def late_copies(world: World) -> None:
-    """Copies of reports, seconds to well over a lease late, across sessions, returns, leaders."""
+    """Copies of heartbeats, seconds to well over a lease late, across incarnations, returns,
+    leaders."""
     world.copies = 0.5
     await asyncio.sleep(14.0)
     for worker in [w for w in world.cloud.hosts.values() if w.tasks][:2]:
@@ -189,7 +190,7 @@
 
 
 async def lost_and_late(world: World) -> None:
-    """Answers are lost, and transactions, hires and direct calls are carried out late."""
+    """Answers are lost, and transactions, provisions and direct calls are carried out late."""
     world.loss = 0.1
     world.late = lambda source, path: (
         world.rng.choice((0.0, 0.0, 0.0, 8.0)) if path in ("/txn", "/hosts", "/do") else 0.0
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -62,7 +62,7 @@
 
 
 def failover(machines: int) -> Ledger:
-    """A new leader's ledger: the roster is read, and nobody has reported."""
+    """A new leader's ledger: the machine registry is read, and nobody has reported."""
     led = ledger(100.0)
     for n in range(machines):
         led.add_machine(f"m{n}", "small", "north", False, 100.0, registered=True)
@@ -148,7 +148,7 @@
 
 def test_all_machines_that_go_at_once_are_known_to_be_gone() -> None:
     # With 2,000 names kept, the older half of them came back from a list that lags, as machines
-    # that nobody had hired.
+    # that nobody had provisioned.
     led = ready()
     names = [machine(led, f"host-{n:06d}").name for n in range(LARGE)]
     for name in names:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -74,7 +74,7 @@
     led.tick(over + 0.01)
     assert led.machines["m1"].phase == LOST
     assert not one.bindings and led.usage[one.team][0] == 0.0
-    # A late report of that session is old news: it neither revives the machine nor its task.
+    # A late heartbeat of that incarnation is old news: it neither revives the machine nor its task.
     assert led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", 1, "running")), over + 1.0) is None
     assert led.handle_heartbeat(heartbeat("m1", 4, incarnation=2), over + 2.0) == []
     assert led.machines["m1"].phase == UP
@@ -251,7 +251,7 @@
         led.handle_heartbeat(
             heartbeat("m1", 2, ("req-1/0", 5, "running")), 0.0
         )  # adopted: attempt 5
-        led.handle_heartbeat(heartbeat("m2", 2, ("req-1/1", 4, "running")), 0.0)  # stray
+        led.handle_heartbeat(heartbeat("m2", 2, ("req-1/1", 4, "running")), 0.0)  # orphan task
         led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", 5, "exited", "mates_gone")), 1.0)
         place(led, 1.0)
         assert not one.bindings
@@ -366,7 +366,7 @@
 
 
 class TestCopies:
-    """Copies of reports come late: seconds to well over a lease."""
+    """Copies of heartbeats come late: seconds to well over a lease."""
 
     @pytest.mark.parametrize("late", [2.0, 30.0])
     def test_a_copy_of_an_earlier_term_shows_nothing(self, late: float) -> None:
@@ -387,7 +387,7 @@
         after = ledger(fencing_token=8)
         copy = heartbeat("m1", 1, ("req-1/0", 3, "running"), fencing_token=7)
         assert after.handle_heartbeat(copy, 40.0) == [] and not after.machines
-        # One that is up and was not known hears the token and reports under it.
+        # One that is up and was not known hears the token and heartbeats under it.
         assert (
             after.handle_heartbeat(heartbeat("m2", 1, fencing_token=0), 41.0) == []
             and not after.machines
@@ -404,7 +404,7 @@
         led.handle_heartbeat(heartbeat("m1", 5, ("req-1/0", attempt, "running")), 1.0)
         assert led.handle_heartbeat(heartbeat("m1", 2), 9.0) == []
         assert one.bindings[0].phase == "running" and led.machines["m1"].last_heartbeat_at == 1.0
-        # It may have been a report that a direct answer overtook: its answer renews the lease.
+        # It may have been a heartbeat that a direct answer overtook: its answer renews the lease.
         led.tick(certainly_expired_at(1.0, led.limits.workers.lease_s) + 0.1)
         assert one.bindings
         led.tick(certainly_expired_at(9.0, led.limits.workers.lease_s) + 0.1)
@@ -500,7 +500,8 @@
 
 
 def test_an_exit_that_is_shown_again_is_reaped_once_that_is_safe() -> None:
-    # A report that shows what the last one did is not looked at, unless something is to come of it.
+    # A heartbeat that shows what the last one did is not looked at, unless something is to come of
+    # it.
     led = ready()
     machine(led, "m1")
     one = job(led, task_count=2)
@@ -567,7 +568,7 @@
 
 
 class TestOneWay:
-    """A machine's reports arrive, but answers and commands don't reach it."""
+    """A machine's heartbeats arrive, but answers and commands don't reach it."""
 
     def deaf(self) -> tuple:
         led = ready()
@@ -607,7 +608,7 @@
 
     @pytest.mark.parametrize(("heard", "deaf"), [(9.0, True), (1.0, False)])
     def test_a_session_that_rises_though_it_was_answered(self, heard: float, deaf: bool) -> None:
-        # One that hung for its whole lease begins a new session as well, and hears well.
+        # One that hung for its whole lease begins a new incarnation as well, and hears well.
         led = ready()
         machine(led, "m1", heard)
         led.handle_heartbeat(heartbeat("m1", 1, incarnation=2), 13.0)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -193,7 +193,7 @@
     }
     led = Ledger(limits(workers=workers), 7, 100.0)
     ttl = leader_ttl(lease_s)
-    # A machine that hears nothing more: its lease, from the last report that was answered.
+    # A machine that hears nothing more: its lease, from the last heartbeat that was answered.
     assert certainly_expired_at(0.0, lease_s) < cancel_s
     # A leader that has read nothing: one lease before it began, what it answers, one lease after.
     assert (
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -486,8 +486,9 @@
         lasted: float,
         to_provision: int,
     ) -> None:
-        # Seen on loss, moana-buoys-fleet: 12,000 tasks waited beside 1,700 CPUs not hired. Hiring
-        # for any long line, or for one that is due, cost the small deployment what it gained here.
+        # Seen on loss, moana-buoys-fleet: 12,000 tasks waited beside 1,700 CPUs not provisioned.
+        # Hiring for any long line, or for one that is due, cost the small deployment what it gained
+        # here.
         led = ready()
         for n in range(up):
             machine(led, f"m{n}")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What one report, one pass, one plan and one takeover cost, by a count that repeats.
+"""What one heartbeat, one pass, one plan and one failover cost, by a count that repeats.
 
 Counted are calls of Python functions, so no clock and no machine changes the verdict.
 """
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("slow", [False, True])
 def test_no_report_is_answered_with_a_lease_that_ran_out_meanwhile(slow: bool) -> None:
-    # A clock that goes on while a report is worked on, as it does at a small share of a core.
+    # A clock that goes on while a heartbeat is worked on, as it does at a small share of a core.
     async def day() -> tuple[int, int]:
         world = World(seed=1)
         while (leader := world.leader()) is None or not leader.term.ledger.loaded:
@@ -219,7 +219,7 @@
 
 @pytest.mark.parametrize("silent", [0, 2, 10])
 def test_a_plan_grows_no_faster_than_the_fleet(silent: int) -> None:
-    # In a takeover, too, with half or a tenth of the fleet silent: each machine counted all of
+    # In a failover, too, with half or a tenth of the fleet silent: each machine counted all of
     # them, a million calls at 1,000 machines.
     def cost(machines: int) -> int:
         led = full(machines)
@@ -505,8 +505,8 @@
 def test_a_place_that_is_taken_serves_a_line_only_once_it_is_free(
     run_s: float, age_s: float, waiting: int, hired: bool
 ) -> None:
-    # Seen on troubles, prairie-ledger-lean: no hire for a minute while 300 to 1,655 tasks waited.
-    # Places that free within a boot counted as if they were free.
+    # Seen on troubles, prairie-ledger-lean: no provision for a minute while 300 to 1,655 tasks
+    # waited. Places that free within a boot counted as if they were free.
     led = ready()
     led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
     for n in range(25):
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -26,7 +26,7 @@
 
 
 def takeover_without_types() -> Ledger:
-    """A ledger that has read the roster, and not the machine types."""
+    """A ledger that has read the machine registry, and not the machine types."""
     made = Ledger(limits(), 7, 0.0)
     assert CUT_POLICY is not None
     made.shared_silence = SharedSilence(made, CUT_POLICY, 0.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -160,7 +160,7 @@
                 expected |= fresh  # all of it was written
                 break
         rows = service.rows
-        # A machine counts as rostered once its page was written, which these writers never
+        # A machine counts as registered once its page was written, which these writers never
         # heard; dropped ones may come back, as machines that are found to be gone.
         assert expected.keys() <= service.items().keys(), turn
 
--- a/tests/test_zone_days.py
+++ b/tests/test_zone_days.py
@@ -56,7 +56,7 @@
             await self.crash("n2")
 
     def bring_back(self, zone: str, most: int = 10) -> None:
-        """The zone's machines are there again, and can be hired."""
+        """The zone's machines are there again, and can be provisioned."""
         self.return_machines(zone, most)
         if zone == "south" and self.controllers["n2"] is None:
             self.boot("n2")
@@ -177,7 +177,7 @@
 
 
 async def one_way(world: ZoneDay) -> None:
-    """Reports of the zone arrive, and answers don't; then the same the other way round."""
+    """Heartbeats of the zone arrive, and answers don't; then the same the other way round."""
     for name in ("deaf", "mute"):
         for worker in world.in_zone("south"):
             setattr(worker, name, True)
--- a/tests/test_zone_loopback.py
+++ b/tests/test_zone_loopback.py
@@ -102,7 +102,8 @@
             await asyncio.sleep(2.0)
             world.return_machines("south", MACHINES)
             local.start(2)
-            # Machines are hired in a lost zone, to see whether it is back, where work asks for it.
+            # Machines are provisioned in a lost zone, to see whether it is back, where work asks
+            # for it.
             late = spec("req-5", task_count=60, vcpus=1.0, estimated_run_s=4.0, zone="south")
             await world.ask("POST", "/work", given(late))
             await world.until_zone("recovering", "available")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -262,7 +262,7 @@
 
 
 def test_a_machine_that_comes_up_in_a_lost_zone_is_withheld_at_once() -> None:
-    # Its first report would be answered with starts, before the zones are looked at again.
+    # Its first heartbeat would be answered with starts, before the zones are looked at again.
     led, recovery = two_zones()
     lose(led, recovery)
     assert machine(led, "s-new", now=20.5, zone="south").awaiting_slow_start
@@ -270,7 +270,7 @@
 
 
 def test_nothing_is_judged_before_a_takeover_is_complete() -> None:
-    # The roster is read, and nobody has reported yet: all of it looks silent.
+    # The machine registry is read, and nobody has reported yet: all of it looks silent.
     led, recovery = two_zones()
     led.ready = False
     for now in range(1, 20):
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -12,7 +12,8 @@
 
 
 def partial_most_s() -> float:
-    """For how long a gang may be incomplete: its members are told at their next reports, and those
+    """For how long a gang may be incomplete: its members are told at their next heartbeats, and
+    those
     of an attempt that is over end at theirs, by themselves, or with their lease."""
     workers = LIMITS["workers"]
     return float(workers["lease_s"] + 3.0 * workers["report_s"] + 2.0)
@@ -55,7 +56,7 @@
         return [worker for worker in self.cloud.hosts.values() if worker.zone == zone]
 
     def lose_machines(self, zone: str, dead: bool) -> None:
-        """The zone's machines lose power, or reach nobody; none can be hired there."""
+        """The zone's machines lose power, or reach nobody; none can be provisioned there."""
         self.most_in_zone[zone] = 0
         for worker in self.in_zone(zone):
             if dead:
@@ -64,7 +65,7 @@
                 worker.cut = True
 
     def return_machines(self, zone: str, most: int) -> None:
-        """The zone's machines reach everybody again, and can be hired."""
+        """The zone's machines reach everybody again, and can be provisioned."""
         self.most_in_zone[zone] = most
         for worker in self.in_zone(zone):
             worker.cut = False
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -54,7 +54,7 @@
 POLLS_PER_S, SUBMISSIONS_PER_S, PROBES_PER_S = 8.0, 1.0, 3.0
 CALLS_PER_S, LOG_LINES_PER_S = 4.0, 10.0
 PASSES_PER_S, LOOKS_PER_S, PLANS_PER_S, ACCOUNTS_PER_S = 4.0, 2.0, 1.0, 0.5
-ENDED_PART = 0.1  # of the reports, that show the end of a task
+ENDED_PART = 0.1  # of the heartbeats, that show the end of a task
 
 HttpRequest = tuple[str, str, bytes | None]
 
@@ -154,7 +154,7 @@
     fencing_token: int = FENCING_TOKEN,
     incarnation: int = 1,
 ) -> Heartbeat:
-    """A report of a machine with what is bound to it, of which some has ended."""
+    """A heartbeat of a machine with what is bound to it, of which some has ended."""
     task_count: list[tuple[Any, ...]] = [
         (b.task_id, b.attempt, "running") for b in ledger.machines[name].bindings.values()
     ]
