--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -40,14 +40,11 @@
 from salthead.event_log import event
 from salthead.failure_detection.blocked_actions import BlockedActions
 from salthead.failure_detection.preconditions import Action, Precondition, permits
-from salthead.heartbeats import handling
 from salthead.leases.leader_lease import unloaded_grace_s
 from salthead.leases.worker_leases import WorkerLeases
 from salthead.protocol import wire_names
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import (
-    Command,
-    Heartbeat,
     MachineType,
     Submission,
 )
@@ -593,15 +590,6 @@
             or (self.shared_silence is not None and not self.failover.could_run(job))
         )
 
-    def handle_heartbeat(
-        self,
-        heartbeat: Heartbeat,
-        now: float,
-        direct: bool = False,
-    ) -> list[Command] | None:
-        """Commands for the worker, or None when the heartbeat must not be answered with 200."""
-        return handling.handle(self, heartbeat, now, direct)
-
     # -- views --------------------------------------------------------------------------
 
     def unfinished_dependencies(self, job_id: str, most: int) -> list[str]:
--- a/src/salthead/cluster/machine_health.py
+++ b/src/salthead/cluster/machine_health.py
@@ -3,13 +3,10 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
+from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
 
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
-
 log = logging.getLogger(__name__)
 
 # Errors of different jobs in a row, with nothing completed between, that condemn a machine.
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -6,13 +6,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import EPSILON, Binding, Job
 
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
-
 
 def startable(ledger: Ledger, job: Job) -> bool:
     """Whether tasks of the job that have no machine may be given one now.
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -4,8 +4,8 @@
 
 import logging
 import math
-from typing import TYPE_CHECKING
 
+from salthead.cluster.ledger import Ledger
 from salthead.cluster.machine_health import mark_unresponsive
 from salthead.cluster.model import BOOTING, LOST, UP, Machine, ReleaseReason
 from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
@@ -13,9 +13,6 @@
 from salthead.protocol import wire_names
 from salthead.protocol.messages import Command, Heartbeat
 
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
-
 log = logging.getLogger(__name__)
 
 JOBS_KNOWN, MACHINE_NOT_TERMINATED = (
@@ -28,7 +25,7 @@
 )
 
 
-def handle(
+def handle_heartbeat(
     ledger: Ledger,
     heartbeat: Heartbeat,
     now: float,
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
 from salthead import metrics
 from salthead.cluster import orphans
+from salthead.cluster.ledger import Ledger
 from salthead.cluster.machine_health import errored, mark_unresponsive
 from salthead.cluster.model import Binding, Machine, ReleaseReason
 from salthead.cluster.start_rules import wanted
@@ -24,9 +24,6 @@
     split_task_id,
 )
 
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
-
 log = logging.getLogger(__name__)
 
 # Keeps an answer to a worker well under 64 KiB; the rest follows in the next answer.
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -13,6 +13,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Machine
 from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader.autoscaler import PAUSE_FACTOR, Autoscaler
 from salthead.leader.job_records import JobRecords
 from salthead.leader.leadership import Leadership
@@ -221,7 +222,7 @@
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
         """Commands for a worker; None if it must not be answered with 200."""
-        return self.ledger.handle_heartbeat(heartbeat, self.now())
+        return handle_heartbeat(self.ledger, heartbeat, self.now())
 
     async def decide_loop(self) -> None:
         """Decide again and again, sooner when something has changed."""
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -10,6 +10,7 @@
 from salthead.cluster import machine_health
 from salthead.cluster.model import LOST, UP, Machine
 from salthead.failure_detection.preconditions import Action, Precondition
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.heartbeats.task_reconciliation import MAX_COMMANDS
 from salthead.protocol import wire_names
 from salthead.protocol.messages import Command, CommandRequest, Heartbeat, StopCommand, shape
@@ -86,7 +87,7 @@
             if heartbeat.worker != machine.name:
                 return
             if answer.status == 200:
-                self.term.ledger.handle_heartbeat(heartbeat, self.term.now(), direct=True)
+                handle_heartbeat(self.term.ledger, heartbeat, self.term.now(), direct=True)
                 return
             incarnation = heartbeat.incarnation
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,6 +9,7 @@
 from salthead.cluster.invariants import Invariants
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.protocol.messages import Command, Heartbeat, MachineType, Submission, TaskStatus
 from salthead.settings import Limits, Settings
 
@@ -164,7 +165,7 @@
         now,
         registered=True,
     )
-    assert led.handle_heartbeat(heartbeat(name, 1, **kind), now) == []
+    assert handle_heartbeat(led, heartbeat(name, 1, **kind), now) == []
     return led.machines[name]
 
 
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -29,6 +29,7 @@
 )
 from salthead.failure_detection.shared_silence import SharedSilence
 from salthead.heartbeats import handling
+from salthead.heartbeats.handling import handle_heartbeat
 from standins import run
 from test_scale import calls
 
@@ -88,11 +89,11 @@
 def test_an_answer_is_confirmed_by_what_the_worker_does_next() -> None:
     led = ready(initial_size=3)
     links = machine(led, "m1").links
-    led.handle_heartbeat(heartbeat("m1", 2), 2.0)
+    handle_heartbeat(led, heartbeat("m1", 2), 2.0)
     assert links.answers_at == 0.0, "the one before this report"
-    led.handle_heartbeat(heartbeat("m1", 4), 4.0)  # it was at another controller in between
+    handle_heartbeat(led, heartbeat("m1", 4), 4.0)  # it was at another controller in between
     assert links.answers_at == 0.0
-    led.handle_heartbeat(heartbeat("m1", 5), 5.0)
+    handle_heartbeat(led, heartbeat("m1", 5), 5.0)
     assert links.answers_at == 4.0
 
 
@@ -114,7 +115,7 @@
     found = led.add_machine("m1", "small", "north", False, 0.0, registered=True)
     for sequence, at in heartbeats:
         (found.links.command_answered if called else found.links.command_failed)(at - 0.5)
-        led.handle_heartbeat(heartbeat("m1", sequence, fencing_token=3), at)
+        handle_heartbeat(led, heartbeat("m1", sequence, fencing_token=3), at)
     assert led.leases.expires_at(found) == pytest.approx(lost_at, abs=0.02)
     led.tick(lost_at + 0.1)
     assert found.phase == LOST and led.ready
@@ -123,7 +124,7 @@
 def test_a_report_that_went_to_another_node_shows_an_answer_unheard() -> None:
     led = with_policy(ledger())
     found = led.add_machine("m1", "small", "north", False, 0.0, registered=True)
-    led.handle_heartbeat(heartbeat("m1", 5, fencing_token=3), 8.0)
+    handle_heartbeat(led, heartbeat("m1", 5, fencing_token=3), 8.0)
     for sequence, over in ((5, 8.0 + LEASE_S), (6, LEASE_S)):
         handling.heartbeat_seen_by_peer(led, "m1", (1, sequence), False, 9.0)
         assert led.leases.expires_at(found) == pytest.approx(over, abs=0.02)
@@ -187,7 +188,7 @@
     found = []
     for now in range(2, 60, 2):
         for name in names[silent:]:
-            led.handle_heartbeat(heartbeat(name, now), float(now))
+            handle_heartbeat(led, heartbeat(name, now), float(now))
         led.tick(float(now))
         for name in names[:silent]:
             if one_way == "commands" and now > 8:
@@ -204,7 +205,7 @@
     found = machine(led, "m1")
     found.unresponsive_since = 0.0
     for now, returned in ((LEASE_S + 1.0, 0), (21.0, 1)):
-        led.handle_heartbeat(heartbeat("m1", int(now)), now)
+        handle_heartbeat(led, heartbeat("m1", int(now)), now)
         assert (
             len(fleet_plan.plan(led, now, fleet_plan.CapacityBackoff(), {}).to_terminate)
             == returned
@@ -223,7 +224,7 @@
     led.shared_silence.look(1.0)
     assert not led.shared_silence.cut, "nobody has had the time to find this leader"
     for n in range(south, 40):
-        led.handle_heartbeat(heartbeat(f"m{n}", 1), 2.0)
+        handle_heartbeat(led, heartbeat(f"m{n}", 1), 2.0)
     plan = fleet_plan.plan(led, 4.0, fleet_plan.CapacityBackoff(), {})
     assert list(plan.reasons.values()) == [SILENT_REASON] * returned
 
@@ -236,7 +237,7 @@
     assert silence is not None
     for now in range(2, 15):
         for n in range(3, 12):
-            led.handle_heartbeat(heartbeat(f"m{n}", now), float(now))
+            handle_heartbeat(led, heartbeat(f"m{n}", now), float(now))
         led.tick(float(now))
         silence.look(float(now))
     for name in ("m0", "m1"):
@@ -254,8 +255,8 @@
     for now in range(2, 24):
         for n in range(20):
             if n % 2 == 0 or now < n // 3:  # the south falls silent over six seconds
-                led.handle_heartbeat(
-                    heartbeat(f"m{n}", now, zone=("north", "south")[n % 2]), float(now)
+                handle_heartbeat(
+                    led, heartbeat(f"m{n}", now, zone=("north", "south")[n % 2]), float(now)
                 )
         led.tick(float(now))
         plan = fleet_plan.plan(led, float(now), fleet_plan.CapacityBackoff(), {})
@@ -274,11 +275,11 @@
     lost = TerminationDecision.of(found, LOST_REASON)
     assert lost.holds() and not idle.holds()
     found.cordoned = True
-    led.handle_heartbeat(heartbeat("m1", 1, incarnation=2), LEASE_S + 2.0)
+    handle_heartbeat(led, heartbeat("m1", 1, incarnation=2), LEASE_S + 2.0)
     assert found.phase == UP and not lost.holds() and not found.cordoned
     silent = TerminationDecision.of(found, SILENT_REASON)
     assert silent.holds()
-    led.handle_heartbeat(heartbeat("m1", 2, incarnation=2), LEASE_S + 3.0)
+    handle_heartbeat(led, heartbeat("m1", 2, incarnation=2), LEASE_S + 3.0)
     assert not silent.holds(), "up as before, and no longer silent"
 
 
@@ -298,8 +299,8 @@
 ) -> None:
     led = with_policy(ready())
     found = machine(led, "m1")
-    led.handle_heartbeat(heartbeat("m1", 2), 2.0)
-    led.handle_heartbeat(heartbeat("m1", 3), 2.0)
+    handle_heartbeat(led, heartbeat("m1", 2), 2.0)
+    handle_heartbeat(led, heartbeat("m1", 3), 2.0)
     if before == "deposed":
         led.newer_fencing_token = 9
     elif before == "lost":
@@ -310,7 +311,7 @@
         found.registered = False
         led.bind(job(led, task_count=1), 0, found, 5, 2.0)
     more = {name: value for name, value in given.items() if name != "sequence"}
-    answer = led.handle_heartbeat(heartbeat("m1", given.get("sequence", 4), **more), 9.0)
+    answer = handle_heartbeat(led, heartbeat("m1", given.get("sequence", 4), **more), 9.0)
     lost = before == "lost" and given.get("incarnation") != 2
     refused = not answered or before == "deposed" or lost
     assert answer == (None if refused else [])
@@ -337,9 +338,9 @@
     for n in range(machines):
         machine(led, f"m{n}", zone=("north", "south")[n % 2])
     same = [heartbeat("m1", n, zone="south") for n in (2, 3, 4)]
-    led.handle_heartbeat(same[0], 1.0)
-    led.handle_heartbeat(same[1], 2.0)
-    assert calls(lambda: led.handle_heartbeat(same[2], 3.0)) <= 5, (
+    handle_heartbeat(led, same[0], 1.0)
+    handle_heartbeat(led, same[1], 2.0)
+    assert calls(lambda: handle_heartbeat(led, same[2], 3.0)) <= 5, (
         "three as without, two for the bitmap"
     )
     silence = led.shared_silence
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -16,6 +16,7 @@
 )
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import ResourceUsage
+from salthead.heartbeats.handling import handle_heartbeat
 
 
 def bind(led: Ledger, index: int = 0, granted: bool = True) -> None:
@@ -57,7 +58,7 @@
 def start_that_its_job_does_not_know(led: Ledger) -> None:
     bind(led)
     del led.jobs["req-1"].bindings[0]
-    led.handle_heartbeat(heartbeat("m1", 2), 2.0)
+    handle_heartbeat(led, heartbeat("m1", 2), 2.0)
 
 
 def wrong_sum_of_a_team(led: Ledger) -> None:
@@ -111,7 +112,7 @@
     fault(led)
     started = {
         task
-        for verb, task in verbs(led.handle_heartbeat(heartbeat("m1", 3), 3.0))
+        for verb, task in verbs(handle_heartbeat(led, heartbeat("m1", 3), 3.0))
         if verb == "start"
     }
     assert started == ({f"req-1/{n}" for n in range(6)} if fault is above_the_limit else set())
@@ -123,8 +124,8 @@
     led = ledger()
     led.add_machine("m1", "big", "north", False, 0.0, registered=True)
     one = job(led, team="red", task_count=9, vcpus=4.0)
-    led.handle_heartbeat(
-        heartbeat("m1", 1, *((f"req-1/{n}", n + 1, "running") for n in range(8))), 0.5
+    handle_heartbeat(
+        led, heartbeat("m1", 1, *((f"req-1/{n}", n + 1, "running") for n in range(8))), 0.5
     )
     assert len(one.bindings) == 8 and led.usage[one.team][0] == 32.0
 
@@ -138,10 +139,10 @@
     for index, name in enumerate(("m1", "m2")):
         led.bind(one, index, led.machines[name], 5, 0.0)
     # An earlier attempt has completed: one of its tasks speaks for all.
-    led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", 3, "exited", "done")), 1.0)
+    handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", 3, "exited", "done")), 1.0)
     assert one.complete
-    assert verbs(led.handle_heartbeat(heartbeat("m2", 2), 1.5)) == []
-    led.handle_heartbeat(heartbeat("m2", 3), 3.0)
+    assert verbs(handle_heartbeat(led, heartbeat("m2", 2), 1.5)) == []
+    handle_heartbeat(led, heartbeat("m2", 3), 3.0)
     assert 1 not in one.bindings and led.machines["m2"].allocated == ResourceUsage()
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -18,6 +18,7 @@
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.controller.server import listen
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader.autoscaler import LIST_INTERVAL_S, Autoscaler
 from salthead.leases import zone_leases
 from salthead.scheduling import placement
@@ -39,8 +40,10 @@
 def test_work_per_report_does_not_grow_with_the_fleet(gone: int) -> None:
     def cost(machines: int) -> int:
         led = full(machines)
-        led.handle_heartbeat(heartbeat("m1", 2, *shown(led, "m1")), 1.0)
-        return calls(lambda: led.handle_heartbeat(heartbeat("m1", 3, *shown(led, "m1", gone)), 2.0))
+        handle_heartbeat(led, heartbeat("m1", 2, *shown(led, "m1")), 1.0)
+        return calls(
+            lambda: handle_heartbeat(led, heartbeat("m1", 3, *shown(led, "m1", gone)), 2.0)
+        )
 
     assert grown(cost) <= MARGIN
 
@@ -75,7 +78,7 @@
 
 def come_back(led: Ledger) -> None:
     for name in [name for n, name in enumerate(led.machines) if n % 3 == 0]:
-        led.handle_heartbeat(heartbeat(name, 9, incarnation=2), 110.0)
+        handle_heartbeat(led, heartbeat(name, 9, incarnation=2), 110.0)
 
 
 @pytest.mark.parametrize(
@@ -154,7 +157,7 @@
     for name in names:
         led.machine_gone(led.machines[name], 5.0)
     assert len(led.recently_gone) == LARGE > ledgers.MIN_REMEMBERED_MACHINES
-    assert all(led.handle_heartbeat(heartbeat(name, 2), 6.0) is None for name in names)
+    assert all(handle_heartbeat(led, heartbeat(name, 2), 6.0) is None for name in names)
     assert led.machines == {} and led.unregistered == {}
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,6 +8,7 @@
 from salthead.autoscaling import fleet_plan
 from salthead.cluster import machine_health, orphans
 from salthead.cluster.model import LOST, UP, ResourceUsage
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leases.leader_lease import certainly_expired_at
 from salthead.protocol.messages import StartCommand, StopCommand, Submission
 from salthead.scheduling import placement
@@ -24,17 +25,17 @@
     place(led)
     attempt = one.bindings[0].attempt
     start = [StartCommand("req-1/0", attempt)]
-    assert led.handle_heartbeat(heartbeat("m1", 2), 1.0) == start
-    assert led.handle_heartbeat(heartbeat("m1", 3), 2.0) == start, "the answer may have been lost"
+    assert handle_heartbeat(led, heartbeat("m1", 2), 1.0) == start
+    assert handle_heartbeat(led, heartbeat("m1", 3), 2.0) == start, "the answer may have been lost"
     shown = ("req-1/0", attempt, "running")
-    assert led.handle_heartbeat(heartbeat("m1", 4, shown), 3.0) == []
+    assert handle_heartbeat(led, heartbeat("m1", 4, shown), 3.0) == []
     done = ("req-1/0", attempt, "exited", "done")
-    assert led.handle_heartbeat(heartbeat("m1", 5, done), 4.0) == [], (
+    assert handle_heartbeat(led, heartbeat("m1", 5, done), 4.0) == [], (
         "done is reaped once it is durable"
     )
     assert one.complete and not one.bindings
     led.saved(one, [0])
-    assert verbs(led.handle_heartbeat(heartbeat("m1", 6, done), 5.0)) == [("reap", "req-1/0")]
+    assert verbs(handle_heartbeat(led, heartbeat("m1", 6, done), 5.0)) == [("reap", "req-1/0")]
 
 
 @pytest.mark.parametrize(
@@ -54,7 +55,7 @@
     one = job(led, task_count=1)
     place(led)
     attempt = one.bindings[0].attempt
-    orders = led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", attempt, "exited", cause)), 1.0)
+    orders = handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", attempt, "exited", cause)), 1.0)
     assert one.waiting() == (1 if again else 0)
     assert bool(orders) == again, "all but done are reaped at once"
     assert led.usage[one.team] == [0.0, 0.0] and led.machines["m1"].allocated == ResourceUsage()
@@ -65,8 +66,8 @@
     one = job(led, team="red", task_count=1, vcpus=8.0)
     machine(led, "m1")
     place(led)
-    led.handle_heartbeat(
-        heartbeat("m1", 2, ("req-1/0", one.attempt or one.bindings[0].attempt, "running")), 1.0
+    handle_heartbeat(
+        led, heartbeat("m1", 2, ("req-1/0", one.attempt or one.bindings[0].attempt, "running")), 1.0
     )
     over = certainly_expired_at(1.0, led.limits.workers.lease_s)
     led.tick(over - 0.01)
@@ -75,8 +76,8 @@
     assert led.machines["m1"].phase == LOST
     assert not one.bindings and led.usage[one.team][0] == 0.0
     # A late heartbeat of that incarnation is old news: it neither revives the machine nor its task.
-    assert led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", 1, "running")), over + 1.0) is None
-    assert led.handle_heartbeat(heartbeat("m1", 4, incarnation=2), over + 2.0) == []
+    assert handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", 1, "running")), over + 1.0) is None
+    assert handle_heartbeat(led, heartbeat("m1", 4, incarnation=2), over + 2.0) == []
     assert led.machines["m1"].phase == UP
 
 
@@ -85,7 +86,7 @@
     machine(led, "m1")
     one = job(led, task_count=2)
     place(led)
-    led.handle_heartbeat(heartbeat("m1", 9, incarnation=2), 1.0)
+    handle_heartbeat(led, heartbeat("m1", 9, incarnation=2), 1.0)
     assert one.waiting() == 2
 
 
@@ -95,14 +96,14 @@
     one = job(led, task_count=1)
     place(led)
     attempt = one.bindings[0].attempt
-    led.handle_heartbeat(heartbeat("m1", 5, ("req-1/0", attempt, "running")), 1.0)
-    assert led.handle_heartbeat(heartbeat("m1", 4), 2.0) == []
+    handle_heartbeat(led, heartbeat("m1", 5, ("req-1/0", attempt, "running")), 1.0)
+    assert handle_heartbeat(led, heartbeat("m1", 4), 2.0) == []
     assert one.bindings, "a report older than the newest is not proof that a task is gone"
 
 
 def test_a_higher_token_deposes() -> None:
     led = ready()
-    assert led.handle_heartbeat(heartbeat("m1", 1, fencing_token=8), 0.0) is None
+    assert handle_heartbeat(led, heartbeat("m1", 1, fencing_token=8), 0.0) is None
     assert led.newer_fencing_token == 8
 
 
@@ -113,10 +114,10 @@
         led.add_machine("m2", "small", "north", False, 0.0, registered=True)
         job(led)
         # Still under the old token: commands of the old leader may yet be executed.
-        led.handle_heartbeat(heartbeat("m1", 1, fencing_token=6), 0.5)
+        handle_heartbeat(led, heartbeat("m1", 1, fencing_token=6), 0.5)
         led.tick(0.6)
         assert not led.ready
-        led.handle_heartbeat(heartbeat("m1", 2), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2), 1.0)
         led.tick(1.1)
         assert not led.ready, "m2 may run anything"
         place(led, 1.2)
@@ -147,13 +148,13 @@
         led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         one = job(led, task_count=2)
         found = heartbeat("m1", 4, ("req-1/0", 3, "running"))
-        led.handle_heartbeat(found, 1.0, direct=True)
+        handle_heartbeat(led, found, 1.0, direct=True)
         led.tick(1.1)
         assert led.ready and 0 in one.bindings
         place(led, 1.2)
         assert one.bindings[1].phase == ""
         led.request_stop(one.bindings[1], 0.0)
-        led.handle_heartbeat(heartbeat("m1", 5, ("req-1/0", 3, "running")), 1.5, direct=True)
+        handle_heartbeat(led, heartbeat("m1", 5, ("req-1/0", 3, "running")), 1.5, direct=True)
         assert 1 in one.bindings, "its start may be on the way in an answer to a report"
         led.tick(certainly_expired_at(0.0, led.limits.workers.lease_s) + 0.1)
         assert led.machines["m1"].phase == LOST
@@ -163,10 +164,10 @@
         for name in ("m1", "m2"):
             led.add_machine(name, "small", "north", False, 0.0, registered=True)
         one = job(led, task_count=2)
-        led.handle_heartbeat(
-            heartbeat("m1", 1, ("req-1/1", 33, "running"), ("req-1/0", 34, "fetching")), 0.5
+        handle_heartbeat(
+            led, heartbeat("m1", 1, ("req-1/1", 33, "running"), ("req-1/0", 34, "fetching")), 0.5
         )
-        led.handle_heartbeat(heartbeat("m2", 1), 0.5)
+        handle_heartbeat(led, heartbeat("m2", 1), 0.5)
         led.tick(0.6)
         assert led.ready and one.waiting() == 0
         assert one.bindings[1].attempt == 33
@@ -178,11 +179,11 @@
         one = job(led, task_count=1)
         place(led)
         attempt = one.bindings[0].attempt
-        led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", attempt, "running")), 1.0)
-        led.handle_heartbeat(heartbeat("m2", 1, ("req-1/0", 5, "exited", "done")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", attempt, "running")), 1.0)
+        handle_heartbeat(led, heartbeat("m2", 1, ("req-1/0", 5, "exited", "done")), 1.0)
         assert one.complete
         assert verbs(
-            led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", attempt, "running")), 2.0)
+            handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", attempt, "running")), 2.0)
         ) == [("stop", "req-1/0")]
 
     @pytest.mark.parametrize(
@@ -196,7 +197,7 @@
         led = ledger()
         one = job(led, shape="gang", task_count=2)
         for name, task_id, attempt in task_count:
-            led.handle_heartbeat(heartbeat(name, 1, (task_id, attempt, "running")), 0.5)
+            handle_heartbeat(led, heartbeat(name, 1, (task_id, attempt, "running")), 0.5)
         assert len(one.bindings) == adopted
 
     def test_a_gang_of_which_only_a_part_was_started_is_drawn_anew(self) -> None:
@@ -205,30 +206,30 @@
         for name in ("m1", "m2"):
             led.add_machine(name, "small", "north", False, 0.0, registered=True)
         one = job(led, shape="gang", task_count=2)
-        led.handle_heartbeat(heartbeat("m1", 1, ("req-1/0", 5, "gathering")), 0.5)
-        led.handle_heartbeat(heartbeat("m2", 1), 0.5)
+        handle_heartbeat(led, heartbeat("m1", 1, ("req-1/0", 5, "gathering")), 0.5)
+        handle_heartbeat(led, heartbeat("m2", 1), 0.5)
         led.tick(0.6)
-        orders = led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", 5, "gathering")), 1.0)
+        orders = handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", 5, "gathering")), 1.0)
         assert verbs(orders) == [("stop", "req-1/0")]
-        led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", 5, "exited", "halted")), 1.5)
+        handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", 5, "exited", "halted")), 1.5)
         place(led, 2.0)
         assert len(one.bindings) == 2 and one.attempt > 5
 
     def test_reports_before_the_jobs_are_loaded_only_keep_the_worker_alive(self) -> None:
         led = ledger()
         led.loaded = False
-        assert led.handle_heartbeat(heartbeat("m1", 1, ("req-1/0", 3, "running")), 0.1) == []
+        assert handle_heartbeat(led, heartbeat("m1", 1, ("req-1/0", 3, "running")), 0.1) == []
         assert not led.machines, "the roster says what was started anything"
         led.loaded = True
         job(led, task_count=1)
-        led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", 3, "running")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", 3, "running")), 1.0)
         assert led.jobs["req-1"].bindings
 
 
 class TestStrays:
     def test_a_stray_of_an_ended_job_is_stopped_and_holds_quota(self) -> None:
         led = ready()
-        orders = led.handle_heartbeat(heartbeat("m1", 1, ("req-9/0", 3, "running")), 0.0)
+        orders = handle_heartbeat(led, heartbeat("m1", 1, ("req-9/0", 3, "running")), 0.0)
         assert orders == [StopCommand("req-9/0", 3, 0.0)]
         machine(led, "m2")
         job(led, team="red", task_count=1)
@@ -238,8 +239,8 @@
         orphans.identify_job(led, ended)
         place(led, 5.0)
         assert not led.jobs["req-1"].bindings, "23 of 24 CPUs are taken"
-        led.handle_heartbeat(heartbeat("m1", 2), 6.0)
-        led.handle_heartbeat(heartbeat("m2", 2), 9.0)
+        handle_heartbeat(led, heartbeat("m1", 2), 6.0)
+        handle_heartbeat(led, heartbeat("m2", 2), 9.0)
         place(led, 10.0)
         assert led.jobs["req-1"].bindings
 
@@ -248,14 +249,14 @@
         machine(led, "m1")
         machine(led, "m2")
         one = job(led, shape="gang", task_count=2)
-        led.handle_heartbeat(
-            heartbeat("m1", 2, ("req-1/0", 5, "running")), 0.0
+        handle_heartbeat(
+            led, heartbeat("m1", 2, ("req-1/0", 5, "running")), 0.0
         )  # adopted: attempt 5
-        led.handle_heartbeat(heartbeat("m2", 2, ("req-1/1", 4, "running")), 0.0)  # orphan task
-        led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", 5, "exited", "mates_gone")), 1.0)
+        handle_heartbeat(led, heartbeat("m2", 2, ("req-1/1", 4, "running")), 0.0)  # orphan task
+        handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", 5, "exited", "mates_gone")), 1.0)
         place(led, 1.0)
         assert not one.bindings
-        led.handle_heartbeat(heartbeat("m2", 3), 2.0)
+        handle_heartbeat(led, heartbeat("m2", 3), 2.0)
         place(led, 4.0)
         assert len(one.bindings) == 2
 
@@ -267,13 +268,13 @@
         one = job(led, task_count=2)
         place(led)
         attempts = [one.bindings[n].attempt for n in range(2)]
-        led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", attempts[0], "running")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", attempts[0], "running")), 1.0)
         led.end_job(one, "aborted", 1.0)
         assert len(one.bindings) == 2, "the second start may be on its way"
-        orders = led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", attempts[0], "running")), 2.0)
+        orders = handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", attempts[0], "running")), 2.0)
         assert verbs(orders) == [("stop", "req-1/0")]
         assert "req-1" in led.jobs and led.usage[one.team][0] == 2.0
-        led.handle_heartbeat(heartbeat("m1", 4), 3.0)
+        handle_heartbeat(led, heartbeat("m1", 4), 3.0)
         assert "req-1" not in led.jobs and led.usage[one.team][0] == 0.0
         place(led, 9.0)
         assert not led.machines["m1"].bindings
@@ -296,20 +297,20 @@
         assert len(one.bindings) == 2
         names = [one.bindings[n].machine.name for n in range(2)]
         for index, name in enumerate(names):
-            led.handle_heartbeat(
-                heartbeat(name, 2, (f"req-1/{index}", one.attempt, "running")), now + 1
+            handle_heartbeat(
+                led, heartbeat(name, 2, (f"req-1/{index}", one.attempt, "running")), now + 1
             )
         return one, names
 
     def test_members_share_an_attempt_and_are_done_together(self) -> None:
         led = ready()
         one, names = self.gang(led)
-        led.handle_heartbeat(
-            heartbeat(names[0], 3, ("req-1/0", one.attempt, "exited", "done")), 2.0
+        handle_heartbeat(
+            led, heartbeat(names[0], 3, ("req-1/0", one.attempt, "exited", "done")), 2.0
         )
         assert one.complete
-        orders = led.handle_heartbeat(
-            heartbeat(names[1], 3, ("req-1/1", one.attempt, "running")), 2.0
+        orders = handle_heartbeat(
+            led, heartbeat(names[1], 3, ("req-1/1", one.attempt, "running")), 2.0
         )
         assert orders == [], "the rest of a gang that is done ends by itself"
 
@@ -318,12 +319,14 @@
         one, names = self.gang(led)
         old = one.attempt
         machine(led, "m3", 14.0)
-        led.handle_heartbeat(heartbeat(names[0], 9, incarnation=2), 15.0)
+        handle_heartbeat(led, heartbeat(names[0], 9, incarnation=2), 15.0)
         place(led, 16.0)
         assert list(one.bindings) == [1], "no start while the old attempt is on a machine"
-        orders = led.handle_heartbeat(heartbeat(names[1], 3, ("req-1/1", old, "running")), 16.0)
+        orders = handle_heartbeat(led, heartbeat(names[1], 3, ("req-1/1", old, "running")), 16.0)
         assert verbs(orders) == [("stop", "req-1/1")]
-        led.handle_heartbeat(heartbeat(names[1], 4, ("req-1/1", old, "exited", "mates_gone")), 17.0)
+        handle_heartbeat(
+            led, heartbeat(names[1], 4, ("req-1/1", old, "exited", "mates_gone")), 17.0
+        )
         place(led, 18.4)
         assert len(one.bindings) == 2 and one.attempt > old
 
@@ -332,14 +335,14 @@
         one, names = self.gang(led)
         led.stop_gang(one, 3.0, "test")
         for index, name in enumerate(names):
-            orders = led.handle_heartbeat(
-                heartbeat(name, 3, (f"req-1/{index}", one.attempt, "running")), 2.0
+            orders = handle_heartbeat(
+                led, heartbeat(name, 3, (f"req-1/{index}", one.attempt, "running")), 2.0
             )
             assert orders == [StopCommand(f"req-1/{index}", one.attempt, 3.0)]
         saving = heartbeat(names[0], 4, ("req-1/0", one.attempt, "flushing"))
-        assert led.handle_heartbeat(saving, 3.0) == [], "a second stop could end the saving"
+        assert handle_heartbeat(led, saving, 3.0) == [], "a second stop could end the saving"
         saved = heartbeat(names[0], 5, ("req-1/0", one.attempt, "exited", "halted", True))
-        led.handle_heartbeat(saved, 4.0)
+        handle_heartbeat(led, saved, 4.0)
         assert one.bindings[1].stop_grace_s == 3.0, "the others keep their grace"
 
 
@@ -351,16 +354,16 @@
     sequence = 2
     for n in range(4):  # fails everywhere
         binding = led.bind(bad, 0, led.machines[f"m{n}"], 50 + n, 0.0)
-        led.handle_heartbeat(
-            heartbeat(f"m{n}", sequence, ("req-5/0", binding.attempt, "exited", "error")), 1.0
+        handle_heartbeat(
+            led, heartbeat(f"m{n}", sequence, ("req-5/0", binding.attempt, "exited", "error")), 1.0
         )
     assert not any(m.quarantine_reason for m in led.machines.values())
     for job_id in ("req-6", "req-7"):
         sequence += 1
         good = job(led, job_id=job_id, task_count=1)
         led.bind(good, 0, led.machines["m0"], 90 + sequence, 0.0)
-        led.handle_heartbeat(
-            heartbeat("m0", sequence, (f"{job_id}/0", 90 + sequence, "exited", "error")), 2.0
+        handle_heartbeat(
+            led, heartbeat("m0", sequence, (f"{job_id}/0", 90 + sequence, "exited", "error")), 2.0
         )
     assert [m.name for m in led.machines.values() if m.quarantine_reason] == ["m0"]
 
@@ -374,7 +377,7 @@
         led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         one = job(led, task_count=1)
         copy = heartbeat("m1", 400, ("req-1/0", 3, "running"), fencing_token=6)
-        assert led.handle_heartbeat(copy, late) == []
+        assert handle_heartbeat(led, copy, late) == []
         assert not one.bindings and not led.machines["m1"].reconciled
         assert led.machines["m1"].last_heartbeat_at < 0, "no sign of life"
 
@@ -382,17 +385,17 @@
         led = ready()
         machine(led, "m1")
         led.machine_gone(led.machines["m1"], 1.0)
-        assert led.handle_heartbeat(heartbeat("m1", 1), 30.0) is None
+        assert handle_heartbeat(led, heartbeat("m1", 1), 30.0) is None
         # The next leader does not know that it was there.
         after = ledger(fencing_token=8)
         copy = heartbeat("m1", 1, ("req-1/0", 3, "running"), fencing_token=7)
-        assert after.handle_heartbeat(copy, 40.0) == [] and not after.machines
+        assert handle_heartbeat(after, copy, 40.0) == [] and not after.machines
         # One that is up and was not known hears the token and heartbeats under it.
         assert (
-            after.handle_heartbeat(heartbeat("m2", 1, fencing_token=0), 41.0) == []
+            handle_heartbeat(after, heartbeat("m2", 1, fencing_token=0), 41.0) == []
             and not after.machines
         )
-        assert after.handle_heartbeat(heartbeat("m2", 2, fencing_token=8), 42.0) == []
+        assert handle_heartbeat(after, heartbeat("m2", 2, fencing_token=8), 42.0) == []
         assert after.machines["m2"].phase == UP
 
     def test_a_copy_moves_the_bound_on_a_lease_late_and_nothing_else(self) -> None:
@@ -401,8 +404,8 @@
         one = job(led, task_count=1)
         place(led)
         attempt = one.bindings[0].attempt
-        led.handle_heartbeat(heartbeat("m1", 5, ("req-1/0", attempt, "running")), 1.0)
-        assert led.handle_heartbeat(heartbeat("m1", 2), 9.0) == []
+        handle_heartbeat(led, heartbeat("m1", 5, ("req-1/0", attempt, "running")), 1.0)
+        assert handle_heartbeat(led, heartbeat("m1", 2), 9.0) == []
         assert one.bindings[0].phase == "running" and led.machines["m1"].last_heartbeat_at == 1.0
         # It may have been a heartbeat that a direct answer overtook: its answer renews the lease.
         led.tick(certainly_expired_at(1.0, led.limits.workers.lease_s) + 0.1)
@@ -417,16 +420,16 @@
         machine(led, "m1")
         one = job(led, task_count=1)
         place(led)
-        led.handle_heartbeat(
-            heartbeat("m1", 900, ("req-1/0", one.bindings[0].attempt, "running")), 1.0
+        handle_heartbeat(
+            led, heartbeat("m1", 900, ("req-1/0", one.bindings[0].attempt, "running")), 1.0
         )
         lease_s, now = led.limits.workers.lease_s, 1.0
         while now < 1.0 + lease_s:
             assert not fleet_plan.plan(led, now, fleet_plan.CapacityBackoff(), {}).to_terminate
             now += 2.0
-            assert led.handle_heartbeat(heartbeat("m1", int(now)), now) == []
+            assert handle_heartbeat(led, heartbeat("m1", int(now)), now) == []
             led.tick(now)
-        led.handle_heartbeat(heartbeat("m1", 60), now + 1.0)
+        handle_heartbeat(led, heartbeat("m1", 60), now + 1.0)
         to_terminate = fleet_plan.plan(
             led, now + 1.0, fleet_plan.CapacityBackoff(), {}
         ).to_terminate
@@ -440,16 +443,16 @@
         one = job(led, task_count=1)
         place(led)
         attempt = one.bindings[0].attempt
-        led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", attempt, "running")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", attempt, "running")), 1.0)
         gone = heartbeat("m1", 3, ("req-1/0", attempt, "exited", "error"))
-        assert verbs(led.handle_heartbeat(gone, 2.0)) == [("reap", "req-1/0")]
-        assert led.handle_heartbeat(gone, 20.0) == []
+        assert verbs(handle_heartbeat(led, gone, 2.0)) == [("reap", "req-1/0")]
+        assert handle_heartbeat(led, gone, 20.0) == []
         assert led.machines["m1"].error_jobs == {"req-1"}
 
     def test_leases_are_counted_from_the_answers_given_before_the_roster_was_read(self) -> None:
         led = ledger()
         led.loaded = False
-        assert led.handle_heartbeat(heartbeat("m1", 9, fencing_token=6), 5.0) == [], (
+        assert handle_heartbeat(led, heartbeat("m1", 9, fencing_token=6), 5.0) == [], (
             "this renews its lease"
         )
         led.add_machine("m1", "small", "north", False, 6.0, registered=True)
@@ -466,17 +469,19 @@
         one = job(led, task_count=3)
         place(led)
         on = one.bindings[0].machine.name
-        led.handle_heartbeat(heartbeat(on, 2, ("req-1/0", one.bindings[0].attempt, "running")), 1.0)
+        handle_heartbeat(
+            led, heartbeat(on, 2, ("req-1/0", one.bindings[0].attempt, "running")), 1.0
+        )
         led.request_cancel(one)
         assert one.waiting() == 0 and not one.terminal_phase and led.phase_of(one)[0] == "running"
-        orders = led.handle_heartbeat(
-            heartbeat(on, 3, ("req-1/0", one.bindings[0].attempt, "running")), 2.0
+        orders = handle_heartbeat(
+            led, heartbeat(on, 3, ("req-1/0", one.bindings[0].attempt, "running")), 2.0
         )
         assert verbs(orders) == [("stop", "req-1/0")]
         place(led)
         for name in ("m1", "m2"):
             assert all(
-                v != "start" for v, _ in verbs(led.handle_heartbeat(heartbeat(name, 4), 3.0))
+                v != "start" for v, _ in verbs(handle_heartbeat(led, heartbeat(name, 4), 3.0))
             )
 
     def test_a_task_that_an_earlier_leader_started_is_stopped_and_not_adopted(self) -> None:
@@ -484,7 +489,7 @@
         led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         one = job(led, task_count=3)
         led.request_cancel(one)
-        orders = led.handle_heartbeat(heartbeat("m1", 2, ("req-1/1", 3, "running")), 1.0)
+        orders = handle_heartbeat(led, heartbeat("m1", 2, ("req-1/1", 3, "running")), 1.0)
         assert verbs(orders) == [("stop", "req-1/1")] and not one.bindings
 
     def test_its_last_task_may_have_ended_all_the_same(self) -> None:
@@ -493,9 +498,9 @@
         one = job(led, task_count=1)
         place(led)
         attempt = one.bindings[0].attempt
-        led.handle_heartbeat(heartbeat("m1", 2, ("req-1/0", attempt, "running")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", attempt, "running")), 1.0)
         led.request_cancel(one)
-        led.handle_heartbeat(heartbeat("m1", 3, ("req-1/0", attempt, "exited", "done")), 2.0)
+        handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", attempt, "exited", "done")), 2.0)
         assert one.complete
 
 
@@ -509,9 +514,9 @@
     first, other = one.bindings[0].attempt, one.bindings[1].attempt
     rows = [("req-1/0", first, "exited", "done"), ("req-1/1", other, "running")]
     for sequence in (2, 3):
-        assert led.handle_heartbeat(heartbeat("m1", sequence, *rows), float(sequence)) == []
+        assert handle_heartbeat(led, heartbeat("m1", sequence, *rows), float(sequence)) == []
     led.saved(one, [0])
-    assert verbs(led.handle_heartbeat(heartbeat("m1", 4, *rows), 4.0)) == [("reap", "req-1/0")]
+    assert verbs(handle_heartbeat(led, heartbeat("m1", 4, *rows), 4.0)) == [("reap", "req-1/0")]
 
 
 class TestKeptZones:
@@ -547,7 +552,7 @@
         shown = [("req-1/0", one.bindings[0].attempt, "running")]
         if orphan:
             shown.append(("req-9/0", 3, "running"))
-        led.handle_heartbeat(heartbeat("m1", 2, *shown, zone="south"), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, *shown, zone="south"), 1.0)
         if cancelled == "durably":
             led.end_job(one, "aborted", 1.0)
         elif cancelled:
@@ -576,7 +581,7 @@
         one = job(led, task_count=1)
         place(led)
         for sequence in range(2, 6):
-            led.handle_heartbeat(heartbeat("m1", sequence), 2.0 * sequence)
+            handle_heartbeat(led, heartbeat("m1", sequence), 2.0 * sequence)
         return led, led.machines["m1"], one
 
     def test_starts_that_never_show_take_a_machine_out_of_the_filter(self) -> None:
@@ -611,7 +616,7 @@
         # One that hung for its whole lease begins a new incarnation as well, and hears well.
         led = ready()
         machine(led, "m1", heard)
-        led.handle_heartbeat(heartbeat("m1", 1, incarnation=2), 13.0)
+        handle_heartbeat(led, heartbeat("m1", 1, incarnation=2), 13.0)
         assert (led.machines["m1"].unresponsive_since is not None) == deaf
 
     def test_one_that_never_hears_a_new_leader_does_not_hold_up_the_takeover(self) -> None:
@@ -620,6 +625,6 @@
         lease_s, now, sequence = led.limits.workers.lease_s, 0.0, 1
         while not led.ready and now < 10 * lease_s:
             now, sequence = now + 2.0, sequence + 1
-            led.handle_heartbeat(heartbeat("m1", sequence, fencing_token=6), now)
+            handle_heartbeat(led, heartbeat("m1", sequence, fencing_token=6), now)
             led.tick(now)
         assert led.ready and now < 3 * lease_s and led.machines["m1"].phase == LOST
--- a/tests/test_networks.py
+++ b/tests/test_networks.py
@@ -9,6 +9,7 @@
 
 from helpers import heartbeat, ledger, machine
 from salthead import policy
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.networks.directory import NetworkDirectory
 from salthead.networks.silence import NetworkSilence, NetworkView
 from salthead.policy import Network, PolicyError
@@ -88,11 +89,11 @@
     while now < 12.0:
         now += 1.0
         for n in range(4, len(addresses)):  # nothing of the first four
-            led.handle_heartbeat(heartbeat(f"m{n}", int(now) + 1), now)
+            handle_heartbeat(led, heartbeat(f"m{n}", int(now) + 1), now)
             led.machines[f"m{n}"].endpoint = addresses[n]
         if now == 1.0:
             for n in range(4):
-                led.handle_heartbeat(heartbeat(f"m{n}", 2), now)
+                handle_heartbeat(led, heartbeat(f"m{n}", 2), now)
         recovery.observe(now)
     views = {view.name: (view.machines, view.unheard) for view in recovery.network_views()}
     assert views == {"east": (4, 0), "east-2": (4, 4), "west": (2, 0)}
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -16,6 +16,7 @@
 from salthead.cluster.dependency_graph import DependencyGraph
 from salthead.cluster.ledger import Ledger
 from salthead.controller.controller import Controller
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.protocol import wire_names
 from salthead.protocol.messages import JobStatus, StopCommand
 from salthead.scheduling import placement, preemption, queue_order
@@ -230,8 +231,8 @@
     pipeline(led)
     placement.schedule(led, random.Random(1), 0.0)
     first = led.jobs["req-1"]
-    led.handle_heartbeat(
-        heartbeat("m1", 2, ("req-1/0", first.bindings[0].attempt, "exited", "done")), 90.0
+    handle_heartbeat(
+        led, heartbeat("m1", 2, ("req-1/0", first.bindings[0].attempt, "exited", "done")), 90.0
     )
     assert first.complete and led.jobs["req-2"].waiting() == 0, "done, but not durably"
     assert led.phase_of(led.jobs["req-2"])[0] == "queued"
@@ -311,7 +312,7 @@
     assert late.dependency_cancelled and not late.waiting()
     placement.schedule(led, random.Random(1), 2.0)
     assert not led.machines["m1"].bindings
-    assert led.handle_heartbeat(heartbeat("m1", 2, ("req-2/0", 5, "running")), 3.0) == [
+    assert handle_heartbeat(led, heartbeat("m1", 2, ("req-2/0", 5, "running")), 3.0) == [
         StopCommand("req-2/0", 5, 0.0)
     ]
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,6 +10,7 @@
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Resources, ResourceUsage
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.scheduling import gangs, placement, preemption, queue_order
 
 
@@ -84,9 +85,9 @@
     place(led)
     name, attempt = first.bindings[0].machine.name, first.bindings[0].attempt
     fetching = heartbeat(name, 2, ("req-1/0", attempt, "fetching"))
-    led.handle_heartbeat(fetching, 1.0)
+    handle_heartbeat(led, fetching, 1.0)
     assert "i" not in led.machines[name].images
-    led.handle_heartbeat(heartbeat(name, 3, ("req-1/0", attempt, "running")), 2.0)
+    handle_heartbeat(led, heartbeat(name, 3, ("req-1/0", attempt, "running")), 2.0)
     second = job(led, job_id="req-2", task_count=4, image="i", image_gb=1.0)
     place(led, 2.0)
     where = [binding.machine.name for binding in second.bindings.values()]
@@ -112,7 +113,7 @@
     assert place(led, 2.0) == [one] and one.pause_until == 4.0
     led.events.room_freed = lambda m, now: placement.backfill(led, m, random.Random(1), now)
     led.add_machine("m1", "small", "north", False, 2.5, registered=True)
-    assert verbs(led.handle_heartbeat(heartbeat("m1", 1), 2.5)) == [("start", "req-1/0")]
+    assert verbs(handle_heartbeat(led, heartbeat("m1", 1), 2.5)) == [("start", "req-1/0")]
     assert one.bindings and one.pause == 0.0, "room that came ends the pause"
 
 
@@ -127,7 +128,7 @@
     led.end_job(first, "aborted", 1.0)
     place(led, 3.0)
     assert not second.bindings, "the cancelled tasks are not known to be gone"
-    led.handle_heartbeat(heartbeat(first.bindings[0].machine.name, 2), 4.0)
+    handle_heartbeat(led, heartbeat(first.bindings[0].machine.name, 2), 4.0)
     place(led, 6.0)
     assert second.bindings
 
@@ -231,7 +232,8 @@
     other.preempted = preempted
     job(led, job_id="req-1", team="red", task_count=1, vcpus=4.0, at=2.0, urgency="idle")
     for name in list(led.machines):
-        led.handle_heartbeat(
+        handle_heartbeat(
+            led,
             heartbeat(
                 name,
                 2,
@@ -273,7 +275,8 @@
     late = job(led, job_id="req-2", urgency="urgent", task_count=1, vcpus=8.0, at=3.0)
     preemption.preempt(led, place(led, 1.0), 1.0)
     # the stops are told and the tasks leave; an idle task must not slip in
-    led.handle_heartbeat(
+    handle_heartbeat(
+        led,
         heartbeat(
             "m1",
             2,
@@ -325,17 +328,17 @@
         used = [one.bindings[n].machine for n in range(3)]
         spare = next(m for m in led.machines.values() if not m.bindings)
         for n in (0, 1):  # the starts of these are told; the third machine has died
-            orders = led.handle_heartbeat(heartbeat(used[n].name, 2), 1.0)
+            orders = handle_heartbeat(led, heartbeat(used[n].name, 2), 1.0)
             assert verbs(orders) == [("start", f"req-1/{n}")]
         for found in (used[0], spare):
-            led.handle_heartbeat(heartbeat(found.name, 3), 4.0)
+            handle_heartbeat(led, heartbeat(found.name, 3), 4.0)
         attempt = one.attempt
         placement.reschedule_unsent(led, random.Random(1), 4.0)
         assert one.bindings[2].machine is spare and one.bindings[2].attempt == attempt
         assert one.bindings[1].machine is used[1], "its start was told: it may be there"
         assert not one.failed and not used[2].bindings and used[2].allocated.cpus == 0.0
         assert led.usage[one.team][0] == 24.0 and sum(led.bound_by_priority) == 3
-        assert verbs(led.handle_heartbeat(heartbeat(spare.name, 4), 5.0)) == [("start", "req-1/2")]
+        assert verbs(handle_heartbeat(led, heartbeat(spare.name, 4), 5.0)) == [("start", "req-1/2")]
 
     def test_a_member_stays_in_its_gangs_zone(self) -> None:
         led = ready()
@@ -356,7 +359,7 @@
         one = job(led, task_count=1)
         place(led)
         if told:
-            led.handle_heartbeat(heartbeat("m1", 2), 0.1)
+            handle_heartbeat(led, heartbeat("m1", 2), 0.1)
         placement.reschedule_unsent(led, random.Random(1), 4.0)
         assert len(one.bindings) == left
         assert one.waiting() == 1 - left and led.usage[one.team][0] == 2.0 * left
@@ -403,7 +406,8 @@
         before = dict(late.bindings)
         led.events.room_freed = lambda m, now: placement.backfill(led, m, random.Random(1), now)
         for name in kept:
-            led.handle_heartbeat(
+            handle_heartbeat(
+                led,
                 heartbeat(
                     name,
                     2,
@@ -434,7 +438,8 @@
         gangs.reserve_machines(led, [gang], 0.0)
         assert not any(m.reserved_for for m in led.machines.values())
         for name in ("m0", "m1"):
-            led.handle_heartbeat(
+            handle_heartbeat(
+                led,
                 heartbeat(
                     name, 2, *((f"req-{int(name[1]) + 10}/{n}", 5, "running") for n in range(2))
                 ),
@@ -582,7 +587,7 @@
             led.machines[name].last_heartbeat_at = 21.0
         assert not self.plan(led, 22.0).to_terminate, "both still work"
         assert [m.name for m in led.machines.values() if m.cordoned] == ["m0", "m1"]
-        led.handle_heartbeat(heartbeat("m0", 2, ("req-1/0", 9, "exited", "done")), 23.0)
+        handle_heartbeat(led, heartbeat("m0", 2, ("req-1/0", 9, "exited", "done")), 23.0)
         assert [m.name for m in self.plan(led, 24.0).to_terminate] == ["m0"]
         # what comes in is counted: more work takes the cordon back
         job(led, job_id="req-2", task_count=7, estimated_run_s=100.0)
@@ -615,8 +620,8 @@
     )
     place(led)
     attempt = one.bindings[0].attempt
-    led.handle_heartbeat(
-        heartbeat("m1", 2, ("req-1/0", attempt, "running"), spot=True, warning_s=left), 1.0
+    handle_heartbeat(
+        led, heartbeat("m1", 2, ("req-1/0", attempt, "running"), spot=True, warning_s=left), 1.0
     )
     preemption.drain(led, 1.0)
     assert (one.bindings[0].stop_grace_s is not None) == stopped
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,6 +21,8 @@
 from helpers import LIMITS, heartbeat, job, machine, ready, spec
 from salthead.autoscaling import fleet_plan
 from salthead.cluster.ledger import Ledger
+from salthead.heartbeats.handling import handle_heartbeat
+from salthead.leader import term as terms
 from salthead.leader.views import OVERVIEW_ROWS
 from salthead.protocol.messages import StopCommand
 from salthead.scheduling import placement
@@ -68,9 +70,9 @@
 def test_a_report_costs_the_same_whatever_the_fleet() -> None:
     def cost(machines: int, gone: int) -> int:
         led = full(machines)
-        led.handle_heartbeat(heartbeat("m1", 2, *shown(led, "m1")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, *shown(led, "m1")), 1.0)
         one = heartbeat("m1", 3, *shown(led, "m1", gone))
-        return calls(lambda: led.handle_heartbeat(one, 2.0))
+        return calls(lambda: handle_heartbeat(led, one, 2.0))
 
     for gone in (0, 1):  # with nothing new; with a task that ended, whose place is filled
         assert cost(600, gone) <= cost(60, gone) * 1.3
@@ -80,18 +82,18 @@
 def test_a_report_that_shows_what_the_last_one_did_is_not_looked_at_again() -> None:
     # At 570 machines half of what the ledger did for reports was that.
     led = full(60)
-    led.handle_heartbeat(heartbeat("m1", 2, *shown(led, "m1")), 1.0)
-    led.handle_heartbeat(heartbeat("m1", 3, *shown(led, "m1")), 2.0)
+    handle_heartbeat(led, heartbeat("m1", 2, *shown(led, "m1")), 1.0)
+    handle_heartbeat(led, heartbeat("m1", 3, *shown(led, "m1")), 2.0)
     many, same = len(shown(led, "m1")), heartbeat("m1", 4, *shown(led, "m1"))
-    assert many == 4 and calls(lambda: led.handle_heartbeat(same, 3.0)) <= 3
+    assert many == 4 and calls(lambda: handle_heartbeat(led, same, 3.0)) <= 3
     # But whatever is wanted of the machine, or has ended there, is.
     bound = next(iter(led.machines["m1"].bindings.values()))
     led.request_stop(bound, 0.0)
-    orders = led.handle_heartbeat(heartbeat("m1", 5, *shown(led, "m1")), 4.0)
+    orders = handle_heartbeat(led, heartbeat("m1", 5, *shown(led, "m1")), 4.0)
     assert orders is not None and [type(order) for order in orders] == [StopCommand]
     done = shown(led, "m1", gone=1)
     for sequence in (6, 7):  # the exit is shown again until it may be reaped
-        led.handle_heartbeat(heartbeat("m1", sequence, *done), 5.0)
+        handle_heartbeat(led, heartbeat("m1", sequence, *done), 5.0)
         assert not led.machines["m1"].unchanged
 
 
@@ -145,7 +147,9 @@
 
 
 @pytest.mark.parametrize("slow", [False, True])
-def test_no_report_is_answered_with_a_lease_that_ran_out_meanwhile(slow: bool) -> None:
+def test_no_report_is_answered_with_a_lease_that_ran_out_meanwhile(
+    slow: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # A clock that goes on while a heartbeat is worked on, as it does at a small share of a core.
     async def day() -> tuple[int, int]:
         world = World(seed=1)
@@ -154,13 +158,12 @@
         term, clock = leader.term, [0.0]
         leader.now = lambda: world.now() + clock[0]
         term.now = leader.now
-        inner = term.ledger.handle_heartbeat
 
-        def handle_heartbeat(*words: Any, **more: Any) -> Any:
+        def handle_slowly(*words: Any, **more: Any) -> Any:
             clock[0] += 30.0 if slow else 0.1
-            return inner(*words, **more)
+            return handle_heartbeat(*words, **more)
 
-        term.ledger.handle_heartbeat = handle_heartbeat  # type: ignore[method-assign]
+        monkeypatch.setattr(terms, "handle_heartbeat", handle_slowly)
         status, _ = leader.handle_heartbeat(heartbeat("host-000001", 1, fencing_token=0))
         return status, clock[0]
 
@@ -391,10 +394,10 @@
 def test_jobs_that_wait_for_others_cost_nothing_per_report_or_pass() -> None:
     def costs(waiting_jobs: int) -> list[int]:
         led = fan(waiting_jobs)
-        led.handle_heartbeat(heartbeat("m1", 2, *shown(led, "m1")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, *shown(led, "m1")), 1.0)
         one = heartbeat("m1", 3, *shown(led, "m1", 1))
         found = [
-            calls(lambda: led.handle_heartbeat(one, 2.0)),
+            calls(lambda: handle_heartbeat(led, one, 2.0)),
             calls(lambda: placement.schedule(led, random.Random(1), 10.0)),
             calls(lambda: fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})),
         ]
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -15,6 +15,7 @@
 from helpers import FLAVORS, given, heartbeat, limits, spec
 from salthead.cluster.ledger import Ledger
 from salthead.failure_detection.shared_silence import SharedSilence
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.protocol.messages import decode_submission, encode
 from salthead.scheduling import placement
 from standins import run
@@ -82,7 +83,7 @@
         for at in (0.2, 8.0):  # no tick has come since at the first of these
             for sequence, (name, machine_type) in enumerate(MACHINE_REGISTRY, int(at) + 1):
                 if name not in silent:
-                    led.handle_heartbeat(heartbeat(name, sequence, machine_type=machine_type), at)
+                    handle_heartbeat(led, heartbeat(name, sequence, machine_type=machine_type), at)
             placement.schedule(led, RNG, at)
             assert not old.bindings, (
                 "an earlier leader may have started it where nobody has reported"
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -15,6 +15,7 @@
 from salthead.autoscaling import fleet_plan
 from salthead.cluster.ledger import Ledger
 from salthead.failure_detection.machine_sets import MachineSets, RecentSet
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.policy import Policy, ZonePolicy
 from salthead.scheduling import gangs, placement
 from salthead.zones import evacuation, records
@@ -230,7 +231,8 @@
         if incarnation > found.incarnation:
             tasks = []
         place = "north" if zone == "n" else "south"
-        led.handle_heartbeat(
+        handle_heartbeat(
+            led,
             heartbeat(found.name, found.sequence + 1, *tasks, incarnation=incarnation, zone=place),
             now,
         )
@@ -379,7 +381,7 @@
     first = machine(led, "n-new1", zone="north")
     assert first.reserved_for == gang.job_id and not first.bindings
     second = led.add_machine("n-new2", "small", "north", False, 0.0, registered=True)
-    assert len(verbs(led.handle_heartbeat(heartbeat("n-new2", 1), 0.0))) == 1
+    assert len(verbs(handle_heartbeat(led, heartbeat("n-new2", 1), 0.0))) == 1
     assert len(gang.bindings) == 2 and not array.bindings
     assert {b.machine for b in gang.bindings.values()} == {first, second}
 
@@ -520,7 +522,7 @@
     def cost(each: int) -> tuple[int, int]:
         led, recovery = two_zones(each)
         one = heartbeat("n1", 5)
-        return calls(lambda: led.handle_heartbeat(one, 1.0)), calls(lambda: recovery.observe(1.0))
+        return calls(lambda: handle_heartbeat(led, one, 1.0)), calls(lambda: recovery.observe(1.0))
 
     few, many = cost(20), cost(2000)
     assert many == few
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -38,6 +38,7 @@
 from salthead.controller.controller import Controller  # noqa: E402
 from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
 from salthead.controller.server import listen  # noqa: E402
+from salthead.heartbeats.handling import handle_heartbeat  # noqa: E402
 from salthead.leader.term import Term  # noqa: E402
 from salthead.leases.leader_lease import LeaseClock  # noqa: E402
 from salthead.protocol import wire_names  # noqa: E402
@@ -143,7 +144,7 @@
         )
     placement.schedule(ledger, random.Random(1), now)
     for name in ledger.machines:
-        ledger.handle_heartbeat(shown(ledger, name, 2), now)
+        handle_heartbeat(ledger, shown(ledger, name, 2), now)
 
 
 def shown(
@@ -263,12 +264,12 @@
         later = self.leader.now() + 10.0 * self.leader.limits.workers.lease_s
         half = [f"m{n}" for n in range(0, self.machines, 2)]
         for name in set(self.ledger.machines) - set(half):
-            self.ledger.handle_heartbeat(shown(self.ledger, name, 50), later)
+            handle_heartbeat(self.ledger, shown(self.ledger, name, 50), later)
 
         def come_back() -> None:
             self.ledger.tick(later)
             for name in half:
-                self.ledger.handle_heartbeat(shown(self.ledger, name, 1, incarnation=2), later)
+                handle_heartbeat(self.ledger, shown(self.ledger, name, 1, incarnation=2), later)
 
         return self.of_work(come_back, len(half))
 
@@ -290,7 +291,7 @@
                 new.add_machine(one.worker, one.machine_type, one.zone, False, now, registered=True)
             new.loaded = True
             for one in heartbeats:
-                new.handle_heartbeat(one, now, direct=True)
+                handle_heartbeat(new, one, now, direct=True)
             new.tick(now)
 
         return self.of_work(take_over, len(heartbeats))
