--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -36,12 +36,12 @@
     Resources,
     ResourceUsage,
 )
+from salthead.cluster.worker_leases import WorkerLeases
 from salthead.cluster.zone_hooks import ZoneHooks
 from salthead.event_log import event
 from salthead.failure_detection.blocked_actions import BlockedActions
 from salthead.failure_detection.preconditions import Action, Precondition, permits
 from salthead.leases.leader_lease import unloaded_grace_s
-from salthead.leases.worker_leases import WorkerLeases
 from salthead.protocol import wire_names
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import (
