--- /dev/null
+++ b/src/salthead/cluster/allocations.py
@@ -0,0 +1,184 @@
+"""Which task is bound to which machine, and what that takes of machines and of team quotas."""
+
+from __future__ import annotations
+
+import logging
+
+from salthead import metrics
+from salthead.cluster.invariants import Invariants
+from salthead.cluster.job_table import JobTable
+from salthead.cluster.model import (
+    Binding,
+    Job,
+    Machine,
+    ReleaseReason,
+    Resources,
+    ResourceUsage,
+)
+from salthead.event_log import event
+from salthead.protocol import wire_names
+from salthead.settings import Team
+
+log = logging.getLogger(__name__)
+
+# An attempt is the term's token and a counter, so no two starts of any terms share one.
+ATTEMPT_BITS = 24
+
+
+class Allocations:
+    """Bindings, with their bookings. It alone binds and releases tasks and writes what is used."""
+
+    def __init__(
+        self, teams: list[Team], fencing_token: int, jobs: JobTable, invariants: Invariants
+    ) -> None:
+        self.fencing_token = fencing_token
+        self.job_table = jobs
+        self.capacity_index = jobs.registry.capacity_index
+        self.invariants = invariants
+        self.events = jobs.events
+        self.attempts = 0  # in this term
+        self.usage = [[0.0, 0.0] for _ in teams]  # CPUs and GPUs that are booked, by team
+        self.team_limits = [(team.cpus_max, team.gpus_max) for team in teams]
+        self.bound_by_priority = [0] * len(wire_names.URGENCIES)  # tasks bound, by urgency
+        self.stops: list[Binding] = []  # wanted since they were last sent directly
+
+    def next_attempt(self) -> int:
+        """A number that no other attempt of any term has."""
+        self.attempts += 1
+        return (self.fencing_token << ATTEMPT_BITS) | self.attempts
+
+    def book(self, machine: Machine, request: Resources, team: int, sign: float) -> None:
+        """Book a task's need on a machine and its team, or take the booking back."""
+        allocated = machine.allocated
+        allocated.cpus += sign * request.cpus
+        allocated.gpus += sign * request.gpus
+        allocated.memory_gb += sign * request.memory_gb
+        if sign < 0:
+            machine.has_freed_capacity = True
+            if not machine.busy():  # what rounding left
+                machine.allocated = ResourceUsage()
+        self.capacity_index.reindex(machine)
+        if team >= 0:
+            usage = self.usage[team]
+            usage[0] = max(0.0, usage[0] + sign * request.cpus)
+            usage[1] = max(0.0, usage[1] + sign * request.gpus)
+
+    def bind(
+        self,
+        job: Job,
+        index: int,
+        machine: Machine,
+        attempt: int,
+        now: float,
+        granted: bool = False,
+    ) -> Binding:
+        """Bind a task to a machine, with its bookings.
+
+        ``granted``: by a new decision to start it, which its team's limit has to allow.
+        """
+        sound = self.invariants.may_bind(job, index, machine, granted)
+        binding = Binding(job, index, attempt, machine, job.request, job.team, since=now)
+        binding.rejected = not sound
+        if index in job.bindings or (job.job_id, index) in machine.bindings:
+            # Put in the place of the one that there is, that one would never be released.
+            return binding
+        machine.bindings[(job.job_id, index)] = binding
+        machine.unchanged = False
+        job.bindings[index] = binding
+        self.bound_by_priority[job.priority] += 1
+        self.book(machine, job.request, job.team, 1.0)
+        if not sound:
+            self.request_stop(binding, 0.0)
+        return binding
+
+    def release(
+        self, binding: Binding, now: float, proof: ReleaseReason, detail: object = ""
+    ) -> None:
+        """The task is certainly not on the machine any more."""
+        job = binding.job
+        assert job is not None
+        self._record_release(binding, proof, detail)
+        self._unbind(job, binding)
+        if job.gang:
+            if not job.complete and not job.failed:
+                why = f"{binding.task_id} on {binding.machine.name}: {proof} {detail}"
+                self.fail_gang(job, now, why)
+            if not job.bindings:
+                job.failed = False
+        else:
+            job.requeue_task(binding.index)
+        if job.terminal_phase:
+            self.job_table.forget(job)
+        self.events.changed()
+
+    def _record_release(self, binding: Binding, proof: ReleaseReason, detail: object) -> None:
+        machine = binding.machine
+        event(
+            log,
+            "task_released",
+            logging.DEBUG if proof is ReleaseReason.EXITED else logging.INFO,
+            task=binding.task_id,
+            attempt=binding.attempt,
+            machine=machine.name,
+            incarnation=machine.incarnation,
+            sequence=machine.sequence,
+            proof=proof,
+            detail=detail,
+            start_sends=binding.start_sends,
+            fencing_token=self.fencing_token,
+        )
+        metrics.RELEASED.labels(proof).inc()
+
+    def _unbind(self, job: Job, binding: Binding) -> None:
+        machine = binding.machine
+        machine.bindings.pop((job.job_id, binding.index), None)
+        machine.unchanged = False
+        job.bindings.pop(binding.index, None)
+        self.bound_by_priority[job.priority] -= 1
+        self.book(machine, binding.request, binding.team, -1.0)
+
+    def move(self, binding: Binding, machine: Machine, now: float) -> None:
+        """Bind a gang's member, of which nobody has been told, to another machine."""
+        job = binding.job
+        assert job is not None and binding.start_unsent()
+        self._unbind(job, binding)
+        self.bind(job, binding.index, machine, binding.attempt, now)
+
+    def set_priority(self, job: Job, priority: int) -> None:
+        """Change the urgency of a job, and that of its bound tasks."""
+        self.bound_by_priority[job.priority] -= len(job.bindings)
+        job.priority = priority
+        self.bound_by_priority[job.priority] += len(job.bindings)
+
+    def fail_gang(self, job: Job, now: float, why: str) -> None:
+        """A gang's attempt is over: the tasks left of it go before it is drawn anew."""
+        job.failed = True
+        log.info("gang %s attempt %d over: %s", job.job_id, job.attempt, why)
+        for other in list(job.bindings.values()):
+            if other.stop_grace_s is None:
+                self.request_stop(other, 0.0)
+
+    def stop_gang(self, job: Job, grace_s: float, why: str) -> None:
+        """Stop a whole gang in order: every member is told, and what it saved is kept."""
+        log.info("gang %s stopped: %s", job.job_id, why)
+        job.failed = True
+        for binding in job.bindings.values():
+            self.request_stop(binding, grace_s)
+
+    def request_stop(self, binding: Binding, grace_s: float) -> None:
+        """Ask for a task's stop; a shorter grace replaces a longer one."""
+        if binding.stop_grace_s is None or grace_s < binding.stop_grace_s:
+            binding.stop_grace_s = grace_s
+            binding.stop_sent = False
+            binding.machine.unchanged = False
+            self.stops.append(binding)
+
+    def stop_all(self, job: Job) -> None:
+        """Ask for the stop of all that is bound of a job, without grace."""
+        for binding in list(job.bindings.values()):
+            self.request_stop(binding, 0.0)
+
+    def take_stops(self) -> list[Binding]:
+        """The stops that were wanted since the last call."""
+        stops, self.stops = self.stops, []
+        return stops
--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -11,8 +11,8 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
+from salthead.cluster.machine_registry import MachineRegistry
 from salthead.cluster.model import (
     EPSILON,
     UNBOUNDED_RESOURCES,
@@ -24,9 +24,6 @@
 )
 from salthead.event_log import event
 
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
-
 log = logging.getLogger(__name__)
 
 LOG_INTERVAL_S = 2.0
@@ -35,9 +32,11 @@
 class Failover:
     """The machines that one term has not accounted for, and what follows from them."""
 
-    def __init__(self, ledger: Ledger) -> None:
-        self.ledger = ledger
-        self.logged_at = ledger.term_started_at
+    def __init__(self, registry: MachineRegistry, fencing_token: int, now: float) -> None:
+        self.registry = registry
+        self.fencing_token = fencing_token
+        self.term_started_at = now
+        self.logged_at = now
         self._capacity_total: tuple[float, float] | None = None
         self._kinds: dict[MachineKind, Resources] = {}
 
@@ -49,7 +48,7 @@
         """Machines that may run anything an earlier leader started."""
         return [
             machine
-            for machine in self.ledger.machines.values()
+            for machine in self.registry.machines.values()
             if machine.registered and not machine.reconciled and machine.phase == UP
         ]
 
@@ -62,8 +61,8 @@
             event(
                 log,
                 "failover_waiting",
-                fencing_token=self.ledger.fencing_token,
-                for_s=now - self.ledger.term_started_at,
+                fencing_token=self.fencing_token,
+                for_s=now - self.term_started_at,
                 machines=len(unreconciled),
                 first=unreconciled[0].name,
                 **self.by_reason(),
@@ -74,7 +73,7 @@
         """How many machines are not accounted for, by what is known of them."""
         found = {"type_unknown": 0, "answered": 0, "silent": 0}
         for machine in self.unreconciled_machines():
-            if machine.machine_type not in self.ledger.machine_types:
+            if machine.machine_type not in self.registry.machine_types:
                 found["type_unknown"] += 1
             else:
                 found["silent" if machine.links.acknowledged_sequence < 0 else "answered"] += 1
@@ -102,7 +101,7 @@
 
     def _capacity(self, machine: Machine) -> Resources:
         """What the machine may hold: anything while its type is unknown."""
-        known = machine.machine_type in self.ledger.machine_types
+        known = machine.machine_type in self.registry.machine_types
         return machine.capacity if known else UNBOUNDED_RESOURCES
 
     def could_run(self, job: Job) -> bool:
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -8,15 +8,13 @@
 
 import logging
 from enum import StrEnum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from salthead import metrics
 from salthead.cluster.model import EPSILON, Binding, Job, Machine
 from salthead.errors import SaltheadError
 from salthead.event_log import event
-
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
+from salthead.protocol.interning import Interner
 
 log = logging.getLogger(__name__)
 
@@ -41,12 +39,28 @@
     """Raised instead of logged where ``Invariants.strict`` is set."""
 
 
+class CheckedLedger(Protocol):
+    """What the checks read of a ledger."""
+
+    fencing_token: int
+    term_started_at: float
+    team_names: Interner
+    team_limits: list[tuple[float, float]]
+    usage: list[list[float]]
+    jobs: dict[str, Job]
+    machines: dict[str, Machine]
+    unknown_jobs: set[str]
+
+    def unreconciled_capacity(self) -> tuple[float, float]:
+        """CPUs and GPUs that tasks of any team may be taking on unreconciled machines."""
+
+
 class Invariants:
     """The checks of one ledger."""
 
     strict = False  # set by tests
 
-    def __init__(self, ledger: Ledger) -> None:
+    def __init__(self, ledger: CheckedLedger) -> None:
         self.ledger = ledger
         self.teams_audited_at = ledger.term_started_at
         self.unaudited: list[Machine] = []
@@ -90,7 +104,7 @@
 
     def _within_limit(self, job: Job, found: dict[str, object]) -> bool:
         ledger = self.ledger
-        silent = (0.0, 0.0) if ledger.ready else ledger.failover.unreconciled_capacity()
+        silent = ledger.unreconciled_capacity()
         usage, most = ledger.usage[job.team], ledger.team_limits[job.team]
         fits = all(
             not job.request[n] or usage[n] + silent[n] + job.request[n] <= most[n] + EPSILON * 10
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -1,10 +1,12 @@
 """The leader's ledger: machines, jobs, and which task is bound to which machine.
 
-Pure: the caller passes the time and a heartbeat, and gets orders back. A task is *bound* from the
-decision to place it until it is certain that it is not on its machine: a heartbeat without it that
-is newer than the answer that ordered it, a newer incarnation, the end of the worker's lease, or the
-cloud's word that the machine is gone. While it is bound it holds its booking on the machine, its
-team's quota and its zone.
+Pure: the caller passes the time. A task is *bound* from the decision to place it until it is
+certain that it is not on its machine: a heartbeat without it that is newer than the answer that
+ordered it, a newer incarnation, the end of the worker's lease, or the cloud's word that the machine
+is gone. While it is bound it holds its booking on the machine, its team's quota and its zone.
+
+The parts of the ledger each write their own fields: ``MachineRegistry``, ``JobTable``,
+``Allocations``, ``JobDependencies`` and ``OrphanTasks``. Its public attributes refer to theirs.
 """
 
 from __future__ import annotations
@@ -12,19 +14,17 @@
 import logging
 import math
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
-
-from salthead import metrics
-from salthead.cluster import dependencies, orphans
-from salthead.cluster.capacity_index import CapacityIndex
-from salthead.cluster.dependency_graph import DependencyGraph
-from salthead.cluster.estimates import Arrivals, Estimates, StartAttainment
+
+from salthead.cluster.allocations import Allocations
+from salthead.cluster.dependencies import JobDependencies
+from salthead.cluster.estimates import StartAttainment
+from salthead.cluster.events import LedgerEvents
 from salthead.cluster.failover import Failover
 from salthead.cluster.invariants import Invariants
+from salthead.cluster.job_table import JobTable
+from salthead.cluster.machine_registry import MachineRegistry
 from salthead.cluster.model import (
     BOOTING,
-    EPSILON,
     GONE,
     LOST,
     NO_RESOURCES,
@@ -34,8 +34,10 @@
     Machine,
     ReleaseReason,
     Resources,
-    ResourceUsage,
 )
+from salthead.cluster.orphans import OrphanTasks
+from salthead.cluster.pending_queue import PendingQueue
+from salthead.cluster.silence_hooks import SilenceHooks
 from salthead.cluster.worker_leases import WorkerLeases
 from salthead.cluster.zone_hooks import ZoneHooks
 from salthead.event_log import event
@@ -44,49 +46,19 @@
 from salthead.leases.leader_lease import unloaded_grace_s
 from salthead.protocol import wire_names
 from salthead.protocol.interning import Interner
-from salthead.protocol.messages import (
-    MachineType,
-    Submission,
-)
+from salthead.protocol.messages import MachineType, Submission
 from salthead.settings import Limits
 
-if TYPE_CHECKING:
-    from salthead.failure_detection.shared_silence import SharedSilence
-
 log = logging.getLogger(__name__)
 
 LEADER_LEASE, TOKEN_CURRENT = int(Precondition.LEADER_LEASE), int(Precondition.TOKEN_CURRENT)
 JOBS_KNOWN, FLEET_RECONCILED = int(Precondition.JOBS_KNOWN), int(Precondition.FLEET_RECONCILED)
 WORKER_LEASE_OVER = int(Precondition.WORKER_LEASE_OVER)
 
-# An attempt is the term's token and a counter, so no two starts of any terms share one.
-ATTEMPT_BITS = 24
-# Ended jobs whose team is remembered, for orphan tasks of theirs, and returned machines, for late
-# copies of their heartbeats and for a machine list that lags. These are the least: a fleet of which
-# everything can go at once needs room for all of it, or its machines are taken for new ones.
-MIN_REMEMBERED_JOBS, MIN_REMEMBERED_MACHINES = 5000, 2000
-REMEMBERED_FLEETS = 2  # how many times the largest fleet of this term is remembered
-
-
-@dataclass
-class PendingQueue:
-    """Jobs with tasks that wait, in the order of the last pass: who is offered freed room."""
-
-    jobs: list[Job] = field(default_factory=list)
-    min_cpus: float = 0.0  # of the smallest task in line
-    constrained: bool = False  # whether a job was in line that fits on scarce types alone
-    long_since: float | None = None  # since when the fleet can't keep up with it
-
-
-@dataclass
-class LedgerEvents:
-    """What the ledger tells whoever acts on it."""
-
-    changed: Callable[[], None] = lambda: None
-    completed: Callable[[Job], None] = lambda job: None  # all tasks of the job are done
-    aborts_pending: Callable[[], None] = lambda: None
-    # Placement, called between what a heartbeat says and the starts that its answer carries.
-    room_freed: Callable[[Machine, float], None] = lambda machine, now: None
+# A machine that is up is heard when its last heartbeat is no older than this many periods.
+HEARD_HEARTBEAT_INTERVALS = 3.0
+# How long after the start of a term workers may take to find the leader, beyond one period.
+DISCOVERY_S = 1.0
 
 
 class Ledger:
@@ -102,69 +74,75 @@
         self.limits = limits
         self.fencing_token = fencing_token
         self.term_started_at = now
-        self.leases = WorkerLeases(self, now)
         self.unloaded_grace_s = unloaded_grace_s(limits.workers.lease_s, limits.workers.cancel_s)
-        self.counter = 0
         # Submission times are kept as times of day; here all else is in steady time.
         self.wall_ahead = 0.0 if wall is None else wall - now
-        self.estimates = Estimates()
-        self.arrivals = Arrivals(now)
-        start_objective = next(
-            (objective for objective in limits.objectives if objective.kind == "guarantee"), None
-        )
-        self.start_attainment = (
-            StartAttainment(start_objective.within_s, start_objective.share)
-            if start_objective
-            else StartAttainment(0, 1)
-        )
-        self.team_names = Interner([team.name for team in limits.teams])
-        self.zones = Interner(list(limits.zones))
-        self.type_names = Interner()
-        self.machine_types: dict[int, MachineType] = {}
-        self.capacities: dict[int, Resources] = {}  # of a machine, by type
-        self.team_limits = [(team.cpus_max, team.gpus_max) for team in limits.teams]
-        self.guarantees = [(team.cpus, team.gpus) for team in limits.teams]
-        self.capacity_index = CapacityIndex()
-        # Types that are the only ones for some class of jobs, as seen in this term.
-        self.scarce: set[int] = set()
-        self.stops: list[Binding] = []  # wanted since they were last sent directly
-        self.bound_by_priority = [0] * len(wire_names.URGENCIES)  # tasks bound, by urgency
-        self.pending = PendingQueue()
-        self.usage = [[0.0, 0.0] for _ in limits.teams]
-        self.limit_logged_at = [-math.inf for _ in limits.teams]
-        self.rest_until = [0.0 for _ in limits.teams]  # until then no quota is kept for gangs
-        self.jobs: dict[str, Job] = {}
-        # Those that wait for no other job: what passes and plans look at.
-        self.ready_jobs: dict[str, Job] = {}
-        self.machines: dict[str, Machine] = {}
-        # Machines that the state service does not know yet: what its loop would else look for
-        # among all machines ten times a second.
-        self.unregistered: dict[Machine, None] = {}
-        self.largest_fleet = 0
-        self.machines_seen = 0  # in this term, for their numbers
-        self.loaded = False
-        self.ready = False
-        # tasks on machines whose job we do not know: their team is unknown until it is read
-        self.unknown_jobs: set[str] = set()
-        self.team_of: dict[str, tuple[int, Resources]] = {}
-        self.orphan_jobs: dict[str, int] = {}  # orphan tasks by job: such a job starts nothing
+        self.loaded = False  # the records of earlier leaders have been read
+        self.ready = False  # and all machines are accounted for
         self.newer_fencing_token = 0
-        self.failover = Failover(self)
-        self.invariants = Invariants(self)
-        self.dependency_graph = DependencyGraph()
-        self.factors: dict[str, float] = {}  # of estimates, as the pipelines' due times use them
-        self.pending_aborts: dict[
-            str, None
-        ] = {}  # jobs whose outcome follows, and is to be written
         self.events = LedgerEvents()
-        self.recently_gone: dict[str, float] = {}
-        self.zone_hooks: ZoneHooks | None = None  # where the policy enables them
-        self.shared_silence: SharedSilence | None = None  # where the policy enables it
         self.blocked_actions = BlockedActions()
+        self.zone_hooks: ZoneHooks | None = None  # where the policy enables them
+        self.shared_silence: SilenceHooks | None = None  # where the policy enables it
         # A worker whose report is not answered turns to one of them.
         self.other_controllers = limits.initial_size > 1
         # Whether the lease on the lead is certain now; the term knows.
         self.leader_lease_valid: Callable[[], bool] = lambda: True
+        self._init_machines(now)
+        self._init_jobs(now)
+        self._init_allocations()
+        self._init_scheduling()
+
+    def _init_machines(self, now: float) -> None:
+        registry = self.machine_registry = MachineRegistry(self.limits.zones)
+        self.zones = registry.zones
+        self.type_names = registry.type_names
+        self.machine_types = registry.machine_types
+        self.capacities = registry.capacities
+        self.capacity_index = registry.capacity_index
+        self.machines = registry.machines
+        self.unregistered = registry.unregistered
+        self.recently_gone = registry.recently_gone
+        self.failover = Failover(registry, self.fencing_token, now)
+
+    def _init_jobs(self, now: float) -> None:
+        self.team_names = Interner([team.name for team in self.limits.teams])
+        jobs = self.job_table = JobTable(self.machine_registry, self.team_names, self.events, now)
+        self.jobs = jobs.jobs
+        self.ready_jobs = jobs.ready_jobs
+        self.scarce = jobs.scarce
+        self.estimates = jobs.estimates
+        self.arrivals = jobs.arrivals
+        self.leases = WorkerLeases(self.limits.workers, self.machine_registry, self.jobs, now)
+
+    def _init_allocations(self) -> None:
+        self.invariants = Invariants(self)
+        allocations = self.allocations = Allocations(
+            self.limits.teams, self.fencing_token, self.job_table, self.invariants
+        )
+        self.usage = allocations.usage
+        self.team_limits = allocations.team_limits
+        self.bound_by_priority = allocations.bound_by_priority
+        self.orphans = OrphanTasks(self.job_table, allocations)
+        self.unknown_jobs = self.orphans.unknown_jobs
+        self.orphan_jobs = self.orphans.count_by_job
+        self.dependencies = JobDependencies(self.job_table, allocations, self.limits.objectives)
+        self.dependency_graph = self.dependencies.graph
+        self.pending_aborts = self.dependencies.pending_aborts
+
+    def _init_scheduling(self) -> None:
+        """What scheduling and autoscaling keep from one pass to the next."""
+        teams = self.limits.teams
+        self.guarantees = [(team.cpus, team.gpus) for team in teams]
+        self.limit_logged_at = [-math.inf for _ in teams]
+        self.rest_until = [0.0 for _ in teams]  # until then no quota is kept for gangs
+        self.pending = PendingQueue()
+        objective = next((one for one in self.limits.objectives if one.kind == "guarantee"), None)
+        self.start_attainment = (
+            StartAttainment(objective.within_s, objective.share)
+            if objective
+            else StartAttainment(0, 1)
+        )
 
     # -- evidence -----------------------------------------------------------------------
 
@@ -180,28 +158,37 @@
             held |= FLEET_RECONCILED
         return held
 
-    # -- machine types and jobs ---------------------------------------------------------------
+    def may_schedule(self, job: Job) -> bool:
+        """Whether all tasks of the job are accounted for: the fact ``TASK_NOWHERE``.
 
-    def set_machine_types(self, machine_types: Iterable[MachineType]) -> None:
-        """Take the cloud's machine types in."""
-        self.failover.invalidate_capacity()
-        for machine_type in machine_types:
-            index = self.type_names.intern(machine_type.name)
-            self.machine_types[index] = machine_type
-            self.capacities[index] = Resources(
-                machine_type.vcpus, machine_type.accelerators, machine_type.ram_gb
-            )
-            for zone in machine_type.zones:
-                self.zones.intern(zone)
-            capacity = self.capacity(index)
-            for machine in self.machines.values():
-                if machine.machine_type == index:
-                    machine.capacity = capacity
-                    self.capacity_index.reindex(machine)
+        Until every machine of the machine registry is, a task that no heartbeat shows may be on one
+        that is silent. A job accepted after this term began can't be: no earlier leader could start
+        it.
+        """
+        if self.ready:
+            return True
+        return self.loaded and (
+            job.accepted_this_term
+            or (self.shared_silence is not None and not self.failover.could_run(job))
+        )
 
-    def capacity(self, type_index: int) -> Resources:
-        """CPUs, GPUs and memory of a machine of this type; nothing while the type is unknown."""
-        return self.capacities.get(type_index, NO_RESOURCES)
+    def unreconciled_capacity(self) -> tuple[float, float]:
+        """CPUs and GPUs that tasks of any team may be taking on unreconciled machines."""
+        return (0.0, 0.0) if self.ready else self.failover.unreconciled_capacity()
+
+    def heartbeats_expected(self, now: float) -> bool:
+        """Whether machines that are well have had the time to find this leader."""
+        interval_s = self.limits.workers.heartbeat_interval_s
+        return now - self.term_started_at > DISCOVERY_S + interval_s
+
+    def heartbeat_counts(self, now: float) -> tuple[int, int]:
+        """How many machines that are up were heard lately, and how many were not."""
+        up = [m for m in self.machines.values() if m.phase == UP]
+        late = now - HEARD_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
+        heard = sum(1 for m in up if m.last_heartbeat_at >= late)
+        return heard, len(up) - heard
+
+    # -- jobs -----------------------------------------------------------------------------
 
     def run_s(self, job: Job) -> float:
         """How long one of the job's tasks should run, by its owner's estimate and by experience."""
@@ -212,75 +199,20 @@
         found = self.jobs.get(spec.job_id)
         if found is not None:
             return found
-        team = self.team_names.get(spec.team)
-        if team is None:
-            log.warning("job %s: unknown team %s", spec.job_id, spec.team)
-            return None
-        allowed_types = None
-        if spec.machine_types is not None:
-            allowed_types = frozenset(self.type_names.intern(name) for name in spec.machine_types)
-        job = Job(
-            spec=spec,
-            team=team,
-            priority=wire_names.URGENCIES.index(spec.urgency),
-            request=Resources(spec.vcpus, spec.accelerators, spec.ram_gb),
-            allowed_types=allowed_types,
-            zone=None if spec.zone is None else self.zones.intern(spec.zone),
-            submitted=min(now, spec.at - self.wall_ahead) if spec.at else now,
-            done=bytearray(spec.task_count),
-            accepted_this_term=accepted_this_term,
-        )
-        self.jobs[spec.job_id] = job
-        if accepted_this_term:
-            self.arrivals.record_arrival(now)
-        fitting = self.fitting(job)
-        if len(fitting) == 1 < len(self.machine_types):
-            self.scarce |= fitting
-        job.constrained = fitting <= self.scarce
-        dependencies.add_job(self, job)
-        self.events.changed()
+        submitted = min(now, spec.at - self.wall_ahead) if spec.at else now
+        job = self.job_table.add(spec, now, submitted, accepted_this_term)
+        if job is not None:
+            self.dependencies.add_job(job)
+            self.events.changed()
         return job
 
-    def fitting(self, job: Job) -> set[int]:
-        """Types that a task of the job may be on and fits on."""
-        return {
-            type_index
-            for type_index in self.machine_types
-            if (job.allowed_types is None or type_index in job.allowed_types)
-            and all(
-                c + EPSILON >= n
-                for c, n in zip(self.capacity(type_index), job.request, strict=True)
-            )
-        }
-
     def load_done(self, job: Job, indices: Iterable[int]) -> None:
         """Tasks that an earlier term saved as done."""
-        for index in indices:
-            if 0 <= index < job.spec.task_count and not job.done[index]:
-                job.done[index] = 1
-                job.n_done += 1
-                job.saved.add(index)
-        if job.complete:
-            self.events.completed(job)
-
-    def mark_done(self, job: Job, index: int) -> None:
-        """A heartbeat says that a task is done."""
-        # A gang's tasks complete together: one that is done speaks for all.
-        which = range(job.spec.task_count) if job.gang else (index,)
-        for one in which:
-            if not job.done[one]:
-                job.done[one] = 1
-                job.n_done += 1
-                job.unsaved.add(one)
-        if job.complete:
-            self.events.completed(job)
-        self.events.changed()
+        self.job_table.load_done(job, indices)
 
     def saved(self, job: Job, indices: Iterable[int]) -> None:
         """These done tasks are known to the state service."""
-        for index in indices:
-            job.saved.add(index)
-            job.unsaved.discard(index)
+        self.job_table.saved(job, indices)
 
     def request_cancel(self, job: Job) -> None:
         """A user has asked to cancel the job: nothing of it starts any more, and what runs stops.
@@ -293,55 +225,49 @@
             return
         job.cancel_requested = True
         self.capacity_index.release_reservations(job.job_id)
-        for binding in list(job.bindings.values()):
-            self.request_stop(binding, 0.0)
+        self.allocations.stop_all(job)
         self.events.changed()
 
     def end_job(self, job: Job, phase: str, now: float) -> None:
         """The outcome is durable: stop what is left and forget the job once it is gone."""
         job.terminal_phase = phase
         job.unsaved.clear()
-        dependencies.ended(self, job, phase, now)
-        for binding in list(job.bindings.values()):
-            if phase == wire_names.ABORTED:
-                self.request_stop(binding, 0.0)
-        self._forget(job)
+        self.dependencies.ended(job, phase, now)
+        if phase == wire_names.ABORTED:
+            self.allocations.stop_all(job)
+        self.job_table.forget(job)
         self.events.changed()
 
-    def _forget(self, job: Job) -> None:
-        if job.terminal_phase and not job.bindings and self.jobs.get(job.job_id) is job:
-            self.team_of[job.job_id] = (job.team, job.request)
-            if len(self.team_of) > max(MIN_REMEMBERED_JOBS, REMEMBERED_FLEETS * self.largest_fleet):
-                self.team_of.pop(next(iter(self.team_of)))
-            del self.jobs[job.job_id]
-            self.ready_jobs.pop(job.job_id, None)
-
-    # -- bookings -----------------------------------------------------------------------
-
-    def book(self, machine: Machine, request: Resources, team: int, sign: float) -> None:
-        """Book a task's need on a machine and its team, or take the booking back."""
-        allocated = machine.allocated
-        if sign < 0:
-            machine.has_freed_capacity = True
-        allocated.cpus += sign * request.cpus
-        allocated.gpus += sign * request.gpus
-        allocated.memory_gb += sign * request.memory_gb
-        if not machine.busy():
-            machine.allocated = ResourceUsage()
-        self.capacity_index.reindex(machine)
-        if team >= 0:
-            usage = self.usage[team]
-            usage[0] = max(0.0, usage[0] + sign * request.cpus)
-            usage[1] = max(0.0, usage[1] + sign * request.gpus)
+    def resolve_dependency(self, job_id: str, phase: str, at: float | None, now: float) -> None:
+        """What a record says of a job that others await, and that ended before this term.
 
-    def set_phase(self, machine: Machine, phase: str) -> None:
-        """Change a machine's phase, and what is indexed by it."""
-        machine.phase = phase
-        self.capacity_index.reindex(machine)
-        if self.zone_hooks is not None:
-            self.zone_hooks.phase_changed(machine)
-        if self.shared_silence is not None:
-            self.shared_silence.phase_changed(machine)
+        ``at`` is the time of day; clocks differ within their bound, so it is no later than now.
+        """
+        ended_at = now if at is None else min(now, at - self.wall_ahead)
+        self.dependencies.resolve(job_id, phase, ended_at)
+
+    def unfinished_dependencies(self, job_id: str, most: int) -> list[str]:
+        """What a job still waits for."""
+        return self.dependencies.unfinished(job_id, most)
+
+    def phase_of(self, job: Job) -> tuple[str, int, int]:
+        """Phase, tasks done and tasks running, as users are told."""
+        running = sum(
+            1
+            for b in job.bindings.values()
+            if b.phase in (wire_names.RUNNING, wire_names.GATHERING, wire_names.FLUSHING)
+        )
+        # Before the outcome is durable nobody is told of it.
+        phase = job.terminal_phase or (
+            wire_names.ABORTED
+            if job.dependency_cancelled
+            else wire_names.RUNNING
+            if running or job.n_done
+            else wire_names.QUEUED
+        )
+        return phase, job.n_done, running
+
+    # -- bindings -------------------------------------------------------------------------
 
     def bind(
         self,
@@ -356,98 +282,41 @@
 
         ``granted``: by a new decision to start it, which its team's limit has to allow.
         """
-        sound = self.invariants.may_bind(job, index, machine, granted)
-        binding = Binding(job, index, attempt, machine, job.request, job.team, since=now)
-        binding.rejected = not sound
-        if index in job.bindings or (job.job_id, index) in machine.bindings:
-            # Put in the place of the one that there is, that one would never be released.
-            return binding
-        machine.bindings[(job.job_id, index)] = binding
-        machine.unchanged = False
-        job.bindings[index] = binding
-        self.bound_by_priority[job.priority] += 1
-        self.book(machine, job.request, job.team, 1.0)
-        if not sound:
-            self.request_stop(binding, 0.0)
-        return binding
+        return self.allocations.bind(job, index, machine, attempt, now, granted)
 
     def release(
         self, binding: Binding, now: float, proof: ReleaseReason, detail: object = ""
     ) -> None:
         """The task is certainly not on the machine any more."""
-        job, machine = binding.job, binding.machine
-        assert job is not None
-        event(
-            log,
-            "task_released",
-            logging.DEBUG if proof is ReleaseReason.EXITED else logging.INFO,
-            task=binding.task_id,
-            attempt=binding.attempt,
-            machine=machine.name,
-            incarnation=machine.incarnation,
-            sequence=machine.sequence,
-            proof=proof,
-            detail=detail,
-            start_sends=binding.start_sends,
-            fencing_token=self.fencing_token,
-        )
-        metrics.RELEASED.labels(proof).inc()
-        machine.bindings.pop((job.job_id, binding.index), None)
-        machine.unchanged = False
-        job.bindings.pop(binding.index, None)
-        self.bound_by_priority[job.priority] -= 1
-        self.book(machine, binding.request, binding.team, -1.0)
-        if job.gang:
-            if not job.complete and not job.failed:
-                self.fail_gang(job, now, f"{binding.task_id} on {machine.name}: {proof} {detail}")
-            if not job.bindings:
-                job.failed = False
-        else:
-            job.requeue_task(binding.index)
-        self._forget(job)
-        self.events.changed()
+        self.allocations.release(binding, now, proof, detail)
 
     def move(self, binding: Binding, machine: Machine, now: float) -> None:
         """Bind a gang's member, of which nobody has been told, to another machine."""
-        job = binding.job
-        assert job is not None and binding.start_unsent()
-        del binding.machine.bindings[(job.job_id, binding.index)]
-        binding.machine.unchanged = False
-        del job.bindings[binding.index]
-        self.bound_by_priority[job.priority] -= 1
-        self.book(binding.machine, binding.request, binding.team, -1.0)
-        self.bind(job, binding.index, machine, binding.attempt, now)
-
-    def fail_gang(self, job: Job, now: float, why: str) -> None:
-        """A gang's attempt is over: the tasks left of it go before it is drawn anew."""
-        job.failed = True
-        log.info("gang %s attempt %d over: %s", job.job_id, job.attempt, why)
-        for other in list(job.bindings.values()):
-            if other.stop_grace_s is None:
-                self.request_stop(other, 0.0)
+        self.allocations.move(binding, machine, now)
 
     def stop_gang(self, job: Job, grace_s: float, why: str) -> None:
         """Stop a whole gang in order: every member is told, and what it saved is kept."""
-        log.info("gang %s stopped: %s", job.job_id, why)
-        job.failed = True
-        for binding in job.bindings.values():
-            self.request_stop(binding, grace_s)
+        self.allocations.stop_gang(job, grace_s, why)
 
     def request_stop(self, binding: Binding, grace_s: float) -> None:
         """Ask for a task's stop; a shorter grace replaces a longer one."""
-        if binding.stop_grace_s is None or grace_s < binding.stop_grace_s:
-            binding.stop_grace_s = grace_s
-            binding.stop_sent = False
-            binding.machine.unchanged = False
-            self.stops.append(binding)
+        self.allocations.request_stop(binding, grace_s)
 
     def next_attempt(self) -> int:
         """A number that no other attempt of any term has."""
-        self.counter += 1
-        return (self.fencing_token << ATTEMPT_BITS) | self.counter
+        return self.allocations.next_attempt()
 
     # -- machines -----------------------------------------------------------------------
 
+    def set_machine_types(self, machine_types: Iterable[MachineType]) -> None:
+        """Take the cloud's machine types in."""
+        self.failover.invalidate_capacity()
+        self.machine_registry.set_machine_types(machine_types)
+
+    def capacity(self, type_index: int) -> Resources:
+        """CPUs, GPUs and memory of a machine of this type; nothing while the type is unknown."""
+        return self.capacities.get(type_index, NO_RESOURCES)
+
     def add_machine(
         self,
         name: str,
@@ -464,60 +333,47 @@
         there is therefore not booting: it is up until its lease must be over, however long ago it
         was provisioned. Taking it for a machine that never came up would return running machines.
         """
-        machine = self.machines.get(name)
-        if machine is None:
-            index = self.type_names.intern(machine_type)
-            machine = Machine(
-                name,
-                index,
-                self.zones.intern(zone),
-                spot,
-                self.capacity(index),
-                provisioned_at=now,
-            )
-            machine.index = self.machines_seen
-            self.machines_seen += 1
-            self.machines[name] = machine
-            self.unregistered[machine] = None
-            self.largest_fleet = max(self.largest_fleet, len(self.machines))
-        if registered and machine.phase == BOOTING:
-            self.set_phase(machine, UP)
+        machine = self.machine_registry.add(name, machine_type, zone, spot, now)
         if registered:
+            if machine.phase == BOOTING:
+                self.set_phase(machine, UP)
             self.mark_registered(machine)
             self.failover.invalidate_capacity()
         return machine
 
     def mark_registered(self, machine: Machine) -> None:
         """The state service knows the machine, so that it may be given work."""
-        machine.registered = True
-        self.unregistered.pop(machine, None)
+        self.machine_registry.mark_registered(machine)
+
+    def set_phase(self, machine: Machine, phase: str) -> None:
+        """Change a machine's phase, and what is indexed by it."""
+        self.machine_registry.set_phase(machine, phase)
+        if self.zone_hooks is not None:
+            self.zone_hooks.phase_changed(machine)
+        if self.shared_silence is not None:
+            self.shared_silence.phase_changed(machine)
 
     def lose_tasks(self, machine: Machine, now: float, proof: ReleaseReason) -> None:
         """All that was on a machine is certainly gone."""
         if self.zone_hooks is not None:
             self.zone_hooks.displaced(machine.bindings.values(), now)
         for binding in list(machine.bindings.values()):
-            self.release(binding, now, proof)
+            self.allocations.release(binding, now, proof)
         for key in list(machine.orphans):
-            orphans.drop(self, machine, key)
+            self.orphans.drop(machine, key)
 
     def machine_gone(self, machine: Machine, now: float) -> None:
         """The cloud confirmed the return: the machine and all on it are gone."""
         self.lose_tasks(machine, now, ReleaseReason.TERMINATED)
         self.set_phase(machine, GONE)
-        self.capacity_index.reserved.pop(machine, None)
-        self.machines.pop(machine.name, None)
-        self.unregistered.pop(machine, None)
-        self.recently_gone[machine.name] = now
-        if len(self.recently_gone) > max(
-            MIN_REMEMBERED_MACHINES, REMEMBERED_FLEETS * self.largest_fleet
-        ):
-            self.recently_gone.pop(next(iter(self.recently_gone)))
+        self.machine_registry.remove(machine, now)
         self.events.changed()
 
+    # -- what time alone decides ------------------------------------------------------------
+
     def tick(self, now: float) -> None:
         """What time alone decides: leases that are surely over, and the end of a failover."""
-        dependencies.revise_runs(self)
+        self.dependencies.revise_runs()
         self.invariants.audit(now)
         # Of a leader without its lease workers may be another one's by now: what it last heard
         # says nothing of them. It had judged 135 machines lost that reported to the next leader.
@@ -526,17 +382,20 @@
                 if machine.phase == UP and now > self.leases.expires_at(machine):
                     self._mark_lost(machine, now)
         if self.loaded and not self.ready and self.failover.sweep(now):
-            self.ready = True
-            self._end_partial_gangs(now)
-            event(
-                log,
-                "failover_complete",
-                fencing_token=self.fencing_token,
-                after_s=now - self.term_started_at,
-                machines=len(self.machines),
-                jobs=len(self.jobs),
-            )
-            self.events.changed()
+            self._complete_failover(now)
+
+    def _complete_failover(self, now: float) -> None:
+        self.ready = True
+        self._end_partial_gangs(now)
+        event(
+            log,
+            "failover_complete",
+            fencing_token=self.fencing_token,
+            after_s=now - self.term_started_at,
+            machines=len(self.machines),
+            jobs=len(self.jobs),
+        )
+        self.events.changed()
 
     def _mark_lost(self, machine: Machine, now: float) -> None:
         # Whatever it still reports of this incarnation is late news: a worker that
@@ -547,9 +406,8 @@
         self.set_phase(machine, LOST)
         machine.lost_at = now
         machine.min_incarnation = machine.incarnation + 1
-        machine.first_acknowledged_at = (
-            math.inf
-        )  # it holds nothing any more, and may join if it heals
+        # It holds nothing any more, and may join if it heals.
+        machine.first_acknowledged_at = math.inf
         machine.reconciled = False
         self.lose_tasks(machine, now, ReleaseReason.LEASE_OVER)
 
@@ -561,55 +419,4 @@
         """
         for job in list(self.jobs.values()):
             if job.gang and 0 < len(job.bindings) < job.spec.task_count and not job.complete:
-                self.fail_gang(job, now, "incomplete after a takeover")
-
-    # -- reports ------------------------------------------------------------------------
-
-    def heartbeats_expected(self, now: float) -> bool:
-        """Whether machines that are well have had the time to find this leader."""
-        return now - self.term_started_at > 1.0 + self.limits.workers.heartbeat_interval_s
-
-    def heartbeat_counts(self, now: float) -> tuple[int, int]:
-        """How many machines that are up were heard lately, and how many were not."""
-        up = [m for m in self.machines.values() if m.phase == UP]
-        late = now - 3.0 * self.limits.workers.heartbeat_interval_s
-        heard = sum(1 for m in up if m.last_heartbeat_at >= late)
-        return heard, len(up) - heard
-
-    def may_schedule(self, job: Job) -> bool:
-        """Whether all tasks of the job are accounted for: the fact ``TASK_NOWHERE``.
-
-        Until every machine of the machine registry is, a task that no heartbeat shows may be on one
-        that is silent. A job accepted after this term began can't be: no earlier leader could start
-        it.
-        """
-        if self.ready:
-            return True
-        return self.loaded and (
-            job.accepted_this_term
-            or (self.shared_silence is not None and not self.failover.could_run(job))
-        )
-
-    # -- views --------------------------------------------------------------------------
-
-    def unfinished_dependencies(self, job_id: str, most: int) -> list[str]:
-        """What a job still waits for."""
-        node = self.dependency_graph.nodes.get(job_id)
-        return sorted(node.unfinished)[:most] if node is not None else []
-
-    def phase_of(self, job: Job) -> tuple[str, int, int]:
-        """Phase, tasks done and tasks running, as users are told."""
-        running = sum(
-            1
-            for b in job.bindings.values()
-            if b.phase in (wire_names.RUNNING, wire_names.GATHERING, wire_names.FLUSHING)
-        )
-        # Before the outcome is durable nobody is told of it.
-        phase = job.terminal_phase or (
-            wire_names.ABORTED
-            if job.dependency_cancelled
-            else wire_names.RUNNING
-            if running or job.n_done
-            else wire_names.QUEUED
-        )
-        return phase, job.n_done, running
+                self.allocations.fail_gang(job, now, "incomplete after a takeover")
--- /dev/null
+++ b/src/salthead/cluster/silence_hooks.py
@@ -0,0 +1,33 @@
+"""What the ledger and scale-in tell, and ask, whoever looks for silence that machines share."""
+
+from __future__ import annotations
+
+from collections.abc import Set
+from typing import Protocol
+
+from salthead.cluster.model import Machine
+from salthead.policy import PartialCutPolicy
+
+
+class SilenceHooks(Protocol):
+    """Told of heartbeats and phases; asked which machines are taken to be behind a cut."""
+
+    @property
+    def policy(self) -> PartialCutPolicy:
+        """The operator's policy for partial cuts."""
+
+    @property
+    def unheard_zones(self) -> Set[int]:
+        """Zones of whose machines none is heard, while others are."""
+
+    def heartbeat_received(self, machine: Machine) -> None:
+        """A heartbeat of the machine was news."""
+
+    def phase_changed(self, machine: Machine) -> None:
+        """A machine is up, its lease has ended, or it is gone."""
+
+    def look(self, now: float) -> None:
+        """Find the cuts that there are now."""
+
+    def behind_cut(self, machine: Machine) -> bool:
+        """Whether the machine's silence was shared at the last look."""
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -10,18 +10,15 @@
 import logging
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from pyroaring import BitMap
 
+from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import GONE, LOST, UP, Machine
 from salthead.failure_detection.machine_sets import MachineSets
+from salthead.networks.silence import NetworkSilence
 from salthead.policy import PartialCutPolicy
 
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
-    from salthead.networks.silence import NetworkSilence
-
 log = logging.getLogger(__name__)
 
 # Two generations of two heartbeat periods each: silence is seen after two to four of them.
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -5,10 +5,10 @@
 import logging
 
 from salthead import metrics
-from salthead.cluster import orphans
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.machine_health import errored, mark_unresponsive
 from salthead.cluster.model import Binding, Machine, ReleaseReason
+from salthead.cluster.orphans import OrphanKey
 from salthead.cluster.start_rules import wanted
 from salthead.event_log import event
 from salthead.failure_detection.preconditions import Action, Precondition, permits
@@ -49,7 +49,7 @@
     _release_missing(ledger, machine, seen, now, direct)
     for orphan_key in list(machine.orphans):
         if orphan_key not in seen_orphans:
-            orphans.drop(ledger, machine, orphan_key)
+            ledger.orphans.drop(machine, orphan_key)
     # Room that this heartbeat freed is filled by this answer, not a heartbeat period later.
     if machine.has_freed_capacity:
         machine.has_freed_capacity = False
@@ -61,12 +61,12 @@
 
 def _take_tasks(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float
-) -> tuple[list[Command], set[TaskKey], set[orphans.OrphanKey]]:
+) -> tuple[list[Command], set[TaskKey], set[OrphanKey]]:
     """Orders for the tasks that a heartbeat shows; those that are bound to the machine, and orphan
     tasks."""
     commands: list[Command] = []
     seen: set[TaskKey] = set()
-    seen_orphans: set[orphans.OrphanKey] = set()
+    seen_orphans: set[OrphanKey] = set()
     for task in heartbeat.tasks:
         try:
             job_id, index = split_task_id(task.task_id)
@@ -84,7 +84,7 @@
         if binding is None:
             orphan_key = (job_id, index, task.attempt)
             seen_orphans.add(orphan_key)
-            orphans.add(ledger, machine, orphan_key)
+            ledger.orphans.add(machine, orphan_key)
             commands.append(StopCommand(task.task_id, task.attempt, 0.0))
             continue
         seen.add(key)
@@ -136,7 +136,7 @@
         if key in seen or machine.bindings.get(key) is not binding:
             continue
         if binding.phase:
-            ledger.release(binding, now, ReleaseReason.NOT_SHOWN)
+            ledger.allocations.release(binding, now, ReleaseReason.NOT_SHOWN)
         elif direct:
             continue
         elif binding.stop_grace_s is not None or binding.start_sends >= MAX_UNEXECUTED_STARTS:
@@ -149,7 +149,7 @@
                     now,
                     f"{binding.start_sends} starts of {binding.task_id} unheard",
                 )
-            ledger.release(binding, now, ReleaseReason.NEVER_STARTED)
+            ledger.allocations.release(binding, now, ReleaseReason.NEVER_STARTED)
 
 
 def _starts(ledger: Ledger, machine: Machine, most: int) -> list[Command]:
@@ -167,7 +167,7 @@
         if not wanted(binding):
             # Since it was bound its task was found done elsewhere, as one of a gang whose earlier
             # attempt had completed: released by the next heartbeat, which does not show it.
-            ledger.request_stop(binding, 0.0)
+            ledger.allocations.request_stop(binding, 0.0)
         elif ledger.invariants.may_send_start(binding):
             binding.start_sends += 1
             commands.append(StartCommand(binding.task_id, binding.attempt))
@@ -206,7 +206,7 @@
         if job.failed or (job.bindings and job.attempt != task.attempt):
             return None
         job.attempt = task.attempt
-    binding = ledger.bind(job, index, machine, task.attempt, now)
+    binding = ledger.allocations.bind(job, index, machine, task.attempt, now)
     metrics.ADOPTED.inc()
     event(
         log,
@@ -232,7 +232,7 @@
             ledger.estimates.learn(
                 job.spec.job_class, job.spec.estimated_run_s, now - binding.started
             )
-        ledger.mark_done(job, binding.index)
+        ledger.job_table.mark_done(job, binding.index)
     elif cause == wire_names.ERROR:
         errored(ledger, job, machine, now)
     elif cause in (wire_names.FULL, wire_names.IN_USE, wire_names.UNKNOWN):
@@ -241,7 +241,7 @@
     if job.gang and cause == wire_names.HALTED and task.saved:
         # Saved: the others have saved too or are about to exit, nothing is lost by waiting.
         job.failed = True
-    ledger.release(binding, now, ReleaseReason.EXITED, cause)
+    ledger.allocations.release(binding, now, ReleaseReason.EXITED, cause)
 
 
 def _late_exit(ledger: Ledger, job_id: str, index: int, task: TaskStatus, now: float) -> None:
@@ -250,10 +250,10 @@
     if job is None or job.terminal_phase or not 0 <= index < job.spec.task_count:
         return
     if task.cause == wire_names.DONE and not job.done[index]:
-        ledger.mark_done(job, index)
+        ledger.job_table.mark_done(job, index)
         other = job.bindings.get(index)
         if other is not None:
-            ledger.request_stop(other, 0.0)
+            ledger.allocations.request_stop(other, 0.0)
 
 
 def _may_reap(ledger: Ledger, job_id: str, index: int, task: TaskStatus) -> bool:
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -6,7 +6,6 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
-from salthead.cluster import dependencies
 from salthead.cluster.model import Job
 from salthead.event_log import event
 from salthead.protocol import wire_names
@@ -213,7 +212,7 @@
         if found is not None:
             self.incomplete.pop(job_id, None)
             if job_id in unresolved:
-                dependencies.resolve(self.ledger, job_id, found[0], found[2], self.now())
+                self.ledger.resolve_dependency(job_id, found[0], found[2], self.now())
             return
         row = await self.term.state_store.get(records.job_key(job_id))
         if row is None:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -9,7 +9,6 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
-from salthead.cluster import orphans
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Machine
 from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
@@ -213,7 +212,7 @@
                 try:
                     row = await self.state_store.get(records.outcome_key(job_id))
                     if row is not None:
-                        orphans.identify_job(self.ledger, records.outcome_from(row.value)[1])
+                        self.ledger.orphans.identify_job(records.outcome_from(row.value)[1])
                 except RETRYABLE_ERRORS as error:
                     self.controller.log_throttled("stray task", error)
             await self.controller.sleep_with_jitter(0.5)
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -196,7 +196,7 @@
             Action.STOP, Precondition.TOKEN_ACCEPTED
         ):  # asked of each machine below
             return
-        wanted, self.term.ledger.stops = self.term.ledger.stops, []
+        wanted = self.term.ledger.allocations.take_stops()
         commands: dict[Machine, list[Command]] = {}
         for binding in wanted:
             machine = binding.machine
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -220,7 +220,7 @@
         led.add_machine(
             f"m{n}", "small", ("north", "south")[n < south], False, 0.0, registered=True
         )
-    assert led.shared_silence is not None
+    assert isinstance(led.shared_silence, SharedSilence)
     led.shared_silence.look(1.0)
     assert not led.shared_silence.cut, "nobody has had the time to find this leader"
     for n in range(south, 40):
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -12,7 +12,7 @@
 
 from helpers import heartbeat, job, ledger, machine, ready, settings
 from salthead.autoscaling import fleet_plan
-from salthead.cluster import ledger as ledgers
+from salthead.cluster import machine_registry
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import UP
 from salthead.controller.controller import Controller
@@ -130,7 +130,7 @@
             asked.append(count)
 
         leader.term.autoscaler.provision = provision  # type: ignore[method-assign]
-        led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+        led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
         job(led, now=world.now(), task_count=5000, vcpus=2.0, estimated_run_s=500.0)
         leader.term.autoscaler.plan_requested.set()
         await asyncio.sleep(0.3)
@@ -156,7 +156,7 @@
     names = [machine(led, f"host-{n:06d}").name for n in range(LARGE)]
     for name in names:
         led.machine_gone(led.machines[name], 5.0)
-    assert len(led.recently_gone) == LARGE > ledgers.MIN_REMEMBERED_MACHINES
+    assert len(led.recently_gone) == LARGE > machine_registry.MIN_REMEMBERED_MACHINES
     assert all(handle_heartbeat(led, heartbeat(name, 2), 6.0) is None for name in names)
     assert led.machines == {} and led.unregistered == {}
 
@@ -165,7 +165,7 @@
     led = ready()
     for n in range(LARGE):
         led.machine_gone(machine(led, f"host-{n:06d}"), float(n))
-    assert len(led.recently_gone) == ledgers.MIN_REMEMBERED_MACHINES
+    assert len(led.recently_gone) == machine_registry.MIN_REMEMBERED_MACHINES
     assert f"host-{LARGE - 1:06d}" in led.recently_gone
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -6,7 +6,7 @@
 
 from helpers import heartbeat, job, ledger, machine, ready, spec, verbs
 from salthead.autoscaling import fleet_plan
-from salthead.cluster import machine_health, orphans
+from salthead.cluster import machine_health
 from salthead.cluster.model import LOST, UP, ResourceUsage
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leases.leader_lease import certainly_expired_at
@@ -236,7 +236,7 @@
         place(led)
         assert not led.jobs["req-1"].bindings, "whose quota the stray uses is not known yet"
         ended: Submission = spec(job_id="req-9", team="red", vcpus=23.0)
-        orphans.identify_job(led, ended)
+        led.orphans.identify_job(ended)
         place(led, 5.0)
         assert not led.jobs["req-1"].bindings, "23 of 24 CPUs are taken"
         handle_heartbeat(led, heartbeat("m1", 2), 6.0)
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -9,7 +9,7 @@
 import pytest
 
 from helpers import spec
-from salthead.cluster import ledger
+from salthead.cluster import job_table, machine_registry
 from salthead.cluster.dependency_graph import DependencyGraph
 from salthead.controller import controller as controller_module
 from salthead.leases import zone_leases
@@ -74,8 +74,8 @@
 ) -> None:
     monkeypatch.setattr(controller_module, "MAX_REMEMBERED_OUTCOMES", CACHE)
     monkeypatch.setattr(DependencyGraph, "MAX_REMEMBERED_ENDED", CACHE)
-    monkeypatch.setattr(ledger, "MIN_REMEMBERED_JOBS", CACHE)
-    monkeypatch.setattr(ledger, "MIN_REMEMBERED_MACHINES", CACHE)
+    monkeypatch.setattr(job_table, "MIN_REMEMBERED_JOBS", CACHE)
+    monkeypatch.setattr(machine_registry, "MIN_REMEMBERED_MACHINES", CACHE)
     monkeypatch.setattr(zone_leases, "MIN_REMEMBERED_REDIRECTS", CACHE)
 
     async def day() -> tuple[World, list[dict[str, int]]]:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,7 +12,6 @@
 import test_days
 from helpers import heartbeat, job, machine, ready, settings, spec
 from salthead.autoscaling import fleet_plan
-from salthead.cluster import dependencies
 from salthead.cluster.dependency_graph import DependencyGraph
 from salthead.cluster.ledger import Ledger
 from salthead.controller.controller import Controller
@@ -245,10 +244,10 @@
     later = ready(200.0)
     later.wall_ahead = 1000.0
     job(later, 200.0, job_id="req-2", depends_on=["req-1"], at=1005.0)
-    dependencies.resolve(later, "req-1", wire_names.DONE, 1091.0, 200.0)
+    later.resolve_dependency("req-1", wire_names.DONE, 1091.0, 200.0)
     assert later.jobs["req-2"].since == 91.0 and not later.jobs["req-2"].accepted_this_term
     job(later, 200.0, job_id="req-4", depends_on=["req-5"], at=1005.0)
-    dependencies.resolve(later, "req-5", wire_names.DONE, 1999.0, 201.0)
+    later.resolve_dependency("req-5", wire_names.DONE, 1999.0, 201.0)
     assert later.jobs["req-4"].since == 201.0
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -736,9 +736,9 @@
             led.capacity_index.reserve(led.machines[name], one.job_id, 9.0)
         preemption.preempt(led, place(led, 1.0), 1.0)
         assert all(b.stop_grace_s is not None for b in other.bindings.values())
-        stops, led.stops = len(led.stops), []
+        stops = len(led.allocations.take_stops())
         preemption.preempt(led, [one], 1.5)
-        assert stops == 8 and not led.stops, "room is being made already"
+        assert stops == 8 and not led.allocations.stops, "room is being made already"
 
 
 class TestScarceTypes:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -48,7 +48,7 @@
 def full(machines: int, jobs: int = 40) -> Ledger:
     """A fleet that is booked out, and a line of jobs that wait."""
     led = ready()
-    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+    led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
     rng = random.Random(1)
     for n in range(machines):
         machine(led, f"m{n}", zone=("north", "south")[n % 2])
@@ -102,7 +102,7 @@
     # 98 MB are a controller's on the smallest machines: bytes for each, as the interpreter counts.
     def machine_type(many: int) -> int:
         led = ready()
-        led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+        led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
         for n in range(many if what != "job" else 1):
@@ -190,7 +190,7 @@
 def test_a_plan_makes_no_more_machines_than_can_be_hired() -> None:
     # A line of 100,000 tasks made 25,000 machines in thought at every plan, in 100,191 calls.
     led = ready()
-    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+    led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
     job(led, task_count=100_000, vcpus=2.0, estimated_run_s=500.0)
     found: list[fleet_plan.Plan] = []
     cost = calls(lambda: found.append(fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})))
@@ -512,7 +512,7 @@
     # Seen on troubles, prairie-ledger-lean: no provision for a minute while 300 to 1,655 tasks
     # waited. Places that free within a boot counted as if they were free.
     led = ready()
-    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+    led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
     for n in range(25):
         machine(led, f"m{n}").last_heartbeat_at = 100.0
     running = job(led, job_id="req-1", task_count=100, estimated_run_s=run_s)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -468,7 +468,7 @@
     led, recovery = two_zones()
     for found in led.machines.values():
         found.quarantine_reason = "x"
-    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+    led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
     job(led, task_count=400, vcpus=2.0, estimated_run_s=500.0)
 
     def to_provision(now: float) -> dict[int, int]:
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -135,7 +135,7 @@
     """Book a fleet out, with a line of jobs that wait; each machine has shown what it runs."""
     ledger.set_machine_types(FLAVORS)
     ledger.loaded = ledger.ready = True
-    ledger.team_limits = [(1e9, 1e9) for _ in ledger.team_limits]
+    ledger.team_limits[:] = [(1e9, 1e9) for _ in ledger.team_limits]
     for n in range(machines):
         machine(ledger, f"m{n}", now, zone=("north", "south")[n % 2])
     for n in range(JOBS_IN_LINE):
