--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -35,6 +35,11 @@
         parts |= {
             "term": term,
             "ledger": term.ledger,
+            "machines": term.ledger.machine_registry,
+            "jobs": term.ledger.job_table,
+            "allocations": term.ledger.allocations,
+            "dependencies": term.ledger.dependencies,
+            "orphan tasks": term.ledger.orphans,
             "pipelines": term.ledger.dependency_graph,
             "estimates": term.ledger.estimates,
             "outcomes": term.outcomes,
