--- a/src/salthead/cluster/allocations.py
+++ b/src/salthead/cluster/allocations.py
@@ -153,14 +153,14 @@
     def fail_gang(self, job: Job, now: float, why: str) -> None:
         """A gang's attempt is over: the tasks left of it go before it is drawn anew."""
         job.failed = True
-        log.info("gang %s attempt %d over: %s", job.job_id, job.attempt, why)
+        event(log, "gang_attempt_over", job=job.job_id, attempt=job.attempt, why=why)
         for other in list(job.bindings.values()):
             if other.stop_grace_s is None:
                 self.request_stop(other, 0.0)
 
     def stop_gang(self, job: Job, grace_s: float, why: str) -> None:
         """Stop a whole gang in order: every member is told, and what it saved is kept."""
-        log.info("gang %s stopped: %s", job.job_id, why)
+        event(log, "gang_stopped", job=job.job_id, why=why)
         job.failed = True
         for binding in job.bindings.values():
             self.request_stop(binding, grace_s)
--- a/src/salthead/cluster/dependencies.py
+++ b/src/salthead/cluster/dependencies.py
@@ -10,6 +10,7 @@
 from salthead.cluster.dependency_graph import DependencyGraph
 from salthead.cluster.job_table import JobTable
 from salthead.cluster.model import Job
+from salthead.event_log import event
 from salthead.protocol import wire_names
 from salthead.settings import Objective
 
@@ -17,6 +18,7 @@
 
 # Due times follow an estimate that has moved by more than this part of itself.
 ESTIMATE_TOLERANCE = 0.1
+MAX_LOGGED_JOBS = 5
 
 
 class JobDependencies:
@@ -84,7 +86,7 @@
             job.blocked_on_dependencies = False
             self.job_table.ready_jobs[job_id] = job
             self._count_from(job)
-            log.info("job %s is ready", job_id)
+            event(log, "job_ready", job=job_id)
         if job_ids:
             self.events.changed()
 
@@ -97,9 +99,8 @@
             self.pending_aborts[job_id] = None
             self.allocations.stop_all(job)
         if job_ids:
-            log.info(
-                "%d jobs end with one that they need: %s", len(job_ids), ", ".join(job_ids[:5])
-            )
+            first = ",".join(job_ids[:MAX_LOGGED_JOBS])
+            event(log, "dependents_cancelled", jobs=len(job_ids), first=first)
             self.events.aborts_pending()
             self.events.changed()
 
--- a/src/salthead/cluster/job_table.py
+++ b/src/salthead/cluster/job_table.py
@@ -9,6 +9,7 @@
 from salthead.cluster.events import LedgerEvents
 from salthead.cluster.machine_registry import REMEMBERED_FLEETS, MachineRegistry
 from salthead.cluster.model import EPSILON, Job, Resources
+from salthead.event_log import event
 from salthead.protocol import wire_names
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import Submission
@@ -43,7 +44,7 @@
         """Add an accepted job; None when its team is unknown to these settings."""
         team = self.team_names.get(spec.team)
         if team is None:
-            log.warning("job %s: unknown team %s", spec.job_id, spec.team)
+            event(log, "team_unknown", logging.WARNING, job=spec.job_id, team=spec.team)
             return None
         job = self._job(spec, team, submitted, accepted_this_term)
         self.jobs[spec.job_id] = job
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -400,8 +400,12 @@
     def _mark_lost(self, machine: Machine, now: float) -> None:
         # Whatever it still reports of this incarnation is late news: a worker that
         # goes on does so with the next incarnation and no tasks.
-        log.info(
-            "machine %s lost: unheard for %.1f s", machine.name, now - machine.last_heartbeat_at
+        event(
+            log,
+            "machine_lost",
+            machine=machine.name,
+            unheard_s=now - machine.last_heartbeat_at,
+            fencing_token=self.fencing_token,
         )
         self.set_phase(machine, LOST)
         machine.lost_at = now
--- a/src/salthead/cluster/machine_health.py
+++ b/src/salthead/cluster/machine_health.py
@@ -6,6 +6,7 @@
 
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
+from salthead.event_log import event
 
 log = logging.getLogger(__name__)
 
@@ -19,7 +20,7 @@
 def mark_unresponsive(ledger: Ledger, machine: Machine, now: float, why: str) -> None:
     """Its heartbeats arrive, but answers do not reach it: it gets no work until one does."""
     if machine.unresponsive_since is None:
-        log.info("machine %s is unresponsive: %s", machine.name, why)
+        event(log, "machine_unresponsive", machine=machine.name, why=why)
         machine.unresponsive_since = now
         machine.unresponsive_times += 1
         ledger.events.changed()
@@ -28,7 +29,7 @@
 def mark_responsive(ledger: Ledger, machine: Machine, now: float) -> None:
     """An unresponsive machine answered a call: it is tried again after a growing pause."""
     if machine.unresponsive_since is not None:
-        log.info("machine %s responds again", machine.name)
+        event(log, "machine_responsive", machine=machine.name)
         machine.unresponsive_since = None
         machine.trusted_again_at = (
             now
@@ -55,11 +56,12 @@
         or other.n_done > 0
         or len(other.error_machines) < FAULTY_JOB_MACHINES
     ]
-    log.info(
-        "task of %s failed on %s (%d jobs failed there)",
-        job.job_id,
-        machine.name,
-        len(machine.error_jobs),
+    event(
+        log,
+        "task_failed",
+        job=job.job_id,
+        machine=machine.name,
+        jobs_failed_there=len(machine.error_jobs),
     )
     if len(blamed) >= QUARANTINE_ERRORS and not machine.quarantine_reason:
         machine.quarantine_reason = "fails its tasks"
--- a/src/salthead/event_log.py
+++ b/src/salthead/event_log.py
@@ -11,7 +11,8 @@
 def event(log: logging.Logger, name: str, level: int = logging.INFO, **fields: object) -> None:
     """Log one event with its fields, in the order in which they are given."""
     if log.isEnabledFor(level):
-        log.log(level, "%s %s", name, " ".join(f"{key}={_text(fields[key])}" for key in fields))
+        # A list, since a generator would be resumed for each field.
+        log.log(level, "%s %s", name, " ".join([f"{key}={_text(fields[key])}" for key in fields]))
 
 
 def _text(value: object) -> str:
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -15,6 +15,7 @@
 
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import GONE, LOST, UP, Machine
+from salthead.event_log import event
 from salthead.failure_detection.machine_sets import MachineSets
 from salthead.networks.silence import NetworkSilence
 from salthead.policy import PartialCutPolicy
@@ -98,10 +99,10 @@
                 cut_groups.add(group.name)
         self._find_unheard_zones()
         for name in cut_groups - self.cut_since.keys():
-            log.info("silence that many machines of %s share: taken for a cut", name)
+            event(log, "cut_suspected", group=name)
             self.cut_since[name] = now
         for name in self.cut_since.keys() - cut_groups:
-            log.info("no cut of %s any more", name)
+            event(log, "cut_over", group=name)
             del self.cut_since[name]
 
     def behind_cut(self, machine: Machine) -> bool:
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -8,6 +8,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.machine_health import mark_unresponsive
 from salthead.cluster.model import BOOTING, LOST, UP, Machine, ReleaseReason
+from salthead.event_log import event
 from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
 from salthead.heartbeats.task_reconciliation import commands_for
 from salthead.protocol import wire_names
@@ -15,14 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-JOBS_KNOWN, MACHINE_NOT_TERMINATED = (
-    int(Precondition.JOBS_KNOWN),
-    int(Precondition.MACHINE_NOT_TERMINATED),
-)
-INCARNATION_CURRENT, RESPONSES_DELIVERED = (
-    int(Precondition.INCARNATION_CURRENT),
-    int(Precondition.RESPONSES_DELIVERED),
-)
+JOBS_KNOWN = int(Precondition.JOBS_KNOWN)
+MACHINE_NOT_TERMINATED = int(Precondition.MACHINE_NOT_TERMINATED)
+INCARNATION_CURRENT = int(Precondition.INCARNATION_CURRENT)
+RESPONSES_DELIVERED = int(Precondition.RESPONSES_DELIVERED)
+# A new incarnation this soon after the last heartbeat, in leases, ended while it was answered.
+EARLY_INCARNATION_LEASES = 0.5
 
 
 def handle_heartbeat(
@@ -33,9 +32,9 @@
 ) -> list[Command] | None:
     """Commands for the worker, or None when the heartbeat must not be answered with 200.
 
-    A ``direct`` report is the answer to a call of ours. It renews no lease and carries no
-    commands back, and it may have been made while an answer with starts was under way, so
-    what it does not show may still begin.
+    A ``direct`` heartbeat is the answer to a call of ours. It renews no lease and carries no
+    commands back, and it may have been made while an answer with starts was under way, so what it
+    does not show may still begin.
     """
     machine = ledger.machines.get(heartbeat.worker)
     if (
@@ -54,19 +53,15 @@
     ):
         # Nearly all heartbeats of a busy fleet are like this: all that an answer requires holds, as
         # at the last one, nothing is new and nothing is wanted. Inlined from what follows, since at
-        # 570 machines half of what a leader did for reports was to find that out.
+        # 570 machines half of what a leader did for heartbeats was to find that out.
         links = machine.links
         if heartbeat.sequence == links.acknowledged_sequence + 1 and ledger.other_controllers:
             links.answers_at = links.acknowledged_at
             links.unheard_answers = 0
-        links.acknowledged_incarnation, links.acknowledged_sequence = (
-            heartbeat.incarnation,
-            heartbeat.sequence,
-        )
-        links.acknowledged_at = links.last_received_at = machine.acknowledged_at = (
-            machine.last_heartbeat_at
-        ) = now
-        machine.sequence = heartbeat.sequence
+        links.acknowledged_incarnation = heartbeat.incarnation
+        links.acknowledged_sequence = machine.sequence = heartbeat.sequence
+        links.acknowledged_at = links.last_received_at = now
+        machine.acknowledged_at = machine.last_heartbeat_at = now
         if ledger.zone_hooks is not None:
             ledger.zone_hooks.heartbeat_received(machine)
         if ledger.shared_silence is not None:
@@ -78,7 +73,7 @@
 def _answer(
     ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[Command] | None:
-    """Any other report: whether it may be answered, and with which commands."""
+    """Any other heartbeat: whether it may be answered, and with which commands."""
     # Made after an answer of this term was accepted: a heartbeat of an earlier term, or of
     # before the worker's first answer, may be a copy that comes late.
     current = heartbeat.fencing_token == ledger.fencing_token
@@ -86,10 +81,8 @@
         ledger.newer_fencing_token = max(ledger.newer_fencing_token, heartbeat.fencing_token)
     if machine is not None and not direct:
         _record_acknowledgements(ledger, machine, heartbeat, current, now)
-    missing = missing_preconditions(
-        Action.ACKNOWLEDGE_HEARTBEAT,
-        _answer_facts(ledger, machine, heartbeat, current or direct, now),
-    )
+    facts = _answer_facts(ledger, machine, heartbeat, current or direct, now)
+    missing = missing_preconditions(Action.ACKNOWLEDGE_HEARTBEAT, facts)
     if missing:
         ledger.blocked_actions.note(Action.ACKNOWLEDGE_HEARTBEAT, missing, now)
         return None
@@ -99,17 +92,13 @@
             # machine that an earlier leader returned looks just like this in a late copy, and
             # one that is not in the machine registry was never started anything.
             return []
-        machine = ledger.add_machine(
-            heartbeat.worker, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now
-        )
-        log.info("machine %s reports unexpectedly", machine.name)
+        machine = _add_unexpected(ledger, heartbeat, now)
     if not direct:
         machine.acknowledged_at = now
         machine.links.acknowledged(heartbeat.incarnation, heartbeat.sequence, now)
     newer = (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
     if not newer or not ledger.loaded:
-        # Not loaded: keep the worker alive, look at its tasks next time.
-        return []
+        return []  # not loaded: keep the worker alive, look at its tasks next time
     if not current:
         # Its tasks may be those of long ago: an exit reaped since, a task that is elsewhere
         # now. A machine that comes up may enter the machine registry meanwhile.
@@ -119,6 +108,15 @@
     return _news(ledger, machine, heartbeat, now, direct)
 
 
+def _add_unexpected(ledger: Ledger, heartbeat: Heartbeat, now: float) -> Machine:
+    """A machine that shows this term's token, though neither registry nor cloud told of it."""
+    machine = ledger.add_machine(
+        heartbeat.worker, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now
+    )
+    event(log, "machine_unexpected", machine=machine.name)
+    return machine
+
+
 def _news(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[Command]:
@@ -227,7 +225,7 @@
         ledger.events.changed()
     warned = None if heartbeat.warning_s is None else now + heartbeat.warning_s
     if warned is not None and machine.reclaim_at is None:
-        log.info("machine %s will be taken in %.1f s", machine.name, heartbeat.warning_s)
+        event(log, "machine_reclaim_warning", machine=machine.name, in_s=heartbeat.warning_s)
     machine.reclaim_at = warned
     if heartbeat.endpoint:
         machine.endpoint = heartbeat.endpoint
@@ -235,15 +233,16 @@
 
 def _new_incarnation(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
     """The worker's lease has ended, and with it all that it ran."""
-    log.info("machine %s: session %d", machine.name, heartbeat.incarnation)
-    if machine.reconciled and now - machine.last_heartbeat_at < 0.5 * ledger.limits.workers.lease_s:
-        why = "its lease ended though its reports were answered"
+    event(log, "incarnation_changed", machine=machine.name, incarnation=heartbeat.incarnation)
+    early_s = EARLY_INCARNATION_LEASES * ledger.limits.workers.lease_s
+    if machine.reconciled and now - machine.last_heartbeat_at < early_s:
+        why = "its lease ended though its heartbeats were answered"
         mark_unresponsive(ledger, machine, now, why)
     ledger.lose_tasks(machine, now, ReleaseReason.NEW_INCARNATION)
 
 
 def _came_up(ledger: Ledger, machine: Machine, now: float) -> None:
-    log.info("machine %s up, %.1f s after its hire", machine.name, now - machine.provisioned_at)
+    event(log, "machine_up", machine=machine.name, after_s=now - machine.provisioned_at)
     if machine.phase == LOST:
         # That it was not needed was found while others did its work: seen on one-way-machines,
         # moana-buoys-hunt, 7 and 19 machines returned within seconds of coming back.
