--- a/src/salthead/cluster/capacity_index.py
+++ b/src/salthead/cluster/capacity_index.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterable
 
-from salthead.cluster.model import EPSILON, UP, Machine, MachineKind, Resources
+from salthead.cluster.model import UP, Machine
+from salthead.cluster.resources import EPSILON, MachineKind, Resources
 
 
 class CapacityIndex:
--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -13,15 +13,8 @@
 import logging
 
 from salthead.cluster.machine_registry import MachineRegistry
-from salthead.cluster.model import (
-    EPSILON,
-    UNBOUNDED_RESOURCES,
-    UP,
-    Job,
-    Machine,
-    MachineKind,
-    Resources,
-)
+from salthead.cluster.model import UP, Job, Machine
+from salthead.cluster.resources import EPSILON, UNBOUNDED_RESOURCES, MachineKind, Resources
 from salthead.event_log import event
 
 log = logging.getLogger(__name__)
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -11,7 +11,8 @@
 from typing import Protocol
 
 from salthead import metrics
-from salthead.cluster.model import EPSILON, Binding, Job, Machine
+from salthead.cluster.model import Binding, Job, Machine
+from salthead.cluster.resources import EPSILON
 from salthead.errors import SaltheadError
 from salthead.event_log import event
 from salthead.protocol.interning import Interner
--- a/src/salthead/cluster/job_table.py
+++ b/src/salthead/cluster/job_table.py
@@ -8,7 +8,8 @@
 from salthead.cluster.estimates import Arrivals, Estimates
 from salthead.cluster.events import LedgerEvents
 from salthead.cluster.machine_registry import REMEMBERED_FLEETS, MachineRegistry
-from salthead.cluster.model import EPSILON, Job, Resources
+from salthead.cluster.model import Job
+from salthead.cluster.resources import EPSILON, Resources
 from salthead.event_log import event
 from salthead.protocol import wire_names
 from salthead.protocol.interning import Interner
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -27,16 +27,16 @@
     BOOTING,
     GONE,
     LOST,
-    NO_RESOURCES,
     UP,
     Binding,
     Job,
     Machine,
+    MachinePhase,
     ReleaseReason,
-    Resources,
 )
 from salthead.cluster.orphans import OrphanTasks
 from salthead.cluster.pending_queue import PendingQueue
+from salthead.cluster.resources import NO_RESOURCES, Resources
 from salthead.cluster.silence_hooks import SilenceHooks
 from salthead.cluster.worker_leases import WorkerLeases
 from salthead.cluster.zone_hooks import ZoneHooks
@@ -345,7 +345,7 @@
         """The state service knows the machine, so that it may be given work."""
         self.machine_registry.mark_registered(machine)
 
-    def set_phase(self, machine: Machine, phase: str) -> None:
+    def set_phase(self, machine: Machine, phase: MachinePhase) -> None:
         """Change a machine's phase, and what is indexed by it."""
         self.machine_registry.set_phase(machine, phase)
         if self.zone_hooks is not None:
--- a/src/salthead/cluster/machine_registry.py
+++ b/src/salthead/cluster/machine_registry.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterable
 
 from salthead.cluster.capacity_index import CapacityIndex
-from salthead.cluster.model import NO_RESOURCES, Machine, Resources
+from salthead.cluster.model import Machine, MachinePhase
+from salthead.cluster.resources import NO_RESOURCES, Resources
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import MachineType
 
@@ -82,7 +83,7 @@
         machine.registered = True
         self.unregistered.pop(machine, None)
 
-    def set_phase(self, machine: Machine, phase: str) -> None:
+    def set_phase(self, machine: Machine, phase: MachinePhase) -> None:
         """Change a machine's phase, and what is indexed by it."""
         machine.phase = phase
         self.capacity_index.reindex(machine)
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -1,55 +1,60 @@
-"""What the ledger holds: machines, jobs, and the tasks that are bound to machines."""
+"""What the ledger holds: machines, jobs, and the tasks that are bound to machines.
+
+A binding refers to its job and to its machine, and both list it: so the three share a module.
+"""
 
 from __future__ import annotations
 
-import functools
 import math
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import NamedTuple
 
+from salthead.cluster.resources import (
+    EPSILON,
+    NO_RESOURCES,
+    UNBOUNDED_RESOURCES,
+    MachineKind,
+    Resources,
+    ResourceUsage,
+    machine_kind,
+)
 from salthead.failure_detection.links import WorkerLinks
 from salthead.protocol import wire_names
 from salthead.protocol.messages import Submission, TaskStatus
 
+__all__ = [
+    "BOOTING",
+    "EPSILON",
+    "GONE",
+    "LOST",
+    "NO_RESOURCES",
+    "UNBOUNDED_RESOURCES",
+    "UP",
+    "Binding",
+    "Job",
+    "Machine",
+    "MachineKind",
+    "MachinePhase",
+    "ReleaseReason",
+    "ResourceUsage",
+    "Resources",
+    "machine_kind",
+]
 
-class Resources(NamedTuple):
-    """What a task requests, or what a machine has."""
-
-    cpus: float
-    gpus: float
-    memory_gb: float
-
-
-class MachineKind(NamedTuple):
-    """Machines that are alike: type and zone by their dense indices, and whether they are spot."""
 
-    machine_type: int
-    zone: int
-    spot: bool
+class MachinePhase(StrEnum):
+    """How far a machine is, as the leader knows."""
 
+    BOOTING = "booting"  # provisioned, and not yet heard
+    UP = "up"
+    LOST = "lost"  # its worker's lease must be over; the cloud still has it
+    GONE = "gone"  # the cloud confirmed that it is terminated
 
-@functools.cache
-def machine_kind(machine_type: int, zone: int, spot: bool) -> MachineKind:
-    """The kind with these indices: one object for each, since plans ask for thousands."""
-    return MachineKind(machine_type, zone, spot)
 
-
-@dataclass(slots=True)
-class ResourceUsage:
-    """What the tasks of one machine have been allocated."""
-
-    cpus: float = 0.0
-    gpus: float = 0.0
-    memory_gb: float = 0.0
-
-
-NO_RESOURCES = Resources(0.0, 0.0, 0.0)
-UNBOUNDED_RESOURCES = Resources(math.inf, math.inf, math.inf)
-EPSILON = 1e-6
-
-UP, BOOTING, LOST, GONE = "up", "booting", "lost", "gone"
+# Loops over all machines compare these: to name a member by its class costs a call.
+BOOTING, UP = MachinePhase.BOOTING, MachinePhase.UP
+LOST, GONE = MachinePhase.LOST, MachinePhase.GONE
 
 
 class ReleaseReason(StrEnum):
@@ -107,44 +112,59 @@
     zone: int
     spot: bool
     capacity: Resources
-    phase: str = BOOTING
-    allocated: ResourceUsage = field(default_factory=ResourceUsage)
-    registered: bool = False
+    phase: MachinePhase = BOOTING
+    index: int = -1  # a dense number, for sets of machines
+    provisioned_at: float = 0.0
+    lost_at: float = 0.0
+    endpoint: str = ""
+    terminating: bool = False  # set by the autoscaler while it asks the cloud to terminate it
+
+    # What the leader knows of its worker.
+    registered: bool = False  # set once the state service knows the machine
     reconciled: bool = False  # reported under this term's token
+    seen_in_earlier_term: bool = False  # reported, though not under this term's token
     incarnation: int = 0
     sequence: int = -1
-    min_incarnation: int = 0
+    min_incarnation: int = 0  # those before must have ended with their lease
     last_heartbeat_at: float = -math.inf
     acknowledged_at: float = -math.inf
-    reclaim_at: float | None = None
-    bindings: dict[tuple[str, int], Binding] = field(default_factory=dict)
-    orphans: dict[tuple[str, int, int], Binding] = field(default_factory=dict)
-    provisioned_at: float = 0.0
-    lost_at: float = 0.0
-    endpoint: str = ""
-    quarantine_reason: str = ""  # why it takes no more tasks and is to be returned
-    error_jobs: set[str] = field(default_factory=set)
-    error_until: float = 0.0
-    reserved_for: str = ""  # the job for which room is being made here
-    reserved_until: float = 0.0
-    terminating: bool = False
-    surplus_since: float | None = None  # since when all there is to do would fit elsewhere
-    images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # in its cache, by use
-    cordoned: bool = False  # takes no more tasks, so that it empties and can be returned
-    seen_in_earlier_term: bool = False  # reported, though not under this term's token
     first_acknowledged_at: float = math.inf  # when it was first answered
-    unresponsive_since: float | None = None  # heartbeats arrive, but nothing reaches it
-    unresponsive_times: int = 0
-    trusted_again_at: float = 0.0  # after it was unresponsive: when it may be given work again
-    has_freed_capacity: bool = False  # has room that it had not at its last heartbeat
+    links: WorkerLinks = field(default_factory=WorkerLinks)
     # What its last heartbeat showed, and whether that left nothing to do: the same again is no
     # news.
     last_tasks: list[TaskStatus] = field(default_factory=list)
     unchanged: bool = False
-    index: int = -1  # a dense number, for sets of machines
-    links: WorkerLinks = field(default_factory=WorkerLinks)
-    awaiting_slow_start: bool = False  # in a zone that was lost, and not yet open to new work
-    free_whole_cpus: int = -1  # whole CPUs that are free, as its ledger last indexed it
+
+    # What is on it.
+    bindings: dict[tuple[str, int], Binding] = field(default_factory=dict)
+    orphans: dict[tuple[str, int, int], Binding] = field(default_factory=dict)
+    allocated: ResourceUsage = field(default_factory=ResourceUsage)
+    images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # in its cache, by use
+    has_freed_capacity: bool = False  # has room that it had not at its last heartbeat
+    free_whole_cpus: int = -1  # whole CPUs that are free, as the capacity index last noted
+
+    # Why it takes no work, beside its phase: each is set by one owner.
+    # By heartbeats: when the cloud takes the spot machine back, as its worker was warned.
+    reclaim_at: float | None = None
+    # By machine health: heartbeats arrive, but nothing reaches it; then a growing pause.
+    unresponsive_since: float | None = None
+    unresponsive_times: int = 0
+    trusted_again_at: float = 0.0
+    # By machine health, after errors of its tasks: a pause, then quarantine. The autoscaler too
+    # quarantines a machine that the cloud lists as failed.
+    error_jobs: set[str] = field(default_factory=set)
+    error_until: float = 0.0
+    quarantine_reason: str = ""  # why it takes no more tasks and is to be returned
+    # By the capacity index: the job for which room is being made here.
+    reserved_for: str = ""
+    reserved_until: float = 0.0
+    # By scale-in: since when all there is to do would fit elsewhere; then cordoned, so that it
+    # empties and can be terminated. A heartbeat after its lease ended takes both back.
+    surplus_since: float | None = None
+    cordoned: bool = False
+    # By zone recovery: in a zone that was lost, and not yet open to new work.
+    awaiting_slow_start: bool = False
+
     # Kept rather than derived: plans read it a thousand times each.
     kind: MachineKind = field(init=False)
 
--- a/src/salthead/cluster/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -12,7 +12,8 @@
 from salthead import metrics
 from salthead.cluster.allocations import Allocations
 from salthead.cluster.job_table import JobTable
-from salthead.cluster.model import NO_RESOURCES, Binding, Machine, Resources
+from salthead.cluster.model import Binding, Machine
+from salthead.cluster.resources import NO_RESOURCES, Resources
 from salthead.event_log import event
 from salthead.protocol.messages import Submission
 
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import EPSILON, Binding, Job
+from salthead.cluster.model import Binding, Job
+from salthead.cluster.resources import EPSILON
 
 
 def startable(ledger: Ledger, job: Job) -> bool:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -14,7 +14,7 @@
 from salthead.autoscaling import fleet_plan
 from salthead.cluster import machine_registry
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import UP
+from salthead.cluster.model import LOST, UP
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.controller.server import listen
@@ -237,7 +237,7 @@
             asked.append(one.name)
 
         term.worker_calls.reconcile = join  # type: ignore[method-assign]
-        term.ledger.set_phase(found[0], "lost")
+        term.ledger.set_phase(found[0], LOST)
         await term.worker_calls.reconcile_all(found)
         return asked
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,7 @@
 from salthead.cluster import machine_health
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import Job, Resources, ResourceUsage
+from salthead.cluster.model import LOST, Job, Resources, ResourceUsage
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.scheduling import gangs, placement, preemption, queue_order
 
@@ -556,7 +556,7 @@
             machine(led, f"m{n}")
         job(led, task_count=10, vcpus=8.0, estimated_run_s=500.0, team="red")
         for n in range(lost):
-            led.machines[f"m{n}"].phase, led.machines[f"m{n}"].lost_at = "lost", 100.0
+            led.machines[f"m{n}"].phase, led.machines[f"m{n}"].lost_at = LOST, 100.0
         assert len(self.plan(led, now).to_terminate) == returned
 
     @pytest.mark.parametrize(
