--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -11,7 +11,6 @@
 
 from __future__ import annotations
 
-import logging
 import math
 from collections.abc import Callable, Iterable
 
@@ -26,7 +25,6 @@
 from salthead.cluster.model import (
     BOOTING,
     GONE,
-    LOST,
     UP,
     Binding,
     Job,
@@ -40,20 +38,16 @@
 from salthead.cluster.silence_hooks import SilenceHooks
 from salthead.cluster.worker_leases import WorkerLeases
 from salthead.cluster.zone_hooks import ZoneHooks
-from salthead.event_log import event
 from salthead.failure_detection.blocked_actions import BlockedActions
-from salthead.failure_detection.preconditions import Action, Precondition, permits
+from salthead.failure_detection.preconditions import Precondition
 from salthead.leases.leader_lease import unloaded_grace_s
 from salthead.protocol import wire_names
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import MachineType, Submission
 from salthead.settings import Limits
 
-log = logging.getLogger(__name__)
-
 LEADER_LEASE, TOKEN_CURRENT = int(Precondition.LEADER_LEASE), int(Precondition.TOKEN_CURRENT)
 JOBS_KNOWN, FLEET_RECONCILED = int(Precondition.JOBS_KNOWN), int(Precondition.FLEET_RECONCILED)
-WORKER_LEASE_OVER = int(Precondition.WORKER_LEASE_OVER)
 
 # A machine that is up is heard when its last heartbeat is no older than this many periods.
 HEARD_HEARTBEAT_INTERVALS = 3.0
@@ -368,59 +362,3 @@
         self.set_phase(machine, GONE)
         self.machine_registry.remove(machine, now)
         self.events.changed()
-
-    # -- what time alone decides ------------------------------------------------------------
-
-    def tick(self, now: float) -> None:
-        """What time alone decides: leases that are surely over, and the end of a failover."""
-        self.dependencies.revise_runs()
-        self.invariants.audit(now)
-        # Of a leader without its lease workers may be another one's by now: what it last heard
-        # says nothing of them. It had judged 135 machines lost that reported to the next leader.
-        if permits(Action.DECLARE_LOST, self.confirmed_preconditions() | WORKER_LEASE_OVER):
-            for machine in self.machines.values():
-                if machine.phase == UP and now > self.leases.expires_at(machine):
-                    self._mark_lost(machine, now)
-        if self.loaded and not self.ready and self.failover.sweep(now):
-            self._complete_failover(now)
-
-    def _complete_failover(self, now: float) -> None:
-        self.ready = True
-        self._end_partial_gangs(now)
-        event(
-            log,
-            "failover_complete",
-            fencing_token=self.fencing_token,
-            after_s=now - self.term_started_at,
-            machines=len(self.machines),
-            jobs=len(self.jobs),
-        )
-        self.events.changed()
-
-    def _mark_lost(self, machine: Machine, now: float) -> None:
-        # Whatever it still reports of this incarnation is late news: a worker that
-        # goes on does so with the next incarnation and no tasks.
-        event(
-            log,
-            "machine_lost",
-            machine=machine.name,
-            unheard_s=now - machine.last_heartbeat_at,
-            fencing_token=self.fencing_token,
-        )
-        self.set_phase(machine, LOST)
-        machine.lost_at = now
-        machine.min_incarnation = machine.incarnation + 1
-        # It holds nothing any more, and may join if it heals.
-        machine.first_acknowledged_at = math.inf
-        machine.reconciled = False
-        self.lose_tasks(machine, now, ReleaseReason.LEASE_OVER)
-
-    def _end_partial_gangs(self, now: float) -> None:
-        """Gangs of which an earlier leader had started only a part when it ended.
-
-        With all machines accounted for, the rest of the gang is nowhere: the part would hold its
-        places and wait for it until it gives up. It is stopped, and the gang drawn anew.
-        """
-        for job in list(self.jobs.values()):
-            if job.gang and 0 < len(job.bindings) < job.spec.task_count and not job.complete:
-                self.allocations.fail_gang(job, now, "incomplete after a takeover")
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -11,6 +11,7 @@
 
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Machine
+from salthead.cluster.sweep import sweep
 from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader.autoscaler import PAUSE_FACTOR, Autoscaler
@@ -248,7 +249,7 @@
 
     def look(self, now: float) -> None:
         """What time alone changes, machine by machine."""
-        self.ledger.tick(now)
+        sweep(self.ledger, now)
         if self.permits(Action.SCHEDULE, TASK_NOWHERE):
             placement.reschedule_unsent(self.ledger, self.controller.rng, now)
             preemption.drain(self.ledger, now)
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -17,6 +17,7 @@
 from salthead.autoscaling.scale_in import LOST_REASON, SILENT_REASON, TerminationDecision
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import LOST, UP
+from salthead.cluster.sweep import sweep
 from salthead.failure_detection.link_diagnosis import LinkState, link_state
 from salthead.failure_detection.preconditions import (
     REQUIRED,
@@ -117,7 +118,7 @@
         (found.links.command_answered if called else found.links.command_failed)(at - 0.5)
         handle_heartbeat(led, heartbeat("m1", sequence, fencing_token=3), at)
     assert led.leases.expires_at(found) == pytest.approx(lost_at, abs=0.02)
-    led.tick(lost_at + 0.1)
+    sweep(led, lost_at + 0.1)
     assert found.phase == LOST and led.ready
 
 
@@ -189,7 +190,7 @@
     for now in range(2, 60, 2):
         for name in names[silent:]:
             handle_heartbeat(led, heartbeat(name, now), float(now))
-        led.tick(float(now))
+        sweep(led, float(now))
         for name in names[:silent]:
             if one_way == "commands" and now > 8:
                 led.machines[name].links.command_answered(float(now))
@@ -238,7 +239,7 @@
     for now in range(2, 15):
         for n in range(3, 12):
             handle_heartbeat(led, heartbeat(f"m{n}", now), float(now))
-        led.tick(float(now))
+        sweep(led, float(now))
         silence.look(float(now))
     for name in ("m0", "m1"):
         led.machine_gone(led.machines[name], 14.0)
@@ -258,7 +259,7 @@
                 handle_heartbeat(
                     led, heartbeat(f"m{n}", now, zone=("north", "south")[n % 2]), float(now)
                 )
-        led.tick(float(now))
+        sweep(led, float(now))
         plan = fleet_plan.plan(led, float(now), fleet_plan.CapacityBackoff(), {})
         assert LOST_REASON not in plan.reasons.values()
     assert sum(found.phase == LOST for found in led.machines.values()) == 10
@@ -270,7 +271,7 @@
     led = ready()
     found = machine(led, "m1")
     idle = TerminationDecision.of(found, "not needed")
-    led.tick(LEASE_S + 1.0)
+    sweep(led, LEASE_S + 1.0)
     assert found.phase == LOST
     lost = TerminationDecision.of(found, LOST_REASON)
     assert lost.holds() and not idle.holds()
@@ -304,7 +305,7 @@
     if before == "deposed":
         led.newer_fencing_token = 9
     elif before == "lost":
-        led.tick(20.0)
+        sweep(led, 20.0)
     elif before == "warned":
         found.reclaim_at = 5.0
     elif before == "unregistered":
@@ -325,10 +326,10 @@
     led = ready()
     found = machine(led, "m1")
     led.leader_lease_valid = lambda: False
-    led.tick(LEASE_S + 1.0)
+    sweep(led, LEASE_S + 1.0)
     assert found.phase == UP
     led.leader_lease_valid = lambda: True
-    led.tick(LEASE_S + 1.0)
+    sweep(led, LEASE_S + 1.0)
     assert found.phase == LOST
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -16,6 +16,7 @@
 )
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import ResourceUsage
+from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
 
 
@@ -64,13 +65,13 @@
 def wrong_sum_of_a_team(led: Ledger) -> None:
     bind(led)
     led.usage[0][0] = 0.0
-    led.tick(AUDIT_INTERVAL_S + 1.0)
+    sweep(led, AUDIT_INTERVAL_S + 1.0)
 
 
 def wrong_sum_of_a_machine(led: Ledger) -> None:
     bind(led)
     led.machines["m1"].allocated.memory_gb = 0.0
-    led.tick(AUDIT_INTERVAL_S + 1.0)
+    sweep(led, AUDIT_INTERVAL_S + 1.0)
 
 
 FAULTS: list[tuple[Callable[[Ledger], None], Invariant]] = [
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -15,6 +15,7 @@
 from salthead.cluster import machine_registry
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import LOST, UP
+from salthead.cluster.sweep import sweep
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.controller.server import listen
@@ -85,12 +86,12 @@
     ("prepare", "work"),
     [
         (full, lambda led: plan(led, 10.0)),
-        (third_lost, lambda led: led.tick(100.0)),
-        (third_lost, lambda led: (led.tick(100.0), plan(led, 101.0))),
-        (third_lost, lambda led: (led.tick(100.0), come_back(led))),
+        (third_lost, lambda led: sweep(led, 100.0)),
+        (third_lost, lambda led: (sweep(led, 100.0), plan(led, 101.0))),
+        (third_lost, lambda led: (sweep(led, 100.0), come_back(led))),
         (
             failover,
-            lambda led: (led.tick(101.0), led.failover.unreconciled_capacity(), plan(led, 101.0)),
+            lambda led: (sweep(led, 101.0), led.failover.unreconciled_capacity(), plan(led, 101.0)),
         ),
         (failover, lambda led: (led.failover.sweep(103.0), led.failover.by_reason())),
         (full, lambda led: led.invariants.audit(1000.0)),
@@ -143,7 +144,7 @@
 def test_a_loss_frees_everything_that_it_took() -> None:
     led = third_lost(LARGE)
     bound = sum(len(one.bindings) for one in led.jobs.values())
-    led.tick(100.0)
+    sweep(led, 100.0)
     lost = [m for m in led.machines.values() if m.phase != UP]
     assert len(lost) == 1334 and not any(m.bindings for m in lost)
     assert sum(len(one.bindings) for one in led.jobs.values()) < bound
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,6 +8,7 @@
 from salthead.autoscaling import fleet_plan
 from salthead.cluster import machine_health
 from salthead.cluster.model import LOST, UP, ResourceUsage
+from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leases.leader_lease import certainly_expired_at
 from salthead.protocol.messages import StartCommand, StopCommand, Submission
@@ -70,9 +71,9 @@
         led, heartbeat("m1", 2, ("req-1/0", one.attempt or one.bindings[0].attempt, "running")), 1.0
     )
     over = certainly_expired_at(1.0, led.limits.workers.lease_s)
-    led.tick(over - 0.01)
+    sweep(led, over - 0.01)
     assert one.bindings and led.usage[one.team][0] == 8.0
-    led.tick(over + 0.01)
+    sweep(led, over + 0.01)
     assert led.machines["m1"].phase == LOST
     assert not one.bindings and led.usage[one.team][0] == 0.0
     # A late heartbeat of that incarnation is old news: it neither revives the machine nor its task.
@@ -115,14 +116,14 @@
         job(led)
         # Still under the old token: commands of the old leader may yet be executed.
         handle_heartbeat(led, heartbeat("m1", 1, fencing_token=6), 0.5)
-        led.tick(0.6)
+        sweep(led, 0.6)
         assert not led.ready
         handle_heartbeat(led, heartbeat("m1", 2), 1.0)
-        led.tick(1.1)
+        sweep(led, 1.1)
         assert not led.ready, "m2 may run anything"
         place(led, 1.2)
         assert not led.jobs["req-1"].bindings
-        led.tick(certainly_expired_at(0.0, led.limits.workers.lease_s) + 0.1)
+        sweep(led, certainly_expired_at(0.0, led.limits.workers.lease_s) + 0.1)
         assert led.ready
 
     def test_a_job_accepted_since_may_start_beside_a_silent_machine(self) -> None:
@@ -149,14 +150,14 @@
         one = job(led, task_count=2)
         found = heartbeat("m1", 4, ("req-1/0", 3, "running"))
         handle_heartbeat(led, found, 1.0, direct=True)
-        led.tick(1.1)
+        sweep(led, 1.1)
         assert led.ready and 0 in one.bindings
         place(led, 1.2)
         assert one.bindings[1].phase == ""
         led.request_stop(one.bindings[1], 0.0)
         handle_heartbeat(led, heartbeat("m1", 5, ("req-1/0", 3, "running")), 1.5, direct=True)
         assert 1 in one.bindings, "its start may be on the way in an answer to a report"
-        led.tick(certainly_expired_at(0.0, led.limits.workers.lease_s) + 0.1)
+        sweep(led, certainly_expired_at(0.0, led.limits.workers.lease_s) + 0.1)
         assert led.machines["m1"].phase == LOST
 
     def test_tasks_found_are_adopted_and_not_started_again(self) -> None:
@@ -168,7 +169,7 @@
             led, heartbeat("m1", 1, ("req-1/1", 33, "running"), ("req-1/0", 34, "fetching")), 0.5
         )
         handle_heartbeat(led, heartbeat("m2", 1), 0.5)
-        led.tick(0.6)
+        sweep(led, 0.6)
         assert led.ready and one.waiting() == 0
         assert one.bindings[1].attempt == 33
         assert led.usage[one.team][0] == 4.0
@@ -208,7 +209,7 @@
         one = job(led, shape="gang", task_count=2)
         handle_heartbeat(led, heartbeat("m1", 1, ("req-1/0", 5, "gathering")), 0.5)
         handle_heartbeat(led, heartbeat("m2", 1), 0.5)
-        led.tick(0.6)
+        sweep(led, 0.6)
         orders = handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", 5, "gathering")), 1.0)
         assert verbs(orders) == [("stop", "req-1/0")]
         handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", 5, "exited", "halted")), 1.5)
@@ -408,9 +409,9 @@
         assert handle_heartbeat(led, heartbeat("m1", 2), 9.0) == []
         assert one.bindings[0].phase == "running" and led.machines["m1"].last_heartbeat_at == 1.0
         # It may have been a heartbeat that a direct answer overtook: its answer renews the lease.
-        led.tick(certainly_expired_at(1.0, led.limits.workers.lease_s) + 0.1)
+        sweep(led, certainly_expired_at(1.0, led.limits.workers.lease_s) + 0.1)
         assert one.bindings
-        led.tick(certainly_expired_at(9.0, led.limits.workers.lease_s) + 0.1)
+        sweep(led, certainly_expired_at(9.0, led.limits.workers.lease_s) + 0.1)
         assert not one.bindings
 
     def test_a_machine_of_which_only_old_reports_come_is_returned_with_its_tasks(self) -> None:
@@ -428,7 +429,7 @@
             assert not fleet_plan.plan(led, now, fleet_plan.CapacityBackoff(), {}).to_terminate
             now += 2.0
             assert handle_heartbeat(led, heartbeat("m1", int(now)), now) == []
-            led.tick(now)
+            sweep(led, now)
         handle_heartbeat(led, heartbeat("m1", 60), now + 1.0)
         to_terminate = fleet_plan.plan(
             led, now + 1.0, fleet_plan.CapacityBackoff(), {}
@@ -457,7 +458,7 @@
         )
         led.add_machine("m1", "small", "north", False, 6.0, registered=True)
         led.leases.counted_from, led.loaded = 6.0, True
-        led.tick(certainly_expired_at(5.0, led.limits.workers.lease_s))
+        sweep(led, certainly_expired_at(5.0, led.limits.workers.lease_s))
         assert led.machines["m1"].phase == UP and not led.ready
 
 
@@ -566,9 +567,9 @@
         machine(led, "m2")
         assert led.leases.delegate_zone("south", 9.0)
         lease_s = led.limits.workers.lease_s
-        led.tick(certainly_expired_at(0.0, lease_s) + 0.1)
+        sweep(led, certainly_expired_at(0.0, lease_s) + 0.1)
         assert led.machines["m1"].phase == UP and led.machines["m2"].phase == LOST
-        led.tick(certainly_expired_at(9.0, lease_s) + 0.1)
+        sweep(led, certainly_expired_at(9.0, lease_s) + 0.1)
         assert led.machines["m1"].phase == LOST
 
 
@@ -626,5 +627,5 @@
         while not led.ready and now < 10 * lease_s:
             now, sequence = now + 2.0, sequence + 1
             handle_heartbeat(led, heartbeat("m1", sequence, fencing_token=6), now)
-            led.tick(now)
+            sweep(led, now)
         assert led.ready and now < 3 * lease_s and led.machines["m1"].phase == LOST
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -14,6 +14,7 @@
 from salthead.autoscaling import fleet_plan
 from salthead.cluster.dependency_graph import DependencyGraph
 from salthead.cluster.ledger import Ledger
+from salthead.cluster.sweep import sweep
 from salthead.controller.controller import Controller
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.protocol import wire_names
@@ -292,7 +293,7 @@
     assert led.jobs["req-1"].due[0] == 60.0
     for _ in range(200):
         led.estimates.learn("b", 20.0, 30.0)
-    led.tick(1.0)
+    sweep(led, 1.0)
     run_s = led.estimates.run_s("b", 20.0)
     assert run_s > 28.0 and led.jobs["req-1"].due[0] == pytest.approx(100.0 - 2 * run_s)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,6 +10,7 @@
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import LOST, Job, Resources, ResourceUsage
+from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.scheduling import gangs, placement, preemption, queue_order
 
@@ -540,7 +541,7 @@
         led.add_machine("m1", "small", "north", False, 500.0, registered=True).provisioned_at = 0.0
         led.add_machine("m2", "small", "north", False, 500.0).provisioned_at = 0.0
         assert not self.plan(led, 501.0).to_terminate
-        led.tick(600.0)
+        sweep(led, 600.0)
         assert [m.name for m in self.plan(led, 600.0).to_terminate] == ["m1", "m2"]
 
     @pytest.mark.parametrize(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,6 +21,7 @@
 from helpers import LIMITS, heartbeat, job, machine, ready, spec
 from salthead.autoscaling import fleet_plan
 from salthead.cluster.ledger import Ledger
+from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader import term as terms
 from salthead.leader.views import OVERVIEW_ROWS
@@ -239,7 +240,7 @@
 @pytest.mark.parametrize(
     ("work", "most"),
     [
-        (lambda led, now: led.tick(now), 4),
+        (lambda led, now: sweep(led, now), 4),
         (lambda led, now: placement.reschedule_unsent(led, random.Random(1), now), 4),
         (lambda led, now: led.failover.unreconciled_capacity(), 4),
     ],
@@ -401,8 +402,8 @@
             calls(lambda: placement.schedule(led, random.Random(1), 10.0)),
             calls(lambda: fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})),
         ]
-        led.tick(11.0)  # the task that ended has moved an estimate, and due times follow once
-        return [*found, calls(lambda: led.tick(11.1))]
+        sweep(led, 11.0)  # the task that ended has moved an estimate, and due times follow once
+        return [*found, calls(lambda: sweep(led, 11.1))]
 
     many, few = costs(2000), costs(20)
     # A plan, twice a second at most, looks at each of them: will it be ready in a boot?
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -14,6 +14,7 @@
 from cut_world import CUTS_ON, CutWorld
 from helpers import FLAVORS, given, heartbeat, limits, spec
 from salthead.cluster.ledger import Ledger
+from salthead.cluster.sweep import sweep
 from salthead.failure_detection.shared_silence import SharedSilence
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.protocol.messages import decode_submission, encode
@@ -77,7 +78,7 @@
         old = led.add_job(spec("req-1", task_count=2), 0.0)
         new = led.add_job(spec("req-2", team="red", task_count=8), 0.0, accepted_this_term=True)
         assert old is not None and new is not None
-        led.tick(0.1)
+        sweep(led, 0.1)
         placement.schedule(led, RNG, 0.1)
         led.set_machine_types(FLAVORS)
         for at in (0.2, 8.0):  # no tick has come since at the first of these
@@ -89,7 +90,7 @@
                 "an earlier leader may have started it where nobody has reported"
             )
             assert not new.bindings, "the silent may run any number of the team's tasks"
-        led.tick(12.6)  # the leases of the silent machines are over
+        sweep(led, 12.6)  # the leases of the silent machines are over
         placement.schedule(led, RNG, 12.6)
         assert len(old.bindings) == 2 and len(new.bindings) == 8
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -14,6 +14,7 @@
 from salthead import policy
 from salthead.autoscaling import fleet_plan
 from salthead.cluster.ledger import Ledger
+from salthead.cluster.sweep import sweep
 from salthead.failure_detection.machine_sets import MachineSets, RecentSet
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.policy import Policy, ZonePolicy
@@ -244,7 +245,7 @@
     while now < until:
         now += 1.0
         speak(led, now, "n")
-        led.tick(now)
+        sweep(led, now)
         recovery.observe(now)
 
 
@@ -298,7 +299,7 @@
     for now in range(21, 45):
         speak(led, now, "n")
         speak(led, now, "s", incarnation=2)
-        led.tick(now)
+        sweep(led, now)
         recovery.observe(now)
         opened.append(sum(not m.awaiting_slow_start for m in led.machines.values() if m.zone == 1))
     assert opened == sorted(opened), "never fewer"
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -35,6 +35,7 @@
 from helpers import FLAVORS, given, heartbeat, machine, settings, spec  # noqa: E402
 from salthead.autoscaling import fleet_plan  # noqa: E402
 from salthead.cluster.ledger import Ledger  # noqa: E402
+from salthead.cluster.sweep import sweep  # noqa: E402
 from salthead.controller.controller import Controller  # noqa: E402
 from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
 from salthead.controller.server import listen  # noqa: E402
@@ -267,7 +268,7 @@
             handle_heartbeat(self.ledger, shown(self.ledger, name, 50), later)
 
         def come_back() -> None:
-            self.ledger.tick(later)
+            sweep(self.ledger, later)
             for name in half:
                 handle_heartbeat(self.ledger, shown(self.ledger, name, 1, incarnation=2), later)
 
@@ -292,7 +293,7 @@
             new.loaded = True
             for one in heartbeats:
                 handle_heartbeat(new, one, now, direct=True)
-            new.tick(now)
+            sweep(new, now)
 
         return self.of_work(take_over, len(heartbeats))
 
