--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -6,12 +6,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-from salthead.cluster.model import EPSILON, Binding, Job
-
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import Binding, Job
+from salthead.cluster.resources import EPSILON
 
 
 def startable(ledger: Ledger, job: Job) -> bool:
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -10,18 +10,16 @@
 import logging
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from pyroaring import BitMap
 
+from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import GONE, LOST, UP, Machine
+from salthead.event_log import event
 from salthead.failure_detection.machine_sets import MachineSets
+from salthead.networks.silence import NetworkSilence
 from salthead.policy import PartialCutPolicy
 
-if TYPE_CHECKING:
-    from salthead.cluster.ledger import Ledger
-    from salthead.networks.silence import NetworkSilence
-
 log = logging.getLogger(__name__)
 
 # Two generations of two heartbeat periods each: silence is seen after two to four of them.
@@ -101,10 +99,10 @@
                 cut_groups.add(group.name)
         self._find_unheard_zones()
         for name in cut_groups - self.cut_since.keys():
-            log.info("silence that many machines of %s share: taken for a cut", name)
+            event(log, "cut_suspected", group=name)
             self.cut_since[name] = now
         for name in self.cut_since.keys() - cut_groups:
-            log.info("no cut of %s any more", name)
+            event(log, "cut_over", group=name)
             del self.cut_since[name]
 
     def behind_cut(self, machine: Machine) -> bool:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -9,10 +9,11 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
-from salthead.cluster import orphans
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Machine
+from salthead.cluster.sweep import sweep
 from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader.autoscaler import PAUSE_FACTOR, Autoscaler
 from salthead.leader.job_records import JobRecords
 from salthead.leader.leadership import Leadership
@@ -212,7 +213,7 @@
                 try:
                     row = await self.state_store.get(records.outcome_key(job_id))
                     if row is not None:
-                        orphans.identify_job(self.ledger, records.outcome_from(row.value)[1])
+                        self.ledger.orphans.identify_job(records.outcome_from(row.value)[1])
                 except RETRYABLE_ERRORS as error:
                     self.controller.log_throttled("stray task", error)
             await self.controller.sleep_with_jitter(0.5)
@@ -221,7 +222,7 @@
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
         """Commands for a worker; None if it must not be answered with 200."""
-        return self.ledger.handle_heartbeat(heartbeat, self.now())
+        return handle_heartbeat(self.ledger, heartbeat, self.now())
 
     async def decide_loop(self) -> None:
         """Decide again and again, sooner when something has changed."""
@@ -248,7 +249,7 @@
 
     def look(self, now: float) -> None:
         """What time alone changes, machine by machine."""
-        self.ledger.tick(now)
+        sweep(self.ledger, now)
         if self.permits(Action.SCHEDULE, TASK_NOWHERE):
             placement.reschedule_unsent(self.ledger, self.controller.rng, now)
             preemption.drain(self.ledger, now)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -12,12 +12,14 @@
 
 from helpers import heartbeat, job, ledger, machine, ready, settings
 from salthead.autoscaling import fleet_plan
-from salthead.cluster import ledger as ledgers
+from salthead.cluster import machine_registry
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import UP
+from salthead.cluster.model import LOST, UP
+from salthead.cluster.sweep import sweep
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.controller.server import listen
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader.autoscaler import LIST_INTERVAL_S, Autoscaler
 from salthead.leases import zone_leases
 from salthead.scheduling import placement
@@ -39,8 +41,10 @@
 def test_work_per_report_does_not_grow_with_the_fleet(gone: int) -> None:
     def cost(machines: int) -> int:
         led = full(machines)
-        led.handle_heartbeat(heartbeat("m1", 2, *shown(led, "m1")), 1.0)
-        return calls(lambda: led.handle_heartbeat(heartbeat("m1", 3, *shown(led, "m1", gone)), 2.0))
+        handle_heartbeat(led, heartbeat("m1", 2, *shown(led, "m1")), 1.0)
+        return calls(
+            lambda: handle_heartbeat(led, heartbeat("m1", 3, *shown(led, "m1", gone)), 2.0)
+        )
 
     assert grown(cost) <= MARGIN
 
@@ -75,19 +79,19 @@
 
 def come_back(led: Ledger) -> None:
     for name in [name for n, name in enumerate(led.machines) if n % 3 == 0]:
-        led.handle_heartbeat(heartbeat(name, 9, incarnation=2), 110.0)
+        handle_heartbeat(led, heartbeat(name, 9, incarnation=2), 110.0)
 
 
 @pytest.mark.parametrize(
     ("prepare", "work"),
     [
         (full, lambda led: plan(led, 10.0)),
-        (third_lost, lambda led: led.tick(100.0)),
-        (third_lost, lambda led: (led.tick(100.0), plan(led, 101.0))),
-        (third_lost, lambda led: (led.tick(100.0), come_back(led))),
+        (third_lost, lambda led: sweep(led, 100.0)),
+        (third_lost, lambda led: (sweep(led, 100.0), plan(led, 101.0))),
+        (third_lost, lambda led: (sweep(led, 100.0), come_back(led))),
         (
             failover,
-            lambda led: (led.tick(101.0), led.failover.unreconciled_capacity(), plan(led, 101.0)),
+            lambda led: (sweep(led, 101.0), led.failover.unreconciled_capacity(), plan(led, 101.0)),
         ),
         (failover, lambda led: (led.failover.sweep(103.0), led.failover.by_reason())),
         (full, lambda led: led.invariants.audit(1000.0)),
@@ -127,7 +131,7 @@
             asked.append(count)
 
         leader.term.autoscaler.provision = provision  # type: ignore[method-assign]
-        led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+        led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
         job(led, now=world.now(), task_count=5000, vcpus=2.0, estimated_run_s=500.0)
         leader.term.autoscaler.plan_requested.set()
         await asyncio.sleep(0.3)
@@ -140,7 +144,7 @@
 def test_a_loss_frees_everything_that_it_took() -> None:
     led = third_lost(LARGE)
     bound = sum(len(one.bindings) for one in led.jobs.values())
-    led.tick(100.0)
+    sweep(led, 100.0)
     lost = [m for m in led.machines.values() if m.phase != UP]
     assert len(lost) == 1334 and not any(m.bindings for m in lost)
     assert sum(len(one.bindings) for one in led.jobs.values()) < bound
@@ -153,8 +157,8 @@
     names = [machine(led, f"host-{n:06d}").name for n in range(LARGE)]
     for name in names:
         led.machine_gone(led.machines[name], 5.0)
-    assert len(led.recently_gone) == LARGE > ledgers.MIN_REMEMBERED_MACHINES
-    assert all(led.handle_heartbeat(heartbeat(name, 2), 6.0) is None for name in names)
+    assert len(led.recently_gone) == LARGE > machine_registry.MIN_REMEMBERED_MACHINES
+    assert all(handle_heartbeat(led, heartbeat(name, 2), 6.0) is None for name in names)
     assert led.machines == {} and led.unregistered == {}
 
 
@@ -162,7 +166,7 @@
     led = ready()
     for n in range(LARGE):
         led.machine_gone(machine(led, f"host-{n:06d}"), float(n))
-    assert len(led.recently_gone) == ledgers.MIN_REMEMBERED_MACHINES
+    assert len(led.recently_gone) == machine_registry.MIN_REMEMBERED_MACHINES
     assert f"host-{LARGE - 1:06d}" in led.recently_gone
 
 
@@ -234,7 +238,7 @@
             asked.append(one.name)
 
         term.worker_calls.reconcile = join  # type: ignore[method-assign]
-        term.ledger.set_phase(found[0], "lost")
+        term.ledger.set_phase(found[0], LOST)
         await term.worker_calls.reconcile_all(found)
         return asked
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,10 +12,11 @@
 import test_days
 from helpers import heartbeat, job, machine, ready, settings, spec
 from salthead.autoscaling import fleet_plan
-from salthead.cluster import dependencies
 from salthead.cluster.dependency_graph import DependencyGraph
 from salthead.cluster.ledger import Ledger
+from salthead.cluster.sweep import sweep
 from salthead.controller.controller import Controller
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.protocol import wire_names
 from salthead.protocol.messages import JobStatus, StopCommand
 from salthead.scheduling import placement, preemption, queue_order
@@ -230,8 +231,8 @@
     pipeline(led)
     placement.schedule(led, random.Random(1), 0.0)
     first = led.jobs["req-1"]
-    led.handle_heartbeat(
-        heartbeat("m1", 2, ("req-1/0", first.bindings[0].attempt, "exited", "done")), 90.0
+    handle_heartbeat(
+        led, heartbeat("m1", 2, ("req-1/0", first.bindings[0].attempt, "exited", "done")), 90.0
     )
     assert first.complete and led.jobs["req-2"].waiting() == 0, "done, but not durably"
     assert led.phase_of(led.jobs["req-2"])[0] == "queued"
@@ -244,10 +245,10 @@
     later = ready(200.0)
     later.wall_ahead = 1000.0
     job(later, 200.0, job_id="req-2", depends_on=["req-1"], at=1005.0)
-    dependencies.resolve(later, "req-1", wire_names.DONE, 1091.0, 200.0)
+    later.resolve_dependency("req-1", wire_names.DONE, 1091.0, 200.0)
     assert later.jobs["req-2"].since == 91.0 and not later.jobs["req-2"].accepted_this_term
     job(later, 200.0, job_id="req-4", depends_on=["req-5"], at=1005.0)
-    dependencies.resolve(later, "req-5", wire_names.DONE, 1999.0, 201.0)
+    later.resolve_dependency("req-5", wire_names.DONE, 1999.0, 201.0)
     assert later.jobs["req-4"].since == 201.0
 
 
@@ -292,7 +293,7 @@
     assert led.jobs["req-1"].due[0] == 60.0
     for _ in range(200):
         led.estimates.learn("b", 20.0, 30.0)
-    led.tick(1.0)
+    sweep(led, 1.0)
     run_s = led.estimates.run_s("b", 20.0)
     assert run_s > 28.0 and led.jobs["req-1"].due[0] == pytest.approx(100.0 - 2 * run_s)
 
@@ -311,7 +312,7 @@
     assert late.dependency_cancelled and not late.waiting()
     placement.schedule(led, random.Random(1), 2.0)
     assert not led.machines["m1"].bindings
-    assert led.handle_heartbeat(heartbeat("m1", 2, ("req-2/0", 5, "running")), 3.0) == [
+    assert handle_heartbeat(led, heartbeat("m1", 2, ("req-2/0", 5, "running")), 3.0) == [
         StopCommand("req-2/0", 5, 0.0)
     ]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,6 +21,9 @@
 from helpers import LIMITS, heartbeat, job, machine, ready, spec
 from salthead.autoscaling import fleet_plan
 from salthead.cluster.ledger import Ledger
+from salthead.cluster.sweep import sweep
+from salthead.heartbeats.handling import handle_heartbeat
+from salthead.leader import term as terms
 from salthead.leader.views import OVERVIEW_ROWS
 from salthead.protocol.messages import StopCommand
 from salthead.scheduling import placement
@@ -46,7 +49,7 @@
 def full(machines: int, jobs: int = 40) -> Ledger:
     """A fleet that is booked out, and a line of jobs that wait."""
     led = ready()
-    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+    led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
     rng = random.Random(1)
     for n in range(machines):
         machine(led, f"m{n}", zone=("north", "south")[n % 2])
@@ -68,9 +71,9 @@
 def test_a_report_costs_the_same_whatever_the_fleet() -> None:
     def cost(machines: int, gone: int) -> int:
         led = full(machines)
-        led.handle_heartbeat(heartbeat("m1", 2, *shown(led, "m1")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, *shown(led, "m1")), 1.0)
         one = heartbeat("m1", 3, *shown(led, "m1", gone))
-        return calls(lambda: led.handle_heartbeat(one, 2.0))
+        return calls(lambda: handle_heartbeat(led, one, 2.0))
 
     for gone in (0, 1):  # with nothing new; with a task that ended, whose place is filled
         assert cost(600, gone) <= cost(60, gone) * 1.3
@@ -80,18 +83,18 @@
 def test_a_report_that_shows_what_the_last_one_did_is_not_looked_at_again() -> None:
     # At 570 machines half of what the ledger did for reports was that.
     led = full(60)
-    led.handle_heartbeat(heartbeat("m1", 2, *shown(led, "m1")), 1.0)
-    led.handle_heartbeat(heartbeat("m1", 3, *shown(led, "m1")), 2.0)
+    handle_heartbeat(led, heartbeat("m1", 2, *shown(led, "m1")), 1.0)
+    handle_heartbeat(led, heartbeat("m1", 3, *shown(led, "m1")), 2.0)
     many, same = len(shown(led, "m1")), heartbeat("m1", 4, *shown(led, "m1"))
-    assert many == 4 and calls(lambda: led.handle_heartbeat(same, 3.0)) <= 3
+    assert many == 4 and calls(lambda: handle_heartbeat(led, same, 3.0)) <= 3
     # But whatever is wanted of the machine, or has ended there, is.
     bound = next(iter(led.machines["m1"].bindings.values()))
     led.request_stop(bound, 0.0)
-    orders = led.handle_heartbeat(heartbeat("m1", 5, *shown(led, "m1")), 4.0)
+    orders = handle_heartbeat(led, heartbeat("m1", 5, *shown(led, "m1")), 4.0)
     assert orders is not None and [type(order) for order in orders] == [StopCommand]
     done = shown(led, "m1", gone=1)
     for sequence in (6, 7):  # the exit is shown again until it may be reaped
-        led.handle_heartbeat(heartbeat("m1", sequence, *done), 5.0)
+        handle_heartbeat(led, heartbeat("m1", sequence, *done), 5.0)
         assert not led.machines["m1"].unchanged
 
 
@@ -100,7 +103,7 @@
     # 98 MB are a controller's on the smallest machines: bytes for each, as the interpreter counts.
     def machine_type(many: int) -> int:
         led = ready()
-        led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+        led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
         for n in range(many if what != "job" else 1):
@@ -145,7 +148,9 @@
 
 
 @pytest.mark.parametrize("slow", [False, True])
-def test_no_report_is_answered_with_a_lease_that_ran_out_meanwhile(slow: bool) -> None:
+def test_no_report_is_answered_with_a_lease_that_ran_out_meanwhile(
+    slow: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # A clock that goes on while a heartbeat is worked on, as it does at a small share of a core.
     async def day() -> tuple[int, int]:
         world = World(seed=1)
@@ -154,13 +159,12 @@
         term, clock = leader.term, [0.0]
         leader.now = lambda: world.now() + clock[0]
         term.now = leader.now
-        inner = term.ledger.handle_heartbeat
 
-        def handle_heartbeat(*words: Any, **more: Any) -> Any:
+        def handle_slowly(*words: Any, **more: Any) -> Any:
             clock[0] += 30.0 if slow else 0.1
-            return inner(*words, **more)
+            return handle_heartbeat(*words, **more)
 
-        term.ledger.handle_heartbeat = handle_heartbeat  # type: ignore[method-assign]
+        monkeypatch.setattr(terms, "handle_heartbeat", handle_slowly)
         status, _ = leader.handle_heartbeat(heartbeat("host-000001", 1, fencing_token=0))
         return status, clock[0]
 
@@ -187,7 +191,7 @@
 def test_a_plan_makes_no_more_machines_than_can_be_hired() -> None:
     # A line of 100,000 tasks made 25,000 machines in thought at every plan, in 100,191 calls.
     led = ready()
-    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+    led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
     job(led, task_count=100_000, vcpus=2.0, estimated_run_s=500.0)
     found: list[fleet_plan.Plan] = []
     cost = calls(lambda: found.append(fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})))
@@ -236,7 +240,7 @@
 @pytest.mark.parametrize(
     ("work", "most"),
     [
-        (lambda led, now: led.tick(now), 4),
+        (lambda led, now: sweep(led, now), 4),
         (lambda led, now: placement.reschedule_unsent(led, random.Random(1), now), 4),
         (lambda led, now: led.failover.unreconciled_capacity(), 4),
     ],
@@ -391,15 +395,15 @@
 def test_jobs_that_wait_for_others_cost_nothing_per_report_or_pass() -> None:
     def costs(waiting_jobs: int) -> list[int]:
         led = fan(waiting_jobs)
-        led.handle_heartbeat(heartbeat("m1", 2, *shown(led, "m1")), 1.0)
+        handle_heartbeat(led, heartbeat("m1", 2, *shown(led, "m1")), 1.0)
         one = heartbeat("m1", 3, *shown(led, "m1", 1))
         found = [
-            calls(lambda: led.handle_heartbeat(one, 2.0)),
+            calls(lambda: handle_heartbeat(led, one, 2.0)),
             calls(lambda: placement.schedule(led, random.Random(1), 10.0)),
             calls(lambda: fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})),
         ]
-        led.tick(11.0)  # the task that ended has moved an estimate, and due times follow once
-        return [*found, calls(lambda: led.tick(11.1))]
+        sweep(led, 11.0)  # the task that ended has moved an estimate, and due times follow once
+        return [*found, calls(lambda: sweep(led, 11.1))]
 
     many, few = costs(2000), costs(20)
     # A plan, twice a second at most, looks at each of them: will it be ready in a boot?
@@ -509,7 +513,7 @@
     # Seen on troubles, prairie-ledger-lean: no provision for a minute while 300 to 1,655 tasks
     # waited. Places that free within a boot counted as if they were free.
     led = ready()
-    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+    led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
     for n in range(25):
         machine(led, f"m{n}").last_heartbeat_at = 100.0
     running = job(led, job_id="req-1", task_count=100, estimated_run_s=run_s)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -14,7 +14,9 @@
 from salthead import policy
 from salthead.autoscaling import fleet_plan
 from salthead.cluster.ledger import Ledger
+from salthead.cluster.sweep import sweep
 from salthead.failure_detection.machine_sets import MachineSets, RecentSet
+from salthead.heartbeats.handling import handle_heartbeat
 from salthead.policy import Policy, ZonePolicy
 from salthead.scheduling import gangs, placement
 from salthead.zones import evacuation, records
@@ -230,7 +232,8 @@
         if incarnation > found.incarnation:
             tasks = []
         place = "north" if zone == "n" else "south"
-        led.handle_heartbeat(
+        handle_heartbeat(
+            led,
             heartbeat(found.name, found.sequence + 1, *tasks, incarnation=incarnation, zone=place),
             now,
         )
@@ -242,7 +245,7 @@
     while now < until:
         now += 1.0
         speak(led, now, "n")
-        led.tick(now)
+        sweep(led, now)
         recovery.observe(now)
 
 
@@ -296,7 +299,7 @@
     for now in range(21, 45):
         speak(led, now, "n")
         speak(led, now, "s", incarnation=2)
-        led.tick(now)
+        sweep(led, now)
         recovery.observe(now)
         opened.append(sum(not m.awaiting_slow_start for m in led.machines.values() if m.zone == 1))
     assert opened == sorted(opened), "never fewer"
@@ -379,7 +382,7 @@
     first = machine(led, "n-new1", zone="north")
     assert first.reserved_for == gang.job_id and not first.bindings
     second = led.add_machine("n-new2", "small", "north", False, 0.0, registered=True)
-    assert len(verbs(led.handle_heartbeat(heartbeat("n-new2", 1), 0.0))) == 1
+    assert len(verbs(handle_heartbeat(led, heartbeat("n-new2", 1), 0.0))) == 1
     assert len(gang.bindings) == 2 and not array.bindings
     assert {b.machine for b in gang.bindings.values()} == {first, second}
 
@@ -466,7 +469,7 @@
     led, recovery = two_zones()
     for found in led.machines.values():
         found.quarantine_reason = "x"
-    led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
+    led.team_limits[:] = [(1e9, 1e9) for _ in led.team_limits]
     job(led, task_count=400, vcpus=2.0, estimated_run_s=500.0)
 
     def to_provision(now: float) -> dict[int, int]:
@@ -520,7 +523,7 @@
     def cost(each: int) -> tuple[int, int]:
         led, recovery = two_zones(each)
         one = heartbeat("n1", 5)
-        return calls(lambda: led.handle_heartbeat(one, 1.0)), calls(lambda: recovery.observe(1.0))
+        return calls(lambda: handle_heartbeat(led, one, 1.0)), calls(lambda: recovery.observe(1.0))
 
     few, many = cost(20), cost(2000)
     assert many == few
