--- a/src/salthead/autoscaling/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -26,7 +26,7 @@
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import BOOTING, Job, Machine, MachineKind, machine_kind
-from salthead.scheduling import placement, queue_order
+from salthead.scheduling import eligibility, guarantees, pending_queue, queue_order
 
 log = logging.getLogger(__name__)
 
@@ -163,7 +163,7 @@
         team: [most[n] - ledger.usage[team][n] for n in range(2)]
         for team, most in enumerate(ledger.team_limits)
     }
-    line = placement.queue(ledger, placement.guaranteed_jobs(ledger), now)
+    line = pending_queue.queue(ledger, guarantees.guaranteed_jobs(ledger), now)
     span = serving_span_s(ledger, line, now)
     soon = soon_ready(ledger, now)
     if line or soon:  # with nothing to place, free room need not be known
@@ -255,7 +255,7 @@
         _fill_or_provision(ledger, job, count, there, provisionable, pool, new)
         return
     # The cheapest kinds alone would all be in one zone, where half of the job may not be.
-    most, counts = (job.spec.task_count + 1) // 2, placement.zone_counts(job)
+    most, counts = (job.spec.task_count + 1) // 2, eligibility.zone_counts(job)
     for zone in dict.fromkeys(kind.zone for kind in there):
         part = max(0, min(count, most - counts.get(zone, 0)))
         here = [kind for kind in there if kind.zone == zone]
--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -10,7 +10,7 @@
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers, PeerHandlers
 from salthead.protocol.messages import MAX_BODY
-from salthead.scheduling.placement import FRESH_HEARTBEAT_INTERVALS
+from salthead.scheduling.eligibility import FRESH_HEARTBEAT_INTERVALS
 from salthead.settings import split_endpoint
 from salthead.transport.connections import Connections
 from salthead.transport.http import Router
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -15,7 +15,7 @@
 from salthead.leader.autoscaler import PAUSE_FACTOR
 from salthead.leader.peer_calls import PeerConnectivity, ask_connectivity
 from salthead.policy import Network, PartialCutPolicy
-from salthead.scheduling.placement import FRESH_HEARTBEAT_INTERVALS
+from salthead.scheduling.eligibility import FRESH_HEARTBEAT_INTERVALS
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -24,7 +24,7 @@
 from salthead.leases.leader_lease import LeaseClock
 from salthead.protocol import wire_names
 from salthead.protocol.messages import Command, Heartbeat, JobStatus
-from salthead.scheduling import gangs, placement, preemption
+from salthead.scheduling import gangs, placement, preemption, scheduling_pass
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
@@ -244,7 +244,7 @@
     def backfill(self, machine: Machine, now: float) -> None:
         """Offer room that a heartbeat has freed to those in line."""
         if self.permits(Action.SCHEDULE, TASK_NOWHERE):
-            placement.backfill(self.ledger, machine, self.controller.rng, now)
+            scheduling_pass.backfill(self.ledger, machine, self.controller.rng, now)
 
     def look(self, now: float) -> None:
         """What time alone changes, machine by machine."""
@@ -256,7 +256,7 @@
     def decide(self, now: float) -> None:
         """One pass of placement, and what follows for those that found no machine."""
         if self.permits(Action.SCHEDULE, TASK_NOWHERE):
-            unschedulable = placement.schedule(self.ledger, self.controller.rng, now)
+            unschedulable = scheduling_pass.schedule(self.ledger, self.controller.rng, now)
             before, self.unschedulable = self.unschedulable, {job.job_id for job in unschedulable}
             if not self.unschedulable <= before:
                 self.autoscaler.plan_requested.set()
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -7,7 +7,7 @@
 
 from salthead import metrics
 from salthead.cluster.model import UP, Job, Machine
-from salthead.scheduling import placement
+from salthead.scheduling import eligibility
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -135,7 +135,7 @@
                 )
                 continue
             free = max(0.0, machine.capacity.cpus - machine.allocated.cpus)
-            why = placement.unavailable_reason(self.ledger, machine, now)
+            why = eligibility.unavailable_reason(self.ledger, machine, now)
             use = f"free, {why}" if why else "free"
             self.spent[use] = self.spent.get(use, 0.0) + free * passed
             for binding in machine.bindings.values():
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -13,7 +13,7 @@
 from salthead.heartbeats.task_reconciliation import MAX_COMMANDS
 from salthead.protocol import wire_names
 from salthead.protocol.messages import Command, CommandRequest, Heartbeat, StopCommand, shape
-from salthead.scheduling import placement
+from salthead.scheduling import eligibility
 from salthead.state_store.client import RETRYABLE_ERRORS
 from salthead.transport.client import Answer, UnansweredError
 
@@ -151,14 +151,14 @@
         if machine.reconciled:
             return False
         fresh_s = (
-            placement.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
+            eligibility.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
         )
         heartbeats_arrive = self.term.now() - machine.links.last_received_at <= fresh_s
         return machine.phase == UP or heartbeats_arrive
 
     def _unreachable_machines(self, now: float) -> list[Machine]:
         fresh_s = (
-            placement.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
+            eligibility.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
         )
         return [
             machine
--- a/src/salthead/scheduling/gangs.py
+++ b/src/salthead/scheduling/gangs.py
@@ -13,7 +13,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import EPSILON, Job, Machine
 from salthead.cluster.start_rules import quota_left
-from salthead.scheduling import placement, queue_order
+from salthead.scheduling import eligibility, queue_order
 
 log = logging.getLogger(__name__)
 
@@ -69,9 +69,9 @@
 def _machines_for(ledger: Ledger, job: Job, now: float) -> list[Machine]:
     """The machines for all of a gang that will have room soonest, in one zone if need be."""
     rows = []
-    for machine in placement.suitable_machines(ledger, job, now):
+    for machine in eligibility.suitable_machines(ledger, job, now):
         at = room_at(ledger, machine, job, now)
-        if at is not None and not placement.heartbeat_overdue(ledger, machine, now):
+        if at is not None and not eligibility.heartbeat_overdue(ledger, machine, now):
             rows.append((machine.reserved_for != job.job_id, at, machine.name, machine))
     rows.sort(key=lambda row: row[:3])
     machines = [row[3] for row in rows]
@@ -92,7 +92,7 @@
     for machine in machines:
         if len(found) == job.spec.task_count:
             break
-        if placement.zone_open(job, machine.zone, counts):
+        if eligibility.zone_open(job, machine.zone, counts):
             found.append(machine)
             counts[machine.zone] = counts.get(machine.zone, 0) + 1
     return found
--- /dev/null
+++ b/src/salthead/scheduling/guarantees.py
@@ -0,0 +1,37 @@
+"""Teams' guarantees: which jobs are within them, and whether those started in time."""
+
+from __future__ import annotations
+
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import EPSILON, Job
+
+
+def guaranteed_jobs(ledger: Ledger) -> set[str]:
+    """Jobs that fit into their team's guarantee together with the team's earlier ones.
+
+    What waits for other jobs holds no part of a guarantee, and is not among the live ones.
+    """
+    within: set[str] = set()
+    sums = [[0.0, 0.0] for _ in ledger.guarantees]
+    for job in sorted(ledger.ready_jobs.values(), key=lambda job: (job.since, job.job_id)):
+        if job.terminal_phase or job.cancel_requested:
+            continue
+        total, size, most = sums[job.team], job.size(), ledger.guarantees[job.team]
+        total[0] += size[0]
+        total[1] += size[1]
+        if total[0] <= most[0] + EPSILON and total[1] <= most[1] + EPSILON:
+            within.add(job.job_id)
+    return within
+
+
+def record_attainment(ledger: Ledger, job: Job, now: float) -> None:
+    """Note once whether a job within its guarantee found all its machines in time."""
+    late = now - job.since > ledger.start_attainment.within_s
+    if (
+        job.within_guarantee
+        and job.accepted_this_term
+        and not job.attainment_recorded
+        and (late or not job.waiting())
+    ):
+        job.attainment_recorded = True
+        ledger.start_attainment.record_attainment(not late)
--- a/src/salthead/scheduling/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -9,7 +9,7 @@
 from salthead.cluster.model import UP, Binding, Job, Machine, Resources
 from salthead.cluster.start_rules import quota_left
 from salthead.protocol import wire_names
-from salthead.scheduling import placement, queue_order
+from salthead.scheduling import eligibility, guarantees, queue_order
 
 log = logging.getLogger(__name__)
 
@@ -121,8 +121,8 @@
         return 0
     base = [
         m
-        for m in placement.suitable_machines(ledger, job, now)
-        if not placement.heartbeat_overdue(ledger, m, now)
+        for m in eligibility.suitable_machines(ledger, job, now)
+        if not eligibility.heartbeat_overdue(ledger, m, now)
         and all(c + 1e-6 >= n for c, n in zip(m.capacity, job.request, strict=True))
     ]
     zones: list[int | None] = [None]
@@ -178,14 +178,14 @@
         if picked is not None:
             heap.append((sum(cost for cost, _ in picked), at, picked))
     heapq.heapify(heap)
-    counts = placement.zone_counts(job)
+    counts = eligibility.zone_counts(job)
     plan: dict[str, tuple[Machine, list[Binding]]] = {}
     total = 0.0
     placed = 0
     while heap and placed < wanted:
         cost, at, picked = heapq.heappop(heap)
         machine = base[at]
-        if not placement.zone_open(job, machine.zone, counts):
+        if not eligibility.zone_open(job, machine.zone, counts):
             continue
         counts[machine.zone] = counts.get(machine.zone, 0) + 1
         left = room[machine.name]
@@ -236,14 +236,14 @@
     """For each job that found no candidate, in order, what the rules let it push aside."""
     if not unschedulable or not ledger.ready:
         return
-    within = placement.guaranteed_jobs(ledger)
+    within = guarantees.guaranteed_jobs(ledger)
     for job in unschedulable:
         if job.quota_exhausted:
             continue
         kept = (
             ledger.capacity_index.reserved_machines(job.job_id, now) if now < job.room_until else []
         )
-        if any(placement.heartbeat_overdue(ledger, machine, now) for machine in kept):
+        if any(eligibility.heartbeat_overdue(ledger, machine, now) for machine in kept):
             # Seen on loss, prairie-ledger-fleet: of the room made for a gang of 24 one machine
             # died, and the rest stood empty until it was given up. What was stopped for it goes
             # anyway, so that the same machines are chosen, and others for the silent ones.
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -6,7 +6,7 @@
 from salthead.cluster.model import Job, Machine
 from salthead.cluster.start_rules import quota_left
 from salthead.protocol import wire_names
-from salthead.scheduling import placement, queue_order
+from salthead.scheduling import eligibility, queue_order
 
 # A claim lasts for so many heartbeat interval: by then the gang's other machines are up, or room is
 # kept for it on machines that empty, and another gang may use this one.
@@ -51,7 +51,7 @@
 
 def _suits(ledger: Ledger, job: Job, machine: Machine) -> bool:
     """Whether a task of the job may start on the machine now."""
-    fits = machine.fits(job.request) and placement.allows(job, machine)
+    fits = machine.fits(job.request) and eligibility.allows(job, machine)
     return fits and quota_left(ledger, job) > 0
 
 
@@ -60,10 +60,10 @@
     task_count = job.spec.task_count
     if not job.gang or job.waiting() < task_count or not machine.fits(job.request):
         return False
-    if not placement.allows(job, machine) or quota_left(ledger, job) < task_count:
+    if not eligibility.allows(job, machine) or quota_left(ledger, job) < task_count:
         return False
     kept = ledger.capacity_index.reserved_machines(job.job_id, now)
     counts: dict[int, int] = {}
     for one in kept:
         counts[one.zone] = counts.get(one.zone, 0) + 1
-    return len(kept) < task_count and placement.zone_open(job, machine.zone, counts)
+    return len(kept) < task_count and eligibility.zone_open(job, machine.zone, counts)
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -12,7 +12,7 @@
 from salthead.cluster.model import BOOTING, GONE, LOST, UP, Binding, Job, Machine
 from salthead.failure_detection.machine_sets import MachineSets
 from salthead.policy import ZonePolicy
-from salthead.scheduling import placement
+from salthead.scheduling import eligibility
 from salthead.zones import evacuation, records
 from salthead.zones.slow_start import Progress, SlowStart
 from salthead.zones.start_times import StartTimes
@@ -318,8 +318,8 @@
             if job.zone == zone:
                 return f"{name}, and the job may run nowhere else"
             if job.spec.spread_zones:
-                counts = placement.zone_counts(job)
-                if any(not placement.zone_open(job, other, counts) for other in counts):
+                counts = eligibility.zone_counts(job)
+                if any(not eligibility.zone_open(job, other, counts) for other in counts):
                     return f"{name}, and no more of the job may run in another zone"
         return ""
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -20,7 +20,7 @@
 from salthead.controller.server import listen
 from salthead.leader.autoscaler import LIST_INTERVAL_S, Autoscaler
 from salthead.leases import zone_leases
-from salthead.scheduling import placement
+from salthead.scheduling import scheduling_pass
 from salthead.state_store import records
 from salthead.state_store.pages import Pages
 from standins import World, run
@@ -48,7 +48,7 @@
 def test_a_pass_does_not_grow_with_a_fleet_that_is_full() -> None:
     def cost(machines: int) -> int:
         led = full(machines)
-        return calls(lambda: placement.schedule(led, random.Random(1), 10.0))
+        return calls(lambda: scheduling_pass.schedule(led, random.Random(1), 10.0))
 
     assert grown(cost) <= MARGIN
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,11 +10,11 @@
 from salthead.cluster.model import LOST, UP, ResourceUsage
 from salthead.leases.leader_lease import certainly_expired_at
 from salthead.protocol.messages import StartCommand, StopCommand, Submission
-from salthead.scheduling import placement
+from salthead.scheduling import scheduling_pass
 
 
 def place(led, now=0.0):
-    return placement.schedule(led, random.Random(1), now)
+    return scheduling_pass.schedule(led, random.Random(1), now)
 
 
 def test_a_start_is_ordered_until_a_report_shows_it() -> None:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -6,7 +6,7 @@
 from salthead.cluster.estimates import Arrivals, Estimates
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Resources
-from salthead.scheduling import placement, queue_order
+from salthead.scheduling import pending_queue, queue_order
 
 AIMS = [
     {"kind": "deadline", "class": "b", "share": 0.9, "times": 1.0},
@@ -15,7 +15,7 @@
 
 
 def served(led: Ledger, now: float = 0.0) -> list[str]:
-    return [one.job_id for one in placement.queue(led, set(), now)]
+    return [one.job_id for one in pending_queue.queue(led, set(), now)]
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
     job(led, 9.0, job_id="req-3", task_count=2, at=9.0)
     job(led, 7.0, job_id="req-4", task_count=2, at=7.0)
     within = {"req-1", "req-2", "req-3"}
-    order_then = [one.job_id for one in placement.queue(led, within, 10.0)]
+    order_then = [one.job_id for one in pending_queue.queue(led, within, 10.0)]
     assert order_then == ["req-3", "req-2", "req-1", "req-4"]
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -18,7 +18,7 @@
 from salthead.controller.controller import Controller
 from salthead.protocol import wire_names
 from salthead.protocol.messages import JobStatus, StopCommand
-from salthead.scheduling import placement, preemption, queue_order
+from salthead.scheduling import guarantees, pending_queue, preemption, queue_order, scheduling_pass
 from salthead.state_store import records
 from standins import World, run
 
@@ -167,8 +167,10 @@
     led = ready()
     pipeline(led)
     job(led, job_id="req-9", task_count=8, vcpus=2.0, at=1.0)  # fits into the guarantee only alone
-    assert placement.guaranteed_jobs(led) == {"req-1"} if led.jobs["req-9"].size()[0] > 14 else True
-    assert {one.job_id for one in placement.queue(led, set(), 300.0)} == {"req-1", "req-9"}
+    assert (
+        guarantees.guaranteed_jobs(led) == {"req-1"} if led.jobs["req-9"].size()[0] > 14 else True
+    )
+    assert {one.job_id for one in pending_queue.queue(led, set(), 300.0)} == {"req-1", "req-9"}
     led.jobs["req-9"].dependency_cancelled = True
     plan = fleet_plan.plan(led, 300.0, fleet_plan.CapacityBackoff(), {})
     assert sum(plan.to_provision.values()) == 1, "for req-1 alone"
@@ -228,7 +230,7 @@
     led = ready()
     machine(led, "m1")
     pipeline(led)
-    placement.schedule(led, random.Random(1), 0.0)
+    scheduling_pass.schedule(led, random.Random(1), 0.0)
     first = led.jobs["req-1"]
     led.handle_heartbeat(
         heartbeat("m1", 2, ("req-1/0", first.bindings[0].attempt, "exited", "done")), 90.0
@@ -259,7 +261,7 @@
     )
     machine(led, "m1")
     other = job(led, job_id="req-8", task_count=4, urgency="normal", team="red")
-    placement.schedule(led, random.Random(1), 0.0)
+    scheduling_pass.schedule(led, random.Random(1), 0.0)
     assert len(other.bindings) == 4 and led.bound_by_priority == [0, 0, 4, 0]
     pipeline(led, urgency="idle")
     assert led.jobs["req-1"].priority == 2 and led.jobs["req-1"].due == NEVER
@@ -309,7 +311,7 @@
     # One that comes now, before those are written.
     late = job(led, job_id="req-4", depends_on=["req-3"])
     assert late.dependency_cancelled and not late.waiting()
-    placement.schedule(led, random.Random(1), 2.0)
+    scheduling_pass.schedule(led, random.Random(1), 2.0)
     assert not led.machines["m1"].bindings
     assert led.handle_heartbeat(heartbeat("m1", 2, ("req-2/0", 5, "running")), 3.0) == [
         StopCommand("req-2/0", 5, 0.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,11 +10,18 @@
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Resources, ResourceUsage
-from salthead.scheduling import gangs, placement, preemption, queue_order
+from salthead.scheduling import (
+    eligibility,
+    gangs,
+    placement,
+    preemption,
+    queue_order,
+    scheduling_pass,
+)
 
 
 def place(led: Ledger, now: float = 0.0, seed: int = 1):
-    return placement.schedule(led, random.Random(seed), now)
+    return scheduling_pass.schedule(led, random.Random(seed), now)
 
 
 @pytest.mark.parametrize(
@@ -110,7 +117,7 @@
     )
     assert place(led, 1.0) == [], "nothing has changed"
     assert place(led, 2.0) == [one] and one.pause_until == 4.0
-    led.events.room_freed = lambda m, now: placement.backfill(led, m, random.Random(1), now)
+    led.events.room_freed = lambda m, now: scheduling_pass.backfill(led, m, random.Random(1), now)
     led.add_machine("m1", "small", "north", False, 2.5, registered=True)
     assert verbs(led.handle_heartbeat(heartbeat("m1", 1), 2.5)) == [("start", "req-1/0")]
     assert one.bindings and one.pause == 0.0, "room that came ends the pause"
@@ -401,7 +408,9 @@
         kept = [m.name for m in led.machines.values() if m.reserved_for == "req-1"]
         assert kept == ["m0", "m1"], "those that are free first"
         before = dict(late.bindings)
-        led.events.room_freed = lambda m, now: placement.backfill(led, m, random.Random(1), now)
+        led.events.room_freed = lambda m, now: scheduling_pass.backfill(
+            led, m, random.Random(1), now
+        )
         for name in kept:
             led.handle_heartbeat(
                 heartbeat(
@@ -827,7 +836,7 @@
         place(led, float(now))
         if one.bindings and placed is None:
             placed = now
-    assert placed is not None and placement.MAX_HELD_BACK_S <= placed < 85
+    assert placed is not None and eligibility.MAX_HELD_BACK_S <= placed < 85
 
 
 def test_what_is_held_back_for_want_of_room_waits() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.leader.views import OVERVIEW_ROWS
 from salthead.protocol.messages import StopCommand
-from salthead.scheduling import placement
+from salthead.scheduling import candidate_pools, eligibility, placement, scheduling_pass
 from salthead.state_store import records
 from standins import World, run
 
@@ -52,8 +52,8 @@
         machine(led, f"m{n}", zone=("north", "south")[n % 2])
     for n in range(jobs):
         job(led, job_id=f"req-{n}", task_count=machines, vcpus=2.0, estimated_run_s=50.0)
-    placement.schedule(led, rng, 0.0)
-    led.events.room_freed = lambda m, now: placement.backfill(led, m, rng, now)
+    scheduling_pass.schedule(led, rng, 0.0)
+    led.events.room_freed = lambda m, now: scheduling_pass.backfill(led, m, rng, now)
     assert sum(one.waiting() for one in led.jobs.values()) > machines
     return led
 
@@ -109,10 +109,10 @@
             for n in range(many):
                 job(led, job_id=f"req-{n}", task_count=60)
         elif what == "task":
-            placement.schedule(led, random.Random(1), 0.0)
+            scheduling_pass.schedule(led, random.Random(1), 0.0)
             before = tracemalloc.get_traced_memory()[0]
             job(led, job_id="req-1", task_count=many, vcpus=8.0)
-            placement.schedule(led, random.Random(1), 1.0)
+            scheduling_pass.schedule(led, random.Random(1), 1.0)
             assert len(led.jobs["req-1"].bindings) == many
         used = tracemalloc.get_traced_memory()[0] - before
         tracemalloc.stop()
@@ -171,7 +171,7 @@
 def test_a_pass_over_a_full_fleet_looks_at_no_machine() -> None:
     def cost(machines: int) -> int:
         led = full(machines)
-        return calls(lambda: placement.schedule(led, random.Random(1), 10.0))
+        return calls(lambda: scheduling_pass.schedule(led, random.Random(1), 10.0))
 
     assert cost(600) <= cost(60) * 1.3
 
@@ -181,7 +181,7 @@
     # were nearly half of it (3,053 calls for 40 jobs).
     led = full(600)
     assert len(led.jobs) == 40
-    assert calls(lambda: placement.schedule(led, random.Random(1), 10.0)) < 2_000
+    assert calls(lambda: scheduling_pass.schedule(led, random.Random(1), 10.0)) < 2_000
 
 
 def test_a_plan_makes_no_more_machines_than_can_be_hired() -> None:
@@ -269,18 +269,18 @@
     expected = {
         m.name
         for m in led.machines.values()
-        if placement.allows(one, m)
-        and placement.available(led, m, 1.0)
+        if eligibility.allows(one, m)
+        and eligibility.available(led, m, 1.0)
         and m.fits(one.request)
-        and placement.is_open_to(led, one, m, 1.0)
+        and eligibility.is_open_to(led, one, m, 1.0)
     }
-    found_names = [m.name for m in placement.candidates(led, one, 1.0)]
+    found_names = [m.name for m in eligibility.candidates(led, one, 1.0)]
     assert len(found_names) == len(set(found_names)) and set(found_names) == expected
     # Two at random from all of them, the emptier one wins: each comes up as often as it should.
-    machines = sorted(placement.candidates(led, one, 1.0), key=lambda m: m.fullest())
+    machines = sorted(eligibility.candidates(led, one, 1.0), key=lambda m: m.fullest())
     seen = dict.fromkeys(found_names, 0)
     for _ in range(4000):
-        seen[placement.pick(machines, rng).name] += 1
+        seen[candidate_pools.pick(machines, rng).name] += 1
     pairs = len(machines) * (len(machines) - 1) / 2
     for priority, one_machine in enumerate(machines):
         share = (len(machines) - 1 - priority) / pairs
@@ -395,7 +395,7 @@
         one = heartbeat("m1", 3, *shown(led, "m1", 1))
         found = [
             calls(lambda: led.handle_heartbeat(one, 2.0)),
-            calls(lambda: placement.schedule(led, random.Random(1), 10.0)),
+            calls(lambda: scheduling_pass.schedule(led, random.Random(1), 10.0)),
             calls(lambda: fleet_plan.plan(led, 10.0, fleet_plan.CapacityBackoff(), {})),
         ]
         led.tick(11.0)  # the task that ended has moved an estimate, and due times follow once
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -16,7 +16,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.failure_detection.shared_silence import SharedSilence
 from salthead.protocol.messages import decode_submission, encode
-from salthead.scheduling import placement
+from salthead.scheduling import scheduling_pass
 from standins import run
 
 CUT_POLICY = CUTS_ON.partial_cuts
@@ -30,7 +30,7 @@
     made = Ledger(limits(), 7, 0.0)
     assert CUT_POLICY is not None
     made.shared_silence = SharedSilence(made, CUT_POLICY, 0.0)
-    made.events.room_freed = lambda found, now: placement.backfill(made, found, RNG, now)
+    made.events.room_freed = lambda found, now: scheduling_pass.backfill(made, found, RNG, now)
     for name, machine_type in MACHINE_REGISTRY:
         made.add_machine(name, machine_type, "north", False, 0.0, registered=True)
     made.loaded = True
@@ -77,19 +77,19 @@
         new = led.add_job(spec("req-2", team="red", task_count=8), 0.0, accepted_this_term=True)
         assert old is not None and new is not None
         led.tick(0.1)
-        placement.schedule(led, RNG, 0.1)
+        scheduling_pass.schedule(led, RNG, 0.1)
         led.set_machine_types(FLAVORS)
         for at in (0.2, 8.0):  # no tick has come since at the first of these
             for sequence, (name, machine_type) in enumerate(MACHINE_REGISTRY, int(at) + 1):
                 if name not in silent:
                     led.handle_heartbeat(heartbeat(name, sequence, machine_type=machine_type), at)
-            placement.schedule(led, RNG, at)
+            scheduling_pass.schedule(led, RNG, at)
             assert not old.bindings, (
                 "an earlier leader may have started it where nobody has reported"
             )
             assert not new.bindings, "the silent may run any number of the team's tasks"
         led.tick(12.6)  # the leases of the silent machines are over
-        placement.schedule(led, RNG, 12.6)
+        scheduling_pass.schedule(led, RNG, 12.6)
         assert len(old.bindings) == 2 and len(new.bindings) == 8
 
     @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -16,7 +16,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.failure_detection.machine_sets import MachineSets, RecentSet
 from salthead.policy import Policy, ZonePolicy
-from salthead.scheduling import gangs, placement
+from salthead.scheduling import eligibility, gangs, placement, scheduling_pass
 from salthead.zones import evacuation, records
 from salthead.zones.recovery import ZoneRecovery
 from salthead.zones.slow_start import Progress, SlowStart
@@ -257,7 +257,7 @@
     recovery.observe(21.0)
     south = [m for m in led.machines.values() if m.zone == 1]
     assert all(m.phase == "up" and m.awaiting_slow_start for m in south)
-    assert {m.zone for m in placement.candidates(led, one, 21.0)} == {0}
+    assert {m.zone for m in eligibility.candidates(led, one, 21.0)} == {0}
     assert recovery.max_provision(0) is None and recovery.max_provision(1) == 0
 
 
@@ -324,7 +324,7 @@
     one = job(led, now=0.0, task_count=1)
     one.within_guarantee, one.held_back_since = entitled, 21.0 - held_s
     found = next(m for m in led.machines.values() if m.zone == 1)
-    assert found.awaiting_slow_start and placement.is_open_to(led, one, found, 21.0) is open_to_it
+    assert found.awaiting_slow_start and eligibility.is_open_to(led, one, found, 21.0) is open_to_it
 
 
 def test_the_only_zone_is_never_withheld() -> None:
@@ -375,7 +375,7 @@
     led.pending.jobs = [gang, array]
     led.pending.min_cpus = 2.0
     rng = random.Random(1)
-    led.events.room_freed = lambda m, now: placement.backfill(led, m, rng, now)
+    led.events.room_freed = lambda m, now: scheduling_pass.backfill(led, m, rng, now)
     first = machine(led, "n-new1", zone="north")
     assert first.reserved_for == gang.job_id and not first.bindings
     second = led.add_machine("n-new2", "small", "north", False, 0.0, registered=True)
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -37,7 +37,7 @@
 from salthead.leases.leader_lease import LeaseClock  # noqa: E402
 from salthead.policy import PartialCutPolicy, Policy, ZonePolicy  # noqa: E402
 from salthead.protocol.messages import JobStatus, StopCommand, encode  # noqa: E402
-from salthead.scheduling import placement  # noqa: E402
+from salthead.scheduling import scheduling_pass  # noqa: E402
 from salthead.state_store import records  # noqa: E402
 from salthead.transport.client import Answer  # noqa: E402
 from salthead.transport.http import Reply, Request  # noqa: E402
@@ -246,7 +246,7 @@
     found["submission refused"] = await reply_bytes(
         clients.submit(request(given(spec("req-2", team="none"))))
     )
-    placement.schedule(ledger, random.Random(1), NOW)
+    scheduling_pass.schedule(ledger, random.Random(1), NOW)
     found["starts"] = await reply_bytes(clients.heartbeat(request(heartbeat("m0", 2))))
     job = ledger.jobs["req-1"]
     binding = job.bindings[0]
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -42,7 +42,7 @@
 from salthead.leases.leader_lease import LeaseClock  # noqa: E402
 from salthead.protocol import wire_names  # noqa: E402
 from salthead.protocol.messages import Heartbeat, encode  # noqa: E402
-from salthead.scheduling import placement  # noqa: E402
+from salthead.scheduling import scheduling_pass  # noqa: E402
 
 FENCING_TOKEN = 7
 REVISION = 1_000_000  # of all that is written in the profiled term
@@ -141,7 +141,7 @@
         ledger.add_job(
             spec(job_id=f"req-{n}", task_count=machines, vcpus=2.0, estimated_run_s=50.0), now
         )
-    placement.schedule(ledger, random.Random(1), now)
+    scheduling_pass.schedule(ledger, random.Random(1), now)
     for name in ledger.machines:
         ledger.handle_heartbeat(shown(ledger, name, 2), now)
 
