--- a/src/salthead/autoscaling/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -163,7 +163,7 @@
         team: [most[n] - ledger.usage[team][n] for n in range(2)]
         for team, most in enumerate(ledger.team_limits)
     }
-    line = pending_queue.queue(ledger, guarantees.guaranteed_jobs(ledger), now)
+    line = pending_queue.pending_jobs(ledger, guarantees.guaranteed_job_ids(ledger), now)
     span = serving_span_s(ledger, line, now)
     soon = soon_ready(ledger, now)
     if line or soon:  # with nothing to place, free room need not be known
--- a/src/salthead/scheduling/candidate_pools.py
+++ b/src/salthead/scheduling/candidate_pools.py
@@ -1,4 +1,4 @@
-"""Power of two choices: two machines at random, and the one with the lower fullest dimension."""
+"""Sampling of candidate machines: the power of two choices, by pools of preference."""
 
 from __future__ import annotations
 
@@ -8,9 +8,12 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
 
+# Added up, they are the index of a machine's pool.
+WITHOUT_IMAGE, SCARCE_TYPE = 1, 2
 
-def pick(machines: list[Machine], rng: random.Random) -> Machine:
-    """Two at random, the lower fullest dimension wins."""
+
+def pick_of_two(machines: list[Machine], rng: random.Random) -> Machine:
+    """The less loaded one, by its fullest dimension, of two machines that are drawn at random."""
     if len(machines) == 1:
         return machines[0]
     one, other = rng.sample(machines, 2)
@@ -18,13 +21,13 @@
 
 
 class CandidatePools:
-    """What a job's tasks are drawn from: its candidates, those that have its image first.
+    """The candidates of one job, in pools by preference: those that have its image come first.
 
-    Without that filter a fetch, often longer than the task, precedes the first task of each
-    image on each machine, and the start misses a guarantee that free room could have kept.
+    Without that preference an image is pulled before its first task on each machine. That often
+    takes longer than the task, and the start misses a guarantee that free room could have kept.
 
-    Machines of a type that is the only one for another class come last. Small tasks scatter over
-    them as over any, and then that class waits until a whole machine has drained.
+    Machines of scarce types come last. Small tasks scatter over them as over any other, and then a
+    class of jobs that fits on no other type waits until a whole machine has drained.
     """
 
     def __init__(self, ledger: Ledger, job: Job, candidates: Iterable[Machine]) -> None:
@@ -32,28 +35,29 @@
         self.pools: list[list[Machine]] = [[], [], [], []]
         image = job.spec.image
         for machine in candidates:
-            last = 0 if job.constrained or machine.machine_type not in ledger.scarce else 2
-            far = 0 if image and image in machine.images else 1
-            self.pools[last + far].append(machine)
+            scarce = not job.constrained and machine.machine_type in ledger.scarce
+            has_image = image and image in machine.images
+            pool = (SCARCE_TYPE if scarce else 0) + (0 if has_image else WITHOUT_IMAGE)
+            self.pools[pool].append(machine)
 
     def zones(self) -> set[int]:
-        """Zones of all machines that can be drawn."""
+        """The zones of all machines that can be picked."""
         return {machine.zone for pool in self.pools for machine in pool}
 
     def pick(self, rng: random.Random) -> Machine | None:
-        """A machine of the first pool that has any."""
+        """A machine of the first pool that is not empty; None if all are empty."""
         for pool in self.pools:
             if pool:
-                return pick(pool, rng)
+                return pick_of_two(pool, rng)
         return None
 
-    def used(self, machine: Machine) -> None:
-        """Drop the machine if one more task does not fit any more."""
+    def drop_if_full(self, machine: Machine) -> None:
+        """Drop the machine if one more task does not fit on it."""
         if not machine.fits(self.request):
             for pool in self.pools:
                 if machine in pool:
                     pool.remove(machine)
 
-    def close(self, zone: int) -> None:
-        """Draw no machine of a zone any more."""
+    def exclude_zone(self, zone: int) -> None:
+        """Drop all machines of a zone."""
         self.pools = [[m for m in pool if m.zone != zone] for pool in self.pools]
--- a/src/salthead/scheduling/eligibility.py
+++ b/src/salthead/scheduling/eligibility.py
@@ -1,31 +1,63 @@
-"""Which machines a job may use now, by their kind, their state and what is kept for others."""
+"""Which machines may take a task of a job: by kind, by state, and by reservations for others."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import UP, Job, Machine, MachineKind
 from salthead.cluster.start_rules import quota_left
 from salthead.scheduling import queue_order
 
 FRESH_HEARTBEAT_INTERVALS = 3.0
+# Room and quota that are kept for other jobs delay a job by no more than this beside room that it
+# could use. The users allow 90 s; the rest is for a pause and for the delivery of the start.
+MAX_HELD_BACK_S = 75.0
+# A heartbeat is overdue after this many intervals and this much for the network and a busy leader.
+OVERDUE_HEARTBEAT_INTERVALS, OVERDUE_HEARTBEAT_MARGIN_S = 1.25, 1.0
 
 
-# Whatever keeps room or quota for others keeps a job waiting for no longer than this beside room
-# that it could have. The users allow 90 s; the rest is for a pause and for the start to be told.
-MAX_HELD_BACK_S = 75.0
+def unavailable_reason(ledger: Ledger, machine: Machine, now: float) -> str:
+    """Why room on a machine can't be used now, for operators; empty when it can.
+
+    The reasons are published as labels of a metric.
+    """
+    reasons = (
+        ("kept", bool(machine.reserved_for) and now < machine.reserved_until),
+        ("cordoned", machine.cordoned),
+        ("withheld", machine.awaiting_slow_start),
+        ("condemned", bool(machine.quarantine_reason)),
+        ("going", machine.terminating or machine.reclaim_at is not None),
+        ("failing", now < machine.error_until),
+        ("unresponsive", not machine.responsive(now)),
+        ("unheard", not available(ledger, machine, now)),
+    )
+    return next((reason for reason, holds in reasons if holds), "")
+
+
+def allowed_kinds(job: Job, kinds: Iterable[MachineKind]) -> list[MachineKind]:
+    """Those of the kinds on which the job's owner lets it run, in their order.
+
+    For many kinds at once: passes and plans ask about every kind for every job in the queue, and a
+    function call for each would cost more than the comparison.
+    """
+    return [
+        kind
+        for kind in kinds
+        if (job.spec.spot or not kind.spot)
+        and (job.allowed_types is None or kind.machine_type in job.allowed_types)
+        and (job.zone is None or kind.zone == job.zone)
+    ]
 
 
 def allows(job: Job, machine: Machine) -> bool:
-    """Kind, type and zone, for the job alone."""
-    return (
-        (job.spec.spot or not machine.spot)
-        and (job.allowed_types is None or machine.machine_type in job.allowed_types)
-        and (job.zone is None or machine.zone == job.zone)
-    )
+    """Whether the job's owner lets it run on machines of this kind."""
+    return bool(allowed_kinds(job, (machine.kind,)))
 
 
 def available(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Heard of lately, in the machine registry, and not about to go."""
+    """Whether any task may start on the machine: it is up, registered, reconciled and healthy, has
+    sent a heartbeat lately, and is not about to be terminated."""
     return (
         machine.phase == UP
         and machine.registered
@@ -42,52 +74,41 @@
 
 
 def heartbeat_overdue(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether the next heartbeat should have come: a period, a quarter more, and a second for the
-    way and a busy leader.
+    """Whether the machine's next heartbeat should have arrived by now.
 
-    Long before the filter by freshness says so, such a machine may have died. For one task the
-    design's filter stands; a gang needs all of its machines, and so does the room made for it.
+    Such a machine may have died long before ``available`` says so. That filter is enough for a
+    single task; a gang needs all of its machines, and so does the room that is made for it.
     """
-    return now - machine.last_heartbeat_at > 1.25 * ledger.limits.workers.heartbeat_interval_s + 1.0
-
-
-def unavailable_reason(ledger: Ledger, machine: Machine, now: float) -> str:
-    """Why room on a machine can't be used now, for operators; empty when it can."""
-    reasons = (
-        ("kept", bool(machine.reserved_for) and now < machine.reserved_until),
-        ("cordoned", machine.cordoned),
-        ("withheld", machine.awaiting_slow_start),
-        ("condemned", bool(machine.quarantine_reason)),
-        ("going", machine.terminating or machine.reclaim_at is not None),
-        ("failing", now < machine.error_until),
-        ("unresponsive", not machine.responsive(now)),
-        ("unheard", not available(ledger, machine, now)),
+    return (
+        now - machine.last_heartbeat_at
+        > OVERDUE_HEARTBEAT_INTERVALS * ledger.limits.workers.heartbeat_interval_s
+        + OVERDUE_HEARTBEAT_MARGIN_S
     )
-    return next((reason for reason, holds in reasons if holds), "")
 
 
 def held_back_too_long(job: Job, now: float) -> bool:
-    """Whether the job has been held back by what is kept for others for as long as may be."""
+    """Whether reservations for other jobs have delayed the job for as long as they may."""
     return job.held_back_since is not None and now - job.held_back_since >= MAX_HELD_BACK_S
 
 
-def held_back(ledger: Ledger, job: Job, now: float) -> bool:
+def could_start_without_reservations(ledger: Ledger, job: Job, now: float) -> bool:
     """Whether the job could start if nothing were kept for others, nor avoided for its errors."""
-    left = job.spec.task_count if job.gang else 1
-    if quota_left(ledger, job, heed=False) < left:
+    missing = job.spec.task_count if job.gang else 1
+    if quota_left(ledger, job, heed=False) < missing:
         return False
-    for machine in ledger.capacity_index.with_room(suitable_kinds(ledger, job), job.request):
+    index = ledger.capacity_index
+    for machine in index.with_room(allowed_kinds(job, index.free), job.request):
         if available(ledger, machine, now):
-            left -= int(machine.places_for(job.request))
-            if left <= 0:
+            missing -= int(machine.places_for(job.request))
+            if missing <= 0:
                 return True
     return False
 
 
 def may_use_slow_start(ledger: Ledger, job: Job, now: float) -> bool:
-    """Whether a job may use machines of a zone that returns, before they are open to all.
+    """Whether a job may use machines of a recovering zone before they are open to all.
 
-    A guarantee stands above a gradual return: half of its time is for finding room elsewhere.
+    A guarantee ranks above the slow start: half of its time is for finding room elsewhere.
     """
     if not job.within_guarantee or job.held_back_since is None:
         return False
@@ -95,22 +116,23 @@
 
 
 def is_open_to(ledger: Ledger, job: Job, machine: Machine, now: float) -> bool:
-    """Not kept for another job, nor of the only type for one that waits unless time presses."""
+    """Whether the machine is reserved for no other job, and not to be avoided by this one.
+
+    A machine of a scarce type is left to jobs that fit on no other, unless time presses.
+    """
+    if held_back_too_long(job, now):
+        return True
+    if machine.reserved_for and machine.reserved_for != job.job_id and now < machine.reserved_until:
+        return False
+    if machine.name in job.error_machines:
+        return False
+    if machine.awaiting_slow_start and not may_use_slow_start(ledger, job, now):
+        return False
     return (
-        held_back_too_long(job, now)
-        or (
-            not machine.reserved_for
-            or machine.reserved_for == job.job_id
-            or now >= machine.reserved_until
-        )
-        and machine.name not in job.error_machines
-        and (not machine.awaiting_slow_start or may_use_slow_start(ledger, job, now))
-        and (
-            not ledger.pending.constrained
-            or job.constrained
-            or machine.machine_type not in ledger.scarce
-            or queue_order.due(ledger, job, now)
-        )
+        not ledger.pending.constrained
+        or job.constrained
+        or machine.machine_type not in ledger.scarce
+        or queue_order.start_due(ledger, job, now)
     )
 
 
@@ -127,34 +149,29 @@
     """Whether one more task of the job may be in the zone, given its other tasks."""
     if job.spec.single_zone and counts and zone not in counts:
         return False
-    return not (job.spec.spread_zones and counts.get(zone, 0) >= (job.spec.task_count + 1) // 2)
+    return not (job.spec.spread_zones and counts.get(zone, 0) >= max_per_zone(job))
 
 
-def suitable_kinds(ledger: Ledger, job: Job) -> list[MachineKind]:
-    """The kinds of machines there are that suit the job."""
-    return [
-        kind
-        for kind in ledger.capacity_index.free
-        if (job.spec.spot or not kind.spot)
-        and (job.allowed_types is None or kind.machine_type in job.allowed_types)
-        and (job.zone is None or kind.zone == job.zone)
-    ]
+def max_per_zone(job: Job) -> int:
+    """How many tasks of a job that is spread over zones may be in one of them."""
+    return (job.spec.task_count + 1) // 2
 
 
 def candidates(ledger: Ledger, job: Job, now: float) -> list[Machine]:
-    """The filter: machines that suit the job and have room for one task, zones aside."""
+    """The machines that may take a task of the job and have room for it, zones aside."""
+    index = ledger.capacity_index
     return [
         machine
-        for machine in ledger.capacity_index.with_room(suitable_kinds(ledger, job), job.request)
+        for machine in index.with_room(allowed_kinds(job, index.free), job.request)
         if available(ledger, machine, now) and is_open_to(ledger, job, machine, now)
     ]
 
 
 def suitable_machines(ledger: Ledger, job: Job, now: float) -> list[Machine]:
-    """Machines that suit the job, room and its other tasks' zones aside."""
+    """The machines that may take a task of the job, room and zones aside."""
     return [
         machine
-        for kind in suitable_kinds(ledger, job)
+        for kind in allowed_kinds(job, ledger.capacity_index.free)
         for row in ledger.capacity_index.free[kind]
         for machine in row
         if available(ledger, machine, now) and is_open_to(ledger, job, machine, now)
--- a/src/salthead/scheduling/guarantees.py
+++ b/src/salthead/scheduling/guarantees.py
@@ -6,26 +6,26 @@
 from salthead.cluster.model import EPSILON, Job
 
 
-def guaranteed_jobs(ledger: Ledger) -> set[str]:
+def guaranteed_job_ids(ledger: Ledger) -> set[str]:
     """Jobs that fit into their team's guarantee together with the team's earlier ones.
 
-    What waits for other jobs holds no part of a guarantee, and is not among the live ones.
+    A job that waits for other jobs is not among the ready ones and uses no part of a guarantee.
     """
-    within: set[str] = set()
+    guaranteed_ids: set[str] = set()
     sums = [[0.0, 0.0] for _ in ledger.guarantees]
     for job in sorted(ledger.ready_jobs.values(), key=lambda job: (job.since, job.job_id)):
         if job.terminal_phase or job.cancel_requested:
             continue
-        total, size, most = sums[job.team], job.size(), ledger.guarantees[job.team]
+        total, size, guarantee = sums[job.team], job.size(), ledger.guarantees[job.team]
         total[0] += size[0]
         total[1] += size[1]
-        if total[0] <= most[0] + EPSILON and total[1] <= most[1] + EPSILON:
-            within.add(job.job_id)
-    return within
+        if total[0] <= guarantee[0] + EPSILON and total[1] <= guarantee[1] + EPSILON:
+            guaranteed_ids.add(job.job_id)
+    return guaranteed_ids
 
 
 def record_attainment(ledger: Ledger, job: Job, now: float) -> None:
-    """Note once whether a job within its guarantee found all its machines in time."""
+    """Record once whether a job within its guarantee found all of its machines in time."""
     late = now - job.since > ledger.start_attainment.within_s
     if (
         job.within_guarantee
--- a/src/salthead/scheduling/pending_queue.py
+++ b/src/salthead/scheduling/pending_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a pass: which jobs wait, those within their team's guarantee first."""
+"""The pending queue: jobs with tasks that have no machine, in the order of their placement."""
 
 from __future__ import annotations
 
@@ -9,31 +9,39 @@
 from salthead.scheduling import queue_order
 
 
-def queue(ledger: Ledger, within: set[str], now: float) -> list[Job]:
-    """Jobs with tasks that have no machine: guarantees first, then urgency, then targets.
-
-    Of those within guarantees, the ones that can still begin as fast as the users aim for come
-    first, the smallest ahead: a large one, or one that has missed that, would make all that come
-    after it miss it as well.
-    """
+def pending_jobs(ledger: Ledger, guaranteed_ids: set[str], now: float) -> list[Job]:
+    """Jobs that may start tasks: guaranteed ones first, then by priority, then by their targets."""
     waiting = [job for job in ledger.ready_jobs.values() if startable(ledger, job)]
-    start_target_s = ledger.start_attainment.within_s
-    first = [job for job in waiting if job.job_id in within and now - job.since <= start_target_s]
-    first.sort(
-        key=lambda job: (job.priority, job.waiting() * job.request.cpus, job.since, job.job_id)
-    )
-    young = {job.job_id for job in first}
+    ordered = _within_start_target(ledger, waiting, guaranteed_ids, now)
+    placed_first = {job.job_id for job in ordered}
     rate = queue_order.fleet_cpus(ledger)
     for guaranteed in (True, False):
         for priority in range(len(wire_names.URGENCIES)):
-            same = [
+            same_rank = [
                 job
                 for job in waiting
                 if job.priority == priority
-                and job.job_id not in young
-                and (job.job_id in within) == guaranteed
+                and job.job_id not in placed_first
+                and (job.job_id in guaranteed_ids) == guaranteed
             ]
-            first += queue_order.by_targets(ledger, same, rate, now)
+            ordered += queue_order.by_targets(ledger, same_rank, rate, now)
     if ledger.zone_hooks is not None:
-        return ledger.zone_hooks.evacuation_order(first, within, now)
-    return first
+        return ledger.zone_hooks.evacuation_order(ordered, guaranteed_ids, now)
+    return ordered
+
+
+def _within_start_target(
+    ledger: Ledger, waiting: list[Job], guaranteed_ids: set[str], now: float
+) -> list[Job]:
+    """Guaranteed jobs that can still start as fast as the users aim for, the smallest first.
+
+    A large one, or one that has missed that target, would make all jobs behind it miss it as well.
+    """
+    start_target_s = ledger.start_attainment.within_s
+    found = [
+        job for job in waiting if job.job_id in guaranteed_ids and now - job.since <= start_target_s
+    ]
+    found.sort(
+        key=lambda job: (job.priority, job.waiting() * job.request.cpus, job.since, job.job_id)
+    )
+    return found
--- a/src/salthead/scheduling/placement.py
+++ b/src/salthead/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Placing one job: its tasks are bound to the machines that the candidate pools pick."""
+"""Placement of one job: its waiting tasks are bound to machines out of its candidates."""
 
 from __future__ import annotations
 
@@ -7,15 +7,57 @@
 from collections.abc import Iterable
 
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import UP, Job, Machine, ReleaseReason
+from salthead.cluster.model import UP, Binding, Job, Machine, ReleaseReason
 from salthead.cluster.start_rules import quota_left, wanted
-from salthead.scheduling.candidate_pools import CandidatePools, pick
-from salthead.scheduling.eligibility import candidates, heartbeat_overdue, zone_counts, zone_open
+from salthead.event_log import event
+from salthead.scheduling.candidate_pools import CandidatePools, pick_of_two
+from salthead.scheduling.eligibility import (
+    candidates,
+    heartbeat_overdue,
+    zone_counts,
+    zone_open,
+)
 from salthead.scheduling.guarantees import record_attainment
 
 log = logging.getLogger(__name__)
 
 
+def schedule_job(
+    ledger: Ledger,
+    job: Job,
+    rng: random.Random,
+    now: float,
+    only: Machine | None = None,
+) -> int:
+    """Place what can be placed of one job; how many tasks were bound.
+
+    ``only``: the one machine that an array may use.
+    """
+    if job.gang:
+        bound = schedule_gang(ledger, job, rng, now)
+    else:
+        bound = schedule_array(ledger, job, rng, now, only)
+    if not bound:
+        return 0
+    job.pause = 0.0
+    job.held_back_since = None
+    level = logging.DEBUG if only is not None else logging.INFO
+    waiting = job.waiting()
+    event(log, "tasks_placed", level, job=job.job_id, placed=bound, waiting=waiting)
+    if waiting == 0:
+        _fully_placed(ledger, job, now)
+    return bound
+
+
+def _fully_placed(ledger: Ledger, job: Job, now: float) -> None:
+    """All tasks of the job have machines: nothing is kept for it any more."""
+    ledger.capacity_index.release_reservations(job.job_id)
+    if job.reserved_at is not None:
+        ledger.rest_until[job.team] = now + (now - job.reserved_at)
+        job.reserved_at = None
+    record_attainment(ledger, job, now)
+
+
 def schedule_array(
     ledger: Ledger,
     job: Job,
@@ -24,95 +66,95 @@
     only: Machine | None = None,
 ) -> int:
     """Bind as many waiting tasks as find a machine; how many were bound."""
-    wanted = min(job.waiting(), quota_left(ledger, job))
-    if wanted <= 0:
+    startable = min(job.waiting(), quota_left(ledger, job))
+    if startable <= 0:
         return 0
-    candidate_pools = CandidatePools(
-        ledger, job, candidates(ledger, job, now) if only is None else [only]
-    )
-    counts: dict[int, int] = {}
-    zoned = job.spec.single_zone or job.spec.spread_zones
-    if zoned:
-        counts = zone_counts(job)
-        for zone in candidate_pools.zones():
-            if not zone_open(job, zone, counts):
-                candidate_pools.close(zone)
+    machines = candidates(ledger, job, now) if only is None else [only]
+    pools = CandidatePools(ledger, job, machines)
+    in_zones: dict[int, int] = {}
+    zone_rule = job.spec.single_zone or job.spec.spread_zones
+    if zone_rule:
+        in_zones = zone_counts(job)
+        _exclude_closed_zones(job, pools, pools.zones(), in_zones)
     bound = 0
-    while bound < wanted and (machine := candidate_pools.pick(rng)) is not None:
+    while bound < startable and (machine := pools.pick(rng)) is not None:
         index = job.next_task()
         if index is None:
             break
         ledger.bind(job, index, machine, ledger.next_attempt(), now, granted=True)
-        candidate_pools.used(machine)
+        pools.drop_if_full(machine)
         bound += 1
-        if zoned:
-            counts[machine.zone] = counts.get(machine.zone, 0) + 1
-            for zone in range(len(ledger.zones)):
-                if not zone_open(job, zone, counts):
-                    candidate_pools.close(zone)
+        if zone_rule:
+            in_zones[machine.zone] = in_zones.get(machine.zone, 0) + 1
+            _exclude_closed_zones(job, pools, range(len(ledger.zones)), in_zones)
     return bound
 
 
+def _exclude_closed_zones(
+    job: Job, pools: CandidatePools, zones: Iterable[int], in_zones: dict[int, int]
+) -> None:
+    """Drop the machines of zones that may take no more tasks of the job."""
+    for zone in zones:
+        if not zone_open(job, zone, in_zones):
+            pools.exclude_zone(zone)
+
+
 def schedule_gang(ledger: Ledger, job: Job, rng: random.Random, now: float) -> int:
-    """Bind all members or none."""
+    """Bind all members of a gang, or none; how many were bound."""
     task_count = job.spec.task_count
     if quota_left(ledger, job) < task_count:
         return 0
-    base = [m for m in candidates(ledger, job, now) if not heartbeat_overdue(ledger, m, now)]
+    machines = [m for m in candidates(ledger, job, now) if not heartbeat_overdue(ledger, m, now)]
     zones: Iterable[int | None] = [None]
     if job.spec.single_zone:
-        present = sorted({m.zone for m in base})
+        present = sorted({machine.zone for machine in machines})
         rng.shuffle(present)
         zones = present
     for zone in zones:
-        if _draw_members(ledger, job, [m for m in base if zone in (None, m.zone)], rng, now):
+        in_zone = [machine for machine in machines if zone in (None, machine.zone)]
+        picked = _pick_gang_machines(ledger, job, in_zone, rng)
+        if len(picked) == task_count:
+            job.attempt = ledger.next_attempt()
+            for index, machine in enumerate(picked):
+                ledger.bind(job, index, machine, job.attempt, now, granted=True)
             return task_count
     return 0
 
 
-def _draw_members(
-    ledger: Ledger,
-    job: Job,
-    base: list[Machine],
-    rng: random.Random,
-    now: float,
-) -> bool:
-    counts: dict[int, int] = {}
-    chosen: list[Machine] = []
-    candidate_pools = CandidatePools(ledger, job, base)
+def _pick_gang_machines(
+    ledger: Ledger, job: Job, machines: list[Machine], rng: random.Random
+) -> list[Machine]:
+    """A machine for each member, one after the other; too few if the machines have no more room."""
+    in_zones: dict[int, int] = {}
+    picked: list[Machine] = []
+    pools = CandidatePools(ledger, job, machines)
     for _ in range(job.spec.task_count):
-        machine = candidate_pools.pick(rng)
+        machine = pools.pick(rng)
         if machine is None:
             break
-        # An allocation that only later members of the gang see.
+        # Allocated for the time of this function, so that the next members see what is left.
         machine.allocated.cpus += job.request.cpus
         machine.allocated.gpus += job.request.gpus
         machine.allocated.memory_gb += job.request.memory_gb
-        candidate_pools.used(machine)
-        chosen.append(machine)
+        pools.drop_if_full(machine)
+        picked.append(machine)
         if job.spec.spread_zones:
-            counts[machine.zone] = counts.get(machine.zone, 0) + 1
-            if not zone_open(job, machine.zone, counts):
-                candidate_pools.close(machine.zone)
-    for machine in chosen:
+            in_zones[machine.zone] = in_zones.get(machine.zone, 0) + 1
+            if not zone_open(job, machine.zone, in_zones):
+                pools.exclude_zone(machine.zone)
+    for machine in picked:
         machine.allocated.cpus -= job.request.cpus
         machine.allocated.gpus -= job.request.gpus
         machine.allocated.memory_gb -= job.request.memory_gb
-    if len(chosen) < job.spec.task_count:
-        return False
-    job.attempt = ledger.next_attempt()
-    for index, machine in enumerate(chosen):
-        ledger.bind(job, index, machine, job.attempt, now, granted=True)
-    return True
+    return picked
 
 
 def reschedule_unsent(ledger: Ledger, rng: random.Random, now: float) -> None:
-    """Draw tasks again whose start was not told to anybody, and whose machine has gone silent.
+    """Place tasks again whose start was not sent yet, and whose machine has fallen silent.
 
-    Seen on loss, prairie-ledger-fleet: a machine that dies just after a draw holds its tasks until
-    its lease is over, and with a gang's member all the other machines of the gang. No answer
-    carried the start, so the task is certainly not there. A gang's member takes its attempt
-    along, and so completes the gang that gathers.
+    Seen on loss, prairie-ledger-fleet: a machine that dies just after a placement holds its tasks
+    until its lease is over, and with a gang's member all the other machines of the gang. No answer
+    carried the start, so the task is certainly not there.
     """
     for machine in ledger.machines.values():
         if (
@@ -123,48 +165,33 @@
             continue
         for binding in [b for b in machine.bindings.values() if b.start_unsent()]:
             job = binding.job
-            if job is None or job.failed or not wanted(binding):
-                continue  # it is on its way out
-            hooks = ledger.zone_hooks
-            if not job.gang or (hooks is not None and hooks.restarts_whole(machine)):
-                # For a gang that is the end of its attempt: what was told of it is stopped.
-                ledger.release(binding, now, ReleaseReason.NEVER_TOLD)
-                continue
-            counts = zone_counts(job)
-            counts[machine.zone] -= 1
-            counts = {zone: count for zone, count in counts.items() if count}
-            found = [
-                m
-                for m in candidates(ledger, job, now)
-                if not heartbeat_overdue(ledger, m, now) and zone_open(job, m.zone, counts)
-            ]
-            if found:
-                other = pick(found, rng)
-                log.info("%s goes from silent %s to %s", binding.task_id, machine.name, other.name)
-                ledger.move(binding, other, now)
+            if job is not None and not job.failed and wanted(binding):
+                _reschedule(ledger, job, binding, rng, now)
 
 
-def schedule_job(
-    ledger: Ledger,
-    job: Job,
-    rng: random.Random,
-    now: float,
-    only: Machine | None = None,
-) -> int:
-    """Place what can be placed of one job; how many tasks were bound."""
-    if job.gang:
-        bound = schedule_gang(ledger, job, rng, now)
-    else:
-        bound = schedule_array(ledger, job, rng, now, only)
-    if bound:
-        job.pause = 0.0
-        job.held_back_since = None
-        level = logging.DEBUG if only is not None else logging.INFO
-        log.log(level, "placed %d of %s, %d left", bound, job.job_id, job.waiting())
-        if job.waiting() == 0:
-            ledger.capacity_index.release_reservations(job.job_id)
-            if job.reserved_at is not None:
-                ledger.rest_until[job.team] = now + (now - job.reserved_at)
-                job.reserved_at = None
-            record_attainment(ledger, job, now)
-    return bound
+def _reschedule(ledger: Ledger, job: Job, binding: Binding, rng: random.Random, now: float) -> None:
+    """Move a gang's member, with its attempt, to another machine; release any other task."""
+    silent = binding.machine
+    hooks = ledger.zone_hooks
+    if not job.gang or (hooks is not None and hooks.restarts_whole(silent)):
+        # For a gang that is the end of its attempt: members that were started are stopped.
+        ledger.release(binding, now, ReleaseReason.NEVER_TOLD)
+        return
+    in_zones = zone_counts(job)
+    in_zones[silent.zone] -= 1
+    in_zones = {zone: count for zone, count in in_zones.items() if count}
+    machines = [
+        machine
+        for machine in candidates(ledger, job, now)
+        if not heartbeat_overdue(ledger, machine, now) and zone_open(job, machine.zone, in_zones)
+    ]
+    if machines:
+        target = pick_of_two(machines, rng)
+        event(
+            log,
+            "unsent_task_moved",
+            task=binding.task_id,
+            silent_machine=silent.name,
+            machine=target.name,
+        )
+        ledger.move(binding, target, now)
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -1,4 +1,4 @@
-"""The pass over the queue, and the offer of room that one machine has freed."""
+"""The scheduling pass over the pending queue, and the backfill of a machine that has freed room."""
 
 from __future__ import annotations
 
@@ -14,44 +14,20 @@
 from salthead.scheduling.eligibility import (
     allows,
     available,
-    held_back,
+    could_start_without_reservations,
     held_back_too_long,
     is_open_to,
 )
-from salthead.scheduling.guarantees import guaranteed_jobs, record_attainment
-from salthead.scheduling.pending_queue import queue
+from salthead.scheduling.guarantees import guaranteed_job_ids, record_attainment
+from salthead.scheduling.pending_queue import pending_jobs
 from salthead.scheduling.placement import schedule_job
 
 log = logging.getLogger(__name__)
 
+# A job that found no candidate is tried again after this, doubled each time, at most a heartbeat
+# interval.
 FIRST_PAUSE_S = 2.0
-
-
-LIMIT_LOGGED_S = 10.0
-
-
-def backfill(ledger: Ledger, machine: Machine, rng: random.Random, now: float) -> None:
-    """Offer room that a machine has freed to the jobs in line, in their order.
-
-    Those in line found no candidate elsewhere, so this machine is the one there is. A whole
-    pass for each heartbeat that frees room cost jobs times machines, at every exit of a task.
-    """
-    if not ledger.loaded or not available(ledger, machine, now):
-        return
-    if ledger.zone_hooks is not None:
-        ledger.zone_hooks.claim(machine, now)
-    for job in ledger.pending.jobs:
-        if machine.capacity.cpus - machine.allocated.cpus + EPSILON < ledger.pending.min_cpus:
-            return
-        if (
-            now < job.wait_until
-            or not machine.fits(job.request)
-            or not allows(job, machine)
-            or not startable(ledger, job)
-            or not is_open_to(ledger, job, machine, now)
-        ):
-            continue
-        schedule_job(ledger, job, rng, now, machine)
+LIMIT_LOG_INTERVAL_S = 10.0  # for each team, at info
 
 
 def schedule(ledger: Ledger, rng: random.Random, now: float) -> list[Job]:
@@ -60,77 +36,92 @@
     if not ledger.loaded:
         return unschedulable
     ledger.capacity_index.expire_reservations(now)
-    within = guaranteed_jobs(ledger)
-    ledger.pending.jobs = queue(ledger, within, now)
+    guaranteed_ids = guaranteed_job_ids(ledger)
+    ledger.pending.jobs = pending_jobs(ledger, guaranteed_ids, now)
     ledger.pending.min_cpus = min(
         (job.request.cpus for job in ledger.pending.jobs), default=math.inf
     )
     ledger.pending.constrained = any(job.constrained for job in ledger.pending.jobs)
-    reserved: list[Job | None] = [None for _ in ledger.team_limits]
+    reserving_gangs: list[Job | None] = [None for _ in ledger.team_limits]
     for job in ledger.pending.jobs:
-        job.within_guarantee = job.within_guarantee or job.job_id in within
+        job.within_guarantee = job.within_guarantee or job.job_id in guaranteed_ids
         record_attainment(ledger, job, now)
-        ahead = reserved[job.team]
-        if _schedule_pending_job(ledger, job, ahead, rng, now):
+        gang_ahead = reserving_gangs[job.team]
+        if _schedule_pending_job(ledger, job, gang_ahead, rng, now):
             unschedulable.append(job)
-        # For one gang at a time, and then as long for nobody: else all that an overloaded team
-        # frees goes to a few of its largest jobs, and each of them makes many others late.
-        if ahead is None and queue_order.reserving(job, now) and now >= ledger.rest_until[job.team]:
-            reserved[job.team] = job
+        # Quota is reserved for one gang at a time, and then for none for as long again: else all
+        # that an overloaded team frees goes to a few of its largest jobs, and each of them makes
+        # many others late.
+        if (
+            gang_ahead is None
+            and queue_order.reserves_quota(job, now)
+            and now >= ledger.rest_until[job.team]
+        ):
+            reserving_gangs[job.team] = job
             if job.reserved_at is None:
                 job.reserved_at = now
     return unschedulable
 
 
 def _schedule_pending_job(
-    ledger: Ledger, job: Job, ahead: Job | None, rng: random.Random, now: float
+    ledger: Ledger, job: Job, gang_ahead: Job | None, rng: random.Random, now: float
 ) -> bool:
-    """Place what can be placed of one job in line; whether it drew and still waits.
+    """Place what can be placed of one job; whether it was tried and still waits.
 
-    ``ahead`` is the gang before it for which its team's quota is kept.
+    ``gang_ahead`` is the gang ahead of it in the queue for which its team's quota is reserved.
     """
     job.quota_reserved_ahead = (0.0, 0.0)
     if (
-        ahead is not None
+        gang_ahead is not None
         and not held_back_too_long(job, now)
-        and (job.gang or queue_order.pressing(ahead, now))
+        and (job.gang or queue_order.reserves_quota_from_arrays(gang_ahead, now))
     ):
-        job.quota_reserved_ahead = ahead.size()
-    quota_exhausted = _short_of_quota(ledger, job)
+        job.quota_reserved_ahead = gang_ahead.size()
+    quota_exhausted = _quota_exhausted(ledger, job)
     if job.quota_exhausted and not quota_exhausted:
         job.pause_until = 0.0
     job.quota_exhausted = quota_exhausted
-    # The pause is for draws that only freed room could change, which ``offer`` sees to.
+    # The pause is for attempts whose result only freed room could change: ``backfill`` offers it.
     if now < max(job.wait_until, job.pause_until):
         return False
     if not quota_exhausted:
         schedule_job(ledger, job, rng, now)
         if job.waiting() == 0:
             return False
-        job.quota_exhausted = _short_of_quota(ledger, job)
+        job.quota_exhausted = _quota_exhausted(ledger, job)
+    _note_still_waiting(ledger, job, now)
+    return True
+
+
+def _note_still_waiting(ledger: Ledger, job: Job, now: float) -> None:
+    """Log why tasks of the job still wait, and pause until the next attempt."""
     if job.quota_exhausted:
-        _note_limit(ledger, job, now)
+        _log_limit(ledger, job, now)
     else:
-        log.debug("job %s waits: no candidate for %d tasks", job.job_id, job.waiting())
-    if not held_back(ledger, job, now):
+        event(log, "no_candidate", logging.DEBUG, job=job.job_id, waiting=job.waiting())
+    if not could_start_without_reservations(ledger, job, now):
         job.held_back_since = None
     elif job.held_back_since is None:
         job.held_back_since = now
     job.pause = min(job.pause * 2 or FIRST_PAUSE_S, ledger.limits.workers.heartbeat_interval_s)
     job.pause_until = now + job.pause
-    return True
 
 
-def _note_limit(ledger: Ledger, job: Job, now: float) -> None:
-    """Log what a limit left for a job: at info once in a while for each team, else at debug."""
-    due = now - ledger.limit_logged_at[job.team] >= LIMIT_LOGGED_S
-    if due:
+def _quota_exhausted(ledger: Ledger, job: Job) -> bool:
+    """Whether the team's limit leaves no room for a task, or for the whole of a gang."""
+    return quota_left(ledger, job) < (job.spec.task_count if job.gang else 1)
+
+
+def _log_limit(ledger: Ledger, job: Job, now: float) -> None:
+    """Log what a team's limit left for a job: now and then at info, otherwise at debug."""
+    at_info = now - ledger.limit_logged_at[job.team] >= LIMIT_LOG_INTERVAL_S
+    if at_info:
         ledger.limit_logged_at[job.team] = now
     silent = (0.0, 0.0) if ledger.ready else ledger.failover.unreconciled_capacity()
     event(
         log,
         "limit_reached",
-        logging.INFO if due else logging.DEBUG,
+        logging.INFO if at_info else logging.DEBUG,
         team=job.spec.team,
         job=job.job_id,
         fencing_token=ledger.fencing_token,
@@ -143,6 +134,25 @@
     )
 
 
-def _short_of_quota(ledger: Ledger, job: Job) -> bool:
-    """Whether the team's limit leaves no room for a task, or for the whole of a gang."""
-    return quota_left(ledger, job) < (job.spec.task_count if job.gang else 1)
+def backfill(ledger: Ledger, machine: Machine, rng: random.Random, now: float) -> None:
+    """Offer room that a machine has freed to the jobs in the queue, in their order.
+
+    They found no candidate elsewhere, so this machine is the only one. A whole pass for each
+    heartbeat that frees room cost jobs times machines, at every exit of a task.
+    """
+    if not ledger.loaded or not available(ledger, machine, now):
+        return
+    if ledger.zone_hooks is not None:
+        ledger.zone_hooks.claim(machine, now)
+    for job in ledger.pending.jobs:
+        if machine.capacity.cpus - machine.allocated.cpus + EPSILON < ledger.pending.min_cpus:
+            return
+        if (
+            now < job.wait_until
+            or not machine.fits(job.request)
+            or not allows(job, machine)
+            or not startable(ledger, job)
+            or not is_open_to(ledger, job, machine, now)
+        ):
+            continue
+        schedule_job(ledger, job, rng, now, machine)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -15,7 +15,7 @@
 
 
 def served(led: Ledger, now: float = 0.0) -> list[str]:
-    return [one.job_id for one in pending_queue.queue(led, set(), now)]
+    return [one.job_id for one in pending_queue.pending_jobs(led, set(), now)]
 
 
 @pytest.mark.parametrize(
@@ -54,8 +54,8 @@
 def test_a_class_without_deadlines_has_its_aims_for_targets() -> None:
     led = ready(objectives=AIMS)
     one = job(led, job_class="c", deadline_s=None, at=0.0)
-    assert queue_order.target(led, one, 20.0, 10.0) == 280.0
-    assert queue_order.target(led, one, 20.0, 290.0) == float("inf")
+    assert queue_order.latest_start(led, one, 20.0, 10.0) == 280.0
+    assert queue_order.latest_start(led, one, 20.0, 290.0) == float("inf")
 
 
 def test_estimates_follow_what_was_seen() -> None:
@@ -138,7 +138,7 @@
     job(led, 9.0, job_id="req-3", task_count=2, at=9.0)
     job(led, 7.0, job_id="req-4", task_count=2, at=7.0)
     within = {"req-1", "req-2", "req-3"}
-    order_then = [one.job_id for one in pending_queue.queue(led, within, 10.0)]
+    order_then = [one.job_id for one in pending_queue.pending_jobs(led, within, 10.0)]
     assert order_then == ["req-3", "req-2", "req-1", "req-4"]
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -168,9 +168,14 @@
     pipeline(led)
     job(led, job_id="req-9", task_count=8, vcpus=2.0, at=1.0)  # fits into the guarantee only alone
     assert (
-        guarantees.guaranteed_jobs(led) == {"req-1"} if led.jobs["req-9"].size()[0] > 14 else True
+        guarantees.guaranteed_job_ids(led) == {"req-1"}
+        if led.jobs["req-9"].size()[0] > 14
+        else True
     )
-    assert {one.job_id for one in pending_queue.queue(led, set(), 300.0)} == {"req-1", "req-9"}
+    assert {one.job_id for one in pending_queue.pending_jobs(led, set(), 300.0)} == {
+        "req-1",
+        "req-9",
+    }
     led.jobs["req-9"].dependency_cancelled = True
     plan = fleet_plan.plan(led, 300.0, fleet_plan.CapacityBackoff(), {})
     assert sum(plan.to_provision.values()) == 1, "for req-1 alone"
@@ -241,7 +246,7 @@
     second = led.jobs["req-2"]
     assert second.waiting() == 4 and second.since == 91.0 and second.accepted_this_term
     assert not led.jobs["req-3"].waiting()
-    assert not queue_order.reserving(second, 140.0), "a minute counts from when it could begin"
+    assert not queue_order.reserves_quota(second, 140.0), "a minute counts from when it could begin"
     # Later terms know it from the record; a clock ahead of ours does not make it younger.
     later = ready(200.0)
     later.wall_ahead = 1000.0
@@ -274,8 +279,8 @@
     )
     # run times of three after it: 20 s each, and it runs for 20 s itself
     assert first.due[0] == 100.0 - 60.0 and first.due[1] == 150.0 - 60.0
-    assert queue_order.target(led, first, 20.0, 0.0) == 20.0
-    assert queue_order.target(led, first, 20.0, 30.0) == 70.0, (
+    assert queue_order.latest_start(led, first, 20.0, 0.0) == 20.0
+    assert queue_order.latest_start(led, first, 20.0, 30.0) == 70.0, (
         "late, but the last that counts is not"
     )
     # Others of a lower rank are stopped for what inherits a higher one.
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -686,8 +686,8 @@
 
     def test_it_is_not_kept_for_ever(self) -> None:
         led, gang, small = self.world(10.0)
-        assert queue_order.reserving(gang, 2 * queue_order.BEGIN_WITHIN_S - 1.0)
-        assert not queue_order.reserving(gang, 3 * queue_order.BEGIN_WITHIN_S + 1.0)
+        assert queue_order.reserves_quota(gang, 2 * queue_order.BEGIN_WITHIN_S - 1.0)
+        assert not queue_order.reserves_quota(gang, 3 * queue_order.BEGIN_WITHIN_S + 1.0)
 
 
 class TestOutlivedEstimates:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -280,7 +280,7 @@
     machines = sorted(eligibility.candidates(led, one, 1.0), key=lambda m: m.fullest())
     seen = dict.fromkeys(found_names, 0)
     for _ in range(4000):
-        seen[candidate_pools.pick(machines, rng).name] += 1
+        seen[candidate_pools.pick_of_two(machines, rng).name] += 1
     pairs = len(machines) * (len(machines) - 1) / 2
     for priority, one_machine in enumerate(machines):
         share = (len(machines) - 1 - priority) / pairs
