--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -7,11 +7,14 @@
 
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import BOOTING, UP, Job, Machine, MachineKind, Resources
+from salthead.cluster.model import BOOTING, EPSILON, UP, Machine, MachineKind, Resources
+
+# A task that should end within this part of the shortest boot has its room counted as free.
+SOON_FREE_BOOTS = 0.7
 
 
 class Slot:
-    """A machine in the plan: one that is there, is booting, or would be provisioned."""
+    """A machine in the plan: one that there is, that boots, or that would be provisioned."""
 
     __slots__ = ("kind", "room", "machine", "taken")
 
@@ -23,13 +26,13 @@
         self.machine = machine
         self.taken = False
 
-    def fill(self, request: Resources, most: int) -> int:
-        """Take as many tasks as fit, up to ``most``; how many that were."""
+    def fill(self, request: Resources, task_count: int) -> int:
+        """Take as many of the tasks as fit; how many that were."""
         room = self.room
-        count = most
+        count = task_count
         for n in (0, 1, 2):  # the innermost loop of a plan
             if request[n] > 0:
-                places = int((room[n] + 1e-6) // request[n])
+                places = int((room[n] + EPSILON) // request[n])
                 if places < count:
                     count = places
         if count <= 0:
@@ -40,11 +43,11 @@
         return count
 
 
-class Pool:
-    """The plan's slots by kind. Slots that no task in sight fits into are dropped on the way."""
+class SlotPool:
+    """The plan's slots by kind. Slots that no task in the queue fits into are dropped."""
 
-    def __init__(self, slots: list[Slot], least: float) -> None:
-        self.least = least  # CPUs of the smallest task
+    def __init__(self, slots: list[Slot], min_cpus: float) -> None:
+        self.min_cpus = min_cpus  # of the smallest task in the queue
         self.slots: dict[MachineKind, list[Slot]] = {}
         for slot in slots:
             self.add(slot)
@@ -53,26 +56,27 @@
         """Add a machine's room."""
         self.slots.setdefault(slot.kind, []).append(slot)
 
-    def fill(self, kind: MachineKind, request: Resources, count: int) -> int:
-        """Put tasks into the slots of one kind, in their order; how many found none."""
+    def fill(self, kind: MachineKind, request: Resources, task_count: int) -> int:
+        """Put tasks into the slots of one kind, in their order; how many found no room."""
         slots = self.slots.get(kind)
         if slots is None:
-            return count
-        full = False
+            return task_count
+        unplaced = task_count
+        any_full = False
         for slot in slots:
-            if not count:
+            if not unplaced:
                 break
-            count -= slot.fill(request, count)
-            full = full or slot.room[0] + 1e-6 < self.least
-        if full:
-            self.slots[kind] = [s for s in slots if s.room[0] + 1e-6 >= self.least]
-        return count
+            unplaced -= slot.fill(request, unplaced)
+            any_full = any_full or slot.room[0] + EPSILON < self.min_cpus
+        if any_full:
+            self.slots[kind] = [s for s in slots if s.room[0] + EPSILON >= self.min_cpus]
+        return unplaced
 
     def places(self, kind: MachineKind, request: Resources) -> int:
         """How many tasks fit into the slots of a kind."""
         return sum(
             min(
-                (int((r + 1e-6) // n) for r, n in zip(slot.room, request, strict=True) if n > 0),
+                (int((r + EPSILON) // n) for r, n in zip(slot.room, request, strict=True) if n > 0),
                 default=0,
             )
             for slot in self.slots.get(kind, ())
@@ -89,16 +93,7 @@
 
 def per_machine(capacity: Resources, request: Resources) -> int:
     """How many tasks fit on an empty machine."""
-    return int(min((c + 1e-6) // n for c, n in zip(capacity, request, strict=True) if n > 0))
-
-
-def suits(job: Job, kind: MachineKind) -> bool:
-    """Whether a job may run on machines of a kind."""
-    return (
-        (job.spec.spot or not kind.spot)
-        and (job.allowed_types is None or kind.machine_type in job.allowed_types)
-        and (job.zone is None or kind.zone == job.zone)
-    )
+    return int(min((c + EPSILON) // n for c, n in zip(capacity, request, strict=True) if n > 0))
 
 
 def min_boot_s(ledger: Ledger) -> float:
@@ -112,59 +107,59 @@
 
     slots: list[Slot] = field(default_factory=list)
     cpus: float = 0.0
-    frees_in: float = 0.0  # CPU-seconds until all of it is free
+    wait_cpu_s: float = 0.0  # CPU-seconds until all of it is free
 
     def mean_wait_s(self) -> float:
         """How long, on the average, until a CPU of it is free."""
-        return self.frees_in / self.cpus if self.cpus > 0 else 0.0
+        return self.wait_cpu_s / self.cpus if self.cpus > 0 else 0.0
 
 
-def supply(ledger: Ledger, now: float, provisioning: dict[MachineKind, int]) -> Supply:
-    """What there is, will soon be free, boots, or is being provisioned."""
-    found = Supply()
-    soon_s = 0.7 * min_boot_s(ledger)
+def current_supply(ledger: Ledger, now: float, provisioning: dict[MachineKind, int]) -> Supply:
+    """The room on machines that are up, that boot, or that are being provisioned."""
+    supply = Supply()
+    soon_s = SOON_FREE_BOOTS * min_boot_s(ledger)
     runs = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
     for machine in ledger.machines.values():
-        if not _counts(ledger, machine, now):
+        if not _usable(ledger, machine, now):
             continue
         if machine.phase == BOOTING:
-            found.slots.append(Slot(machine.kind, list(machine.capacity), machine))
+            supply.slots.append(Slot(machine.kind, list(machine.capacity), machine))
         elif machine.phase == UP:
-            room = _room_soon(machine, runs, soon_s, found, now)
-            found.slots.append(Slot(machine.kind, room, machine))
+            room = _room_soon(machine, runs, soon_s, supply, now)
+            supply.slots.append(Slot(machine.kind, room, machine))
     for kind, count in provisioning.items():
-        found.slots += [Slot(kind, list(ledger.capacity(kind.machine_type))) for _ in range(count)]
-    return found
+        supply.slots += [Slot(kind, list(ledger.capacity(kind.machine_type))) for _ in range(count)]
+    return supply
 
 
-def _counts(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether a machine is one on which anything may start in the time that a plan looks at."""
+def _usable(ledger: Ledger, machine: Machine, now: float) -> bool:
+    """Whether any task may start on a machine in the time that a plan looks at."""
     if machine.quarantine_reason or machine.terminating or machine.reclaim_at is not None:
         return False
     if machine.unresponsive_since is not None:
         return False  # so that another is provisioned in its place
-    # Behind a cut, its lease kept by another controller, it is no place to start anything.
+    # Nothing can be started on a machine behind a cut, whose lease another controller renews.
     return (
         not machine.reconciled or now - machine.last_heartbeat_at <= ledger.limits.workers.lease_s
     )
 
 
 def _room_soon(
-    machine: Machine, runs: dict[str, float], soon_s: float, found: Supply, now: float
+    machine: Machine, runs: dict[str, float], soon_s: float, supply: Supply, now: float
 ) -> list[float]:
     """What is free on a machine, and what will be soon; counted in the supply."""
     room = machine.free()
-    found.cpus += room[0]
+    supply.cpus += room[0]
     for binding in machine.bindings.values():
         job = binding.job
-        left = math.inf
+        remaining_s = math.inf
         if binding.stop_grace_s is not None:
-            left = 0.0
+            remaining_s = 0.0
         elif job is not None and binding.started > 0.0:
-            left = left_s(runs.get(job.job_id, math.inf), now - binding.started)
-        if left <= soon_s:
-            found.cpus += binding.request.cpus
-            found.frees_in += left * binding.request.cpus
+            remaining_s = left_s(runs.get(job.job_id, math.inf), now - binding.started)
+        if remaining_s <= soon_s:
+            supply.cpus += binding.request.cpus
+            supply.wait_cpu_s += remaining_s * binding.request.cpus
             for n in range(3):
                 room[n] += binding.request[n]
     return room
--- /dev/null
+++ b/src/salthead/autoscaling/provision_limits.py
@@ -0,0 +1,68 @@
+"""Which kinds of machines may be provisioned, and how many of each by one plan."""
+
+from __future__ import annotations
+
+from salthead.autoscaling.capacity_backoff import CapacityBackoff
+from salthead.autoscaling.fleet_supply import per_machine, price
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import Job, MachineKind, machine_kind
+from salthead.scheduling.eligibility import allowed_kinds
+
+# In one plan, of a kind: the least, and a share of the fleet, so that a fleet of any size can grow.
+# Up to 500 machines the least is what counts.
+MIN_PROVISION_PER_PLAN, PROVISION_SHARE_PER_PLAN = 50, 0.1
+
+
+def max_provision_per_plan(ledger: Ledger) -> int:
+    """How many machines of a kind one plan may provision where nothing is wrong with the zone."""
+    return max(MIN_PROVISION_PER_PLAN, int(PROVISION_SHARE_PER_PLAN * len(ledger.machines)))
+
+
+def max_provision(ledger: Ledger, zone: int) -> int:
+    """How many machines of a kind may be provisioned in a zone by one plan."""
+    if ledger.shared_silence is not None and zone in ledger.shared_silence.unheard_zones:
+        return 0  # a machine that boots behind a cut serves nobody
+    hooks = ledger.zone_hooks
+    zone_limit = hooks.max_provision(zone) if hooks is not None else None
+    plan_limit = max_provision_per_plan(ledger)
+    return plan_limit if zone_limit is None else min(plan_limit, zone_limit)
+
+
+def offered_kinds(ledger: Ledger) -> list[MachineKind]:
+    """All kinds of machines that the cloud offers."""
+    return [
+        machine_kind(type_index, ledger.zones.intern(zone), spot)
+        for type_index, machine_type in ledger.machine_types.items()
+        for zone in machine_type.zones
+        for spot in (False, True)
+        if not spot or machine_type.spot_price is not None
+    ]
+
+
+def provisionable_kinds(
+    ledger: Ledger,
+    job: Job,
+    offered: list[MachineKind],
+    capacity_backoff: CapacityBackoff,
+    now: float,
+) -> list[MachineKind]:
+    """Those of the offered kinds that may be provisioned for the job, the cheapest for one of its
+    tasks first.
+
+    Scarce types come last: their number is limited, and small tasks on them would keep the jobs
+    waiting that fit on no other type.
+    """
+    tasks_on_type: dict[int, int] = {}
+    found: list[tuple[bool, float, MachineKind]] = []
+    for kind in allowed_kinds(job, offered):
+        if kind.machine_type not in tasks_on_type:
+            capacity = ledger.capacity(kind.machine_type)
+            tasks_on_type[kind.machine_type] = per_machine(capacity, job.request)
+        tasks = tasks_on_type[kind.machine_type]
+        if tasks < 1:
+            continue
+        if capacity_backoff.allows(kind, now) and max_provision(ledger, kind.zone) > 0:
+            scarce = kind.machine_type in ledger.scarce and not job.constrained
+            found.append((scarce, price(ledger, kind) / tasks, kind))
+    found.sort()
+    return [kind for _, _, kind in found]
--- /dev/null
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -0,0 +1,171 @@
+"""The queue packed onto the fleet: which machines its tasks use, and which ones they lack."""
+
+from __future__ import annotations
+
+import math
+from collections import defaultdict
+
+from salthead.autoscaling.capacity_backoff import CapacityBackoff
+from salthead.autoscaling.fleet_supply import Slot, SlotPool, price
+from salthead.autoscaling.provision_limits import (
+    max_provision,
+    max_provision_per_plan,
+    offered_kinds,
+    provisionable_kinds,
+)
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import EPSILON, Job, MachineKind
+from salthead.scheduling.eligibility import allowed_kinds, max_per_zone, zone_counts
+
+
+class QueuePacking:
+    """Jobs of the queue packed, one after the other, onto slots of the fleet and onto new ones."""
+
+    def __init__(
+        self,
+        ledger: Ledger,
+        capacity_backoff: CapacityBackoff,
+        pool: SlotPool,
+        span_s: float,
+        now: float,
+    ) -> None:
+        """``span_s``: for how long a place serves the queue, one short task after the other."""
+        self.ledger = ledger
+        self.capacity_backoff = capacity_backoff
+        self.pool = pool
+        self.span_s = span_s
+        self.now = now
+        self.offered = offered_kinds(ledger)
+        self.new_slots: list[Slot] = []
+        self.quota_left: dict[int, list[float]] = {
+            team: [limit[n] - ledger.usage[team][n] for n in range(2)]
+            for team, limit in enumerate(ledger.team_limits)
+        }
+
+    def provisions(self) -> dict[MachineKind, int]:
+        """How many machines of each kind the packed jobs lack, as far as one plan may provision."""
+        counts: dict[MachineKind, int] = defaultdict(int)
+        for slot in self.new_slots:
+            counts[slot.kind] += 1
+        return {
+            kind: min(count, max_provision(self.ledger, kind.zone))
+            for kind, count in counts.items()
+        }
+
+    def add(self, job: Job, task_count: int) -> None:
+        """Pack tasks of a job, as many as its team's limit allows at a time."""
+        places = self._book_quota(job, task_count)
+        if not places:
+            return
+        provisionable = provisionable_kinds(
+            self.ledger, job, self.offered, self.capacity_backoff, self.now
+        )
+        usable = provisionable + self._other_kinds(job, provisionable)
+        if job.gang and job.spec.single_zone:
+            zone = self._best_zone(job, usable, provisionable, places)
+            if zone is None:
+                return
+            usable = [kind for kind in usable if kind.zone == zone]
+            provisionable = [kind for kind in provisionable if kind.zone == zone]
+        if job.spec.spread_zones:
+            self._fill_or_provision_by_zone(job, places, usable, provisionable)
+        else:
+            self._fill_or_provision(job, places, usable, provisionable)
+
+    def _book_quota(self, job: Job, task_count: int) -> int:
+        """Take what a number of tasks needs of their team's limit; how many places that gives."""
+        left = self.quota_left[job.team]
+        places = task_count
+        for n in range(2):
+            if job.request[n] > 0:
+                places = min(places, max(0, math.floor((left[n] + EPSILON) / job.request[n])))
+        if job.gang:
+            if places < job.spec.task_count:
+                return 0
+        else:
+            # Short tasks share a place one after the other.
+            run_s = self.ledger.run_s(job)
+            places = min(places, math.ceil(places * run_s / max(self.span_s, 1.0)))
+        for n in range(2):
+            left[n] -= places * job.request[n]
+        return places
+
+    def _other_kinds(self, job: Job, provisionable: list[MachineKind]) -> list[MachineKind]:
+        """Kinds in the pool that may not be provisioned now, the cheapest first.
+
+        They are filled after those that may, so that it is the expensive machines that fall empty.
+        """
+        others = [kind for kind in allowed_kinds(job, self.pool.slots) if kind not in provisionable]
+        return sorted(others, key=lambda kind: (self._price(kind), kind))
+
+    def _price(self, kind: MachineKind) -> float:
+        known = kind.machine_type in self.ledger.machine_types
+        return price(self.ledger, kind) if known else math.inf
+
+    def _best_zone(
+        self, job: Job, usable: list[MachineKind], provisionable: list[MachineKind], places: int
+    ) -> int | None:
+        """The zone in which a gang that must stay in one lacks the fewest machines; None if no
+        zone can have them all."""
+        there: dict[int, int] = defaultdict(int)
+        for kind in usable:
+            there[kind.zone] += self.pool.places(kind, job.request)
+        provisionable_zones = {kind.zone for kind in provisionable}
+        zones = [z for z in there if there[z] >= places or z in provisionable_zones]
+        return max(zones, key=lambda z: (min(there[z], places), -z), default=None)
+
+    def _fill_or_provision_by_zone(
+        self,
+        job: Job,
+        places: int,
+        usable: list[MachineKind],
+        provisionable: list[MachineKind],
+    ) -> None:
+        """Pack a job that is spread over zones.
+
+        The cheapest kinds alone would all be in one zone, where only half of the job may be.
+        """
+        in_zones = zone_counts(job)
+        for zone in dict.fromkeys(kind.zone for kind in usable):
+            part = max(0, min(places, max_per_zone(job) - in_zones.get(zone, 0)))
+            unplaced = self._fill_or_provision(
+                job,
+                part,
+                [kind for kind in usable if kind.zone == zone],
+                [kind for kind in provisionable if kind.zone == zone],
+            )
+            places -= part - unplaced
+
+    def _fill_or_provision(
+        self,
+        job: Job,
+        places: int,
+        usable: list[MachineKind],
+        provisionable: list[MachineKind],
+    ) -> int:
+        """Fill slots that there are, and add new ones for the rest; how many found no place."""
+        for kind in usable:
+            if places:
+                places = self.pool.fill(kind, job.request, places)
+        for kind in provisionable:
+            zone_limit = max_provision(self.ledger, kind.zone)
+            places = self._add_slots(job, places, kind, zone_limit)
+            if not places or zone_limit == max_provision_per_plan(self.ledger):
+                break  # the next kind is for what a recovering zone may not provision yet
+        return places
+
+    def _add_slots(self, job: Job, places: int, kind: MachineKind, max_slots: int) -> int:
+        """Add slots of a kind for a job's tasks; how many tasks are left.
+
+        There are at most ``max_slots`` of a kind: a queue of thousands of tasks must not make
+        thousands of slots in each plan, when the leader has the least time for it.
+        """
+        capacity = self.ledger.capacity(kind.machine_type)
+        count = sum([slot.kind == kind for slot in self.new_slots])
+        while places and count < max_slots:
+            slot = Slot(kind, list(capacity))
+            places -= slot.fill(job.request, places)
+            self.new_slots.append(slot)
+            self.pool.add(slot)
+            count += 1
+        return places
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -1,23 +1,26 @@
-"""Which machines are not needed, and which should be returned."""
+"""Scale-in: which machines are not needed, and which should be terminated."""
 
 from __future__ import annotations
 
 import logging
 from dataclasses import dataclass
 
-from salthead.autoscaling.fleet_supply import Pool, Slot, price, suits
+from salthead.autoscaling.fleet_supply import Slot, SlotPool, price
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import BOOTING, LOST, UP, Machine
+from salthead.cluster.model import BOOTING, LOST, UP, Job, Machine
+from salthead.event_log import event
+from salthead.scheduling.eligibility import allowed_kinds
 
 log = logging.getLogger(__name__)
 
 # A deleted machine costs at least this long (protocol), so nothing shorter is worth a provision.
 MIN_CHARGE_S = 60.0
-# A boot this many times longer than the cloud names is taken for one that never ends.
-BOOT_PATIENCE = 2.5
+# A machine that boots this many times longer than the cloud names, and this margin, never comes up.
+BOOT_PATIENCE, BOOT_MARGIN_S = 2.5, 10.0
 # Up to this part of the machine registry, silence after a failover is the machines' own fault.
 MAX_SILENT_SHARE = 0.15
-# Reasons for a return that news of the machine takes away.
+# Reasons for a termination that no longer hold once a heartbeat of the machine arrives. They are
+# published in logs.
 LOST_REASON, SILENT_REASON = "lost", "silent after a takeover"
 SILENCE_REASONS = frozenset({LOST_REASON, SILENT_REASON})
 # A machine that was not needed for this part of a boot is worth less than its rent: the second
@@ -28,11 +31,12 @@
 def cordon_surplus(ledger: Ledger, needed: set[str], now: float) -> None:
     """Cordon machines without which all that runs and waits would have fitted for a while.
 
-    The pair draw spreads tasks over all machines, so that none is ever idle for long and a
-    fleet that was provisioned for a peak would stay. Tasks are packed, in thought, on the cheapest
-    machines; a machine that stays untouched takes no more tasks and is returned once empty.
+    The power of two choices spreads tasks over all machines, so that none is ever idle for long
+    and a fleet that was provisioned for a peak would stay. So the running tasks are packed, in the
+    plan alone, on the cheapest machines; a machine that this leaves empty takes no more tasks and
+    is terminated once it is idle.
     """
-    slots = _pack(ledger)
+    slots = _pack_running_tasks(ledger)
     # Spare room is for jobs to come.
     spare = 1.0 if ledger.arrivals.stopped(now) else ledger.start_attainment.spare()
     patience = SURPLUS_BOOTS - spare * (SURPLUS_BOOTS - SURPLUS_BOOTS_SPARE)
@@ -48,12 +52,12 @@
             patience * ledger.machine_types[machine.machine_type].boot_s
         ):
             machine.cordoned = True
-            log.info("machine %s is not needed: cordoned", machine.name)
+            event(log, "machine_cordoned", machine=machine.name)
 
 
-def _pack(ledger: Ledger) -> list[Slot]:
-    """All that runs, packed in thought on the machines that stay, the cheapest first."""
-    up = [
+def _pack_running_tasks(ledger: Ledger) -> list[Slot]:
+    """The machines that stay, the cheapest first, filled with all running tasks in this order."""
+    machines = [
         m
         for m in ledger.machines.values()
         if m.phase == UP
@@ -64,36 +68,41 @@
     ]
     costs = {
         kind: price(ledger, kind) / max(ledger.capacity(kind.machine_type)[0], 1e-9)
-        for kind in {m.kind for m in up}
+        for kind in {m.kind for m in machines}
     }
-    up.sort(key=lambda m: (costs[m.kind], m.name))
-    slots = [Slot(m.kind, list(m.capacity), m) for m in up]
+    machines.sort(key=lambda m: (costs[m.kind], m.name))
+    slots = [Slot(m.kind, list(m.capacity), m) for m in machines]
     cheapest = sorted(costs, key=lambda kind: (costs[kind], kind))
-    # The largest first, and of these the ones that suit the fewest kinds of machines.
+    running = _running_jobs(ledger)
+    pool = SlotPool(slots, min((job.request.cpus for job, _ in running), default=0.0))
+    for job, count in running:
+        for kind in allowed_kinds(job, cheapest):
+            count = pool.fill(kind, job.request, count)
+            if not count:
+                break
+    return slots
+
+
+def _running_jobs(ledger: Ledger) -> list[tuple[Job, int]]:
+    """Jobs and how many of their tasks run, in the order of packing: the largest tasks first, and
+    of these the ones that may run on the fewest kinds of machines."""
     running = []
     for job in ledger.ready_jobs.values():
         count = sum(1 for binding in job.bindings.values() if binding.stop_grace_s is None)
         if count and not job.complete:
             running.append((job, count))
     running.sort(key=lambda row: (-row[0].request.cpus, row[0].spec.spot, row[0].request.memory_gb))
-    pool = Pool(slots, min((job.request.cpus for job, _ in running), default=0.0))
-    for job, count in running:
-        for kind in cheapest:
-            if suits(job, kind):
-                count = pool.fill(kind, job.request, count)
-                if not count:
-                    break
-    return slots
+    return running
 
 
 @dataclass(frozen=True, slots=True)
 class TerminationDecision:
-    """A machine that is to be returned, why, and what that rests on."""
+    """A machine that is to be terminated, why, and on what evidence."""
 
     machine: Machine
     reason: str
     phase: str
-    last_heartbeat_at: float  # when the last news of the machine came
+    last_heartbeat_at: float  # of the machine, at the time of the decision
 
     @classmethod
     def of(cls, machine: Machine, reason: str) -> TerminationDecision:
@@ -101,9 +110,10 @@
         return cls(machine, reason, machine.phase, machine.last_heartbeat_at)
 
     def holds(self) -> bool:
-        """Whether it would be made again: a machine that was silent has come back otherwise.
+        """Whether it would be made again now.
 
-        A call waits for its turn among those that the cloud takes, and a cut may heal meanwhile.
+        A call waits until the cloud's rate limit allows it, and meanwhile a cut may heal and a
+        machine that was silent may be back.
         """
         machine = self.machine
         if machine.phase != self.phase:
@@ -115,26 +125,29 @@
 
 
 class FleetCounts:
-    """What a plan counts once over the fleet: for each machine anew, a failover in which half of
-    a thousand are silent took a million steps a plan."""
+    """What a plan counts once over the whole fleet, and not for each machine anew.
+
+    Counted for each, a failover with half of 1,000 machines silent took a million steps a plan.
+    """
 
     def __init__(self, ledger: Ledger, now: float) -> None:
-        most = max(1.0, MAX_SILENT_SHARE * sum(1 for m in ledger.machines.values() if m.registered))
+        registered = sum(1 for m in ledger.machines.values() if m.registered)
+        tolerated = max(1.0, MAX_SILENT_SHARE * registered)
         # Whether so many machines are lost at once that a cut is likelier than their deaths. They
         # are up behind the cut, with no tasks left; waiting for them for as long as a boot takes
-        # is cheaper than to return them and boot as many.
-        self.mass_loss = sum(1 for m in ledger.machines.values() if m.phase == LOST) > most
-        # Silent machines to return rather than wait for their leases to end. After a failover one
-        # dead or hanging machine holds up every start for a whole lease. The cloud's word that it
-        # is gone settles that at the price of one boot. Many silent machines are a cut, not
-        # broken machines, and are waited for.
+        # is cheaper than to terminate them and boot as many.
+        self.mass_loss = sum(1 for m in ledger.machines.values() if m.phase == LOST) > tolerated
+        # Silent machines to terminate rather than wait for their leases to end. After a failover
+        # one dead or hanging machine holds up every start for a whole lease. The cloud's
+        # confirmation that it is gone ends that at the price of one boot. Many silent machines are
+        # a cut, not broken machines, and are waited for.
         self.silent_few: set[str] = set()
         if not ledger.ready and ledger.heartbeats_expected(now):
             silent = ledger.failover.unreconciled_machines()
             if ledger.shared_silence is not None:
-                # Seen on zone-behind-cut: 62 machines that a cut of their zone had left well.
+                # Seen on zone-behind-cut: 62 healthy machines behind the cut of their zone.
                 silent = [m for m in silent if not ledger.shared_silence.behind_cut(m)]
-            if len(silent) <= most:
+            if len(silent) <= tolerated:
                 self.silent_few = {machine.name for machine in silent}
 
 
@@ -142,21 +155,21 @@
     ledger: Ledger,
     machine: Machine,
     needed: set[str],
-    counted: FleetCounts,
+    counts: FleetCounts,
     now: float,
 ) -> str:
-    """Why the machine should be returned now; empty when it should not."""
+    """Why the machine should be terminated now; empty when it should not."""
     if machine.phase == LOST:
-        return _lost(ledger, machine, counted, now)
+        return _lost_reason(ledger, machine, counts, now)
     if (
         machine.phase == UP
         and machine.reconciled
         and (machine.acknowledged_at - machine.last_heartbeat_at > ledger.limits.workers.lease_s)
     ):
-        # Copies alone, or a worker that began to count anew: nothing that it says is news, and
-        # each answer puts off the end of its lease. The cloud's word ends that.
+        # Only copies of old heartbeats arrive, or the worker's sequence began anew: none of them is
+        # news, and each answer renews its lease. Only the cloud's confirmation ends that.
         return "only old reports"
-    if machine.name in counted.silent_few:
+    if machine.name in counts.silent_few:
         return SILENT_REASON
     if machine.quarantine_reason:
         return machine.quarantine_reason if not machine.busy() else ""
@@ -167,22 +180,22 @@
     return _idle(ledger, machine, needed, now)
 
 
-def _lost(ledger: Ledger, machine: Machine, counted: FleetCounts, now: float) -> str:
-    """Its lease is over: at once, or after a boot's time where many were lost together."""
+def _lost_reason(ledger: Ledger, machine: Machine, counts: FleetCounts, now: float) -> str:
+    """Its lease is over: at once, or after the time of a boot where many were lost together."""
     if ledger.shared_silence is not None:
         return "" if _worth_waiting(ledger, machine, machine.lost_at, now) else LOST_REASON
     machine_type = ledger.machine_types.get(machine.machine_type)
-    if not counted.mass_loss or machine_type is None:
+    if not counts.mass_loss or machine_type is None:
         return LOST_REASON
     return "" if now - machine.lost_at < machine_type.boot_s else LOST_REASON
 
 
 def _wait_s(ledger: Ledger, machine: Machine) -> float:
-    """For how long a machine that may be well is waited for.
+    """For how many seconds a machine that may be healthy is waited for.
 
     A second of waiting costs a second of its rent, and another machine in its place the rent of a
-    boot. Whoever waits for one boot, and then returns it, pays at the most twice the least that
-    anybody could have paid who had known when it would be back. The policy may weigh that.
+    boot. Waiting for one boot and then terminating it costs at the most twice of what it would
+    have cost to know when the machine comes back. The policy may set another number of boots.
     """
     machine_type = ledger.machine_types.get(machine.machine_type)
     if ledger.shared_silence is None or machine_type is None:
@@ -191,25 +204,29 @@
 
 
 def _worth_waiting(ledger: Ledger, machine: Machine, since: float, now: float) -> bool:
-    """Whether a silent machine may be well, by its group or by the other directions of its link."""
-    silence, lease_s = ledger.shared_silence, ledger.limits.workers.lease_s
-    if silence is None or now - since >= _wait_s(ledger, machine):
+    """Whether a silent machine may be healthy, by its group or by other directions of its link."""
+    shared_silence, lease_s = ledger.shared_silence, ledger.limits.workers.lease_s
+    if shared_silence is None or now - since >= _wait_s(ledger, machine):
         return False
     links = machine.links
     return (
-        silence.behind_cut(machine)
+        shared_silence.behind_cut(machine)
         or links.last_received_at >= now - lease_s
         or links.commands_at >= max(links.command_failed_at, now - lease_s)
     )
 
 
 def _never_came_up(ledger: Ledger, machine: Machine, now: float) -> str:
-    """It boots for so long that it is taken never to come up."""
+    """It has been booting for so long that it is taken never to come up."""
     machine_type = ledger.machine_types.get(machine.machine_type)
     boot_s = machine_type.boot_s if machine_type else MIN_CHARGE_S
     if now - ledger.term_started_at < ledger.limits.workers.lease_s:
         return ""  # it may be up and not have found this leader yet
-    return "never came up" if now - machine.provisioned_at > BOOT_PATIENCE * boot_s + 10.0 else ""
+    return (
+        "never came up"
+        if now - machine.provisioned_at > BOOT_PATIENCE * boot_s + BOOT_MARGIN_S
+        else ""
+    )
 
 
 def _idle(ledger: Ledger, machine: Machine, needed: set[str], now: float) -> str:
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -13,7 +13,7 @@
 from helpers import heartbeat, job, ledger, machine, ready, spec
 from salthead import metrics
 from salthead import policy as policies
-from salthead.autoscaling import fleet_plan
+from salthead.autoscaling import fleet_plan, provision_limits
 from salthead.autoscaling.scale_in import LOST_REASON, SILENT_REASON, TerminationDecision
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import LOST, UP
@@ -262,7 +262,7 @@
         assert LOST_REASON not in plan.reasons.values()
     assert sum(found.phase == LOST for found in led.machines.values()) == 10
     assert led.shared_silence is not None and led.shared_silence.unheard_zones == {1}
-    assert fleet_plan.max_provision(led, 1) == 0 < fleet_plan.max_provision(led, 0)
+    assert provision_limits.max_provision(led, 1) == 0 < provision_limits.max_provision(led, 0)
 
 
 def test_a_decision_is_dropped_when_what_it_rests_on_has_changed() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from helpers import heartbeat, job, machine, ready, verbs
-from salthead.autoscaling import fleet_plan
+from salthead.autoscaling import fleet_plan, provision_limits
 from salthead.cluster import machine_health
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
@@ -782,7 +782,9 @@
     def test_they_are_hired_last_for_who_can_do_without(self) -> None:
         led, _ = self.crowd()
         small = job(led, job_id="req-2", task_count=8, vcpus=2.0, spot=True)
-        kinds = fleet_plan.kinds_for(led, small, fleet_plan.CapacityBackoff(), 0.0)
+        kinds = provision_limits.provisionable_kinds(
+            led, small, provision_limits.offered_kinds(led), fleet_plan.CapacityBackoff(), 0.0
+        )
         machine_types = [led.type_names[kind[0]] for kind in kinds]
         assert machine_types.index("big") == machine_types.count("small")
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,7 +12,7 @@
 
 from helpers import heartbeat, job, ledger, machine, verbs
 from salthead import policy
-from salthead.autoscaling import fleet_plan
+from salthead.autoscaling import fleet_plan, provision_limits
 from salthead.cluster.ledger import Ledger
 from salthead.failure_detection.machine_sets import MachineSets, RecentSet
 from salthead.policy import Policy, ZonePolicy
@@ -285,7 +285,10 @@
     led, recovery = two_zones()
     one = job(led, shape="gang", task_count=2, vcpus=7.0, single_zone=True)
     lose(led, recovery)
-    zones = {kind[1] for kind in fleet_plan.kinds_for(led, one, fleet_plan.CapacityBackoff(), 20.0)}
+    kinds = provision_limits.provisionable_kinds(
+        led, one, provision_limits.offered_kinds(led), fleet_plan.CapacityBackoff(), 20.0
+    )
+    zones = {kind[1] for kind in kinds}
     assert recovery.max_provision(1) == 0 and zones == {0}
 
 
