--- a/src/salthead/failure_detection/blocked_actions.py
+++ b/src/salthead/failure_detection/blocked_actions.py
@@ -1,4 +1,4 @@
-"""What was withheld, and for which lack of evidence: for operators."""
+"""Which actions were blocked, and for which missing preconditions: for operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class BlockedAction:
-    """How often an action was withheld for one set of facts, and when first and last."""
+    """How often an action was blocked by one set of preconditions, and when first and last."""
 
     count: int = 0
     first_at: float = math.inf
@@ -24,13 +24,13 @@
 
 
 class BlockedActions:
-    """Counts by action and by what was lacking; there are no more rows than these can form."""
+    """Counts by action and by the preconditions that were missing."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[Action, int], BlockedAction] = {}
 
     def note(self, action: Action, missing_preconditions: int, now: float) -> None:
-        """An action was withheld since these facts, as bits, do not hold."""
+        """An action was blocked since these preconditions, as bits, do not hold."""
         row = self.rows.setdefault((action, missing_preconditions), BlockedAction(first_at=now))
         row.count += 1
         row.last_at = now
@@ -39,7 +39,7 @@
         ).inc()
 
     def recent(self, since: float) -> list[tuple[Action, Precondition, BlockedAction]]:
-        """Rows that were added to since then, the latest first."""
+        """Rows whose action was blocked since then, the latest first."""
         found = [
             (action, Precondition(missing_preconditions), row)
             for (action, missing_preconditions), row in self.rows.items()
--- a/src/salthead/failure_detection/link_diagnosis.py
+++ b/src/salthead/failure_detection/link_diagnosis.py
@@ -1,4 +1,4 @@
-"""What the links of a group of machines look like, for operators."""
+"""The state of the links to groups of machines, by direction: for operators."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
     group: str
     machines: int
     counts: dict[LinkState, int]
-    since_s: float  # for how long the first of those that are not well has been so
+    since_s: float  # for how long the first of the failing links has been failing
 
     @property
     def diagnosis(self) -> str:
-        """The state of most of the machines that are not well, in words; empty if all are."""
-        ill = {state: n for state, n in self.counts.items() if state is not LinkState.BOTH_WAYS}
-        if not ill:
+        """The most frequent state of failing links, in words; empty if none is failing."""
+        failing = {state: n for state, n in self.counts.items() if state is not LinkState.BOTH_WAYS}
+        if not failing:
             return ""
-        state = max(ill, key=lambda one: ill[one])
-        return f"{state.value.replace('_', ' ')} ({ill[state]} of {self.machines})"
+        state = max(failing, key=lambda candidate: failing[candidate])
+        return f"{state.value.replace('_', ' ')} ({failing[state]} of {self.machines})"
 
 
 def link_state(machine: Machine, now: float, fresh_s: float) -> LinkState:
-    """What is confirmed of one machine's links, each direction by its own evidence.
+    """What is confirmed of one machine's link, each direction by its own evidence.
 
-    ``fresh_s``: for how long a heartbeat counts; an answer to a direct call counts for as long.
+    ``fresh_s``: for how long a heartbeat, or the answer to a direct call, confirms a direction.
     """
     links = machine.links
     heartbeats_arrive = now - max(machine.last_heartbeat_at, links.last_received_at) <= fresh_s
     if heartbeats_arrive:
-        hears = machine.unresponsive_since is None and not links.unheard_answers
-        return LinkState.BOTH_WAYS if hears else LinkState.HEARTBEATS_ONLY
-    last_peer_answer_at = (
+        responses_arrive = machine.unresponsive_since is None and not links.unheard_answers
+        return LinkState.BOTH_WAYS if responses_arrive else LinkState.HEARTBEATS_ONLY
+    commands_arrive = (
         links.commands_at > links.command_failed_at and now - links.commands_at <= fresh_s
     )
-    return LinkState.COMMANDS_ONLY if last_peer_answer_at else LinkState.SILENT
+    return LinkState.COMMANDS_ONLY if commands_arrive else LinkState.SILENT
 
 
 def link_views(
@@ -59,18 +59,18 @@
 ) -> list[LinkView]:
     """One row for each group that has machines, sorted by name."""
     counts: dict[str, Counter[LinkState]] = defaultdict(Counter)
-    longest: dict[str, float] = defaultdict(float)
+    failing_s: dict[str, float] = defaultdict(float)
     for machine in machines:
         if machine.phase not in (UP, LOST):
             continue
         group, state = group_of(machine), link_state(machine, now, fresh_s)
         counts[group][state] += 1
         if state is not LinkState.BOTH_WAYS:
-            confirmed = max(
+            confirmed_at = max(
                 machine.last_heartbeat_at, machine.links.answers_at, machine.provisioned_at
             )
-            longest[group] = max(longest[group], now - confirmed)
+            failing_s[group] = max(failing_s[group], now - confirmed_at)
     return [
-        LinkView(group, found.total(), dict(found), longest[group])
+        LinkView(group, found.total(), dict(found), failing_s[group])
         for group, found in sorted(counts.items())
     ]
--- a/src/salthead/failure_detection/links.py
+++ b/src/salthead/failure_detection/links.py
@@ -31,17 +31,21 @@
     acknowledged_at: float = -math.inf
 
     def heartbeat_received(
-        self, incarnation: int, sequence: int, shows_fencing_token: bool, others: bool, now: float
+        self,
+        incarnation: int,
+        sequence: int,
+        shows_fencing_token: bool,
+        other_controllers: bool,
+        now: float,
     ) -> bool:
-        """A worker's own heartbeat came, not the answer to a call; whether it shows an answer lost.
+        """A worker's own heartbeat came, not the answer to a call; whether an answer was lost.
 
-        ``shows_fencing_token``: the worker has accepted this term's token. A newer heartbeat
-        than the answered one, without the token, was made after the time in which the
-        worker would have accepted the answer: neither that answer nor an earlier one had an
-        effect, nor ever will.
+        ``shows_fencing_token``: the worker has accepted this term's token. A heartbeat without the
+        token that is newer than the answered one was made after the worker's time-out for that
+        answer: neither that answer nor an earlier one had an effect, nor ever will.
 
-        ``others``: there are other controllers, to one of which the worker would have turned had
-        it heard nothing. Then the very next heartbeat here shows that the answer was accepted.
+        ``other_controllers``: there are some, to one of which the worker would have turned after a
+        time-out. Then the very next heartbeat here shows that the answer was accepted.
         """
         if (incarnation, sequence) <= (self.acknowledged_incarnation, self.acknowledged_sequence):
             return False
@@ -52,7 +56,7 @@
             self.unheard_answers += 1
             return True
         if (
-            others
+            other_controllers
             and incarnation == self.acknowledged_incarnation
             and sequence == self.acknowledged_sequence + 1
         ):
@@ -63,8 +67,7 @@
     def turned_away(
         self, incarnation: int, sequence: int, shows_fencing_token: bool, now: float
     ) -> bool:
-        """A heartbeat came to another controller; whether it shows that the answer given here was
-        lost.
+        """A heartbeat came to another controller; whether the answer given here was lost.
 
         A worker stays with the controller that answers it. One that has shown the token may have
         left for another reason than the last answer, unless this is the very next heartbeat.
--- a/src/salthead/failure_detection/machine_sets.py
+++ b/src/salthead/failure_detection/machine_sets.py
@@ -6,9 +6,19 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from pyroaring import BitMap
 
 
+class MachineCounts(NamedTuple):
+    """How many machines of a zone are known, and how many of these are in which state."""
+
+    known: int  # present, or with a lease that ended lately
+    silent: int  # of which no heartbeat has arrived lately
+    expired: int  # whose lease has ended lately
+
+
 class RecentSet:
     """Members that were added within the last ``window_s`` seconds, or up to twice as long ago.
 
@@ -45,7 +55,7 @@
 
 
 class MachineSets:
-    """Which machines a zone has, which were heard, and whose leases have ended lately."""
+    """The machines of each zone: which are present, were heard, or had their lease end lately."""
 
     def __init__(self, zones: int, heard_s: float, expired_s: float, now: float) -> None:
         self.present = [BitMap() for _ in range(zones)]
@@ -59,7 +69,7 @@
             self.expired.append(RecentSet(self.expired[0].window_s, now))
 
     def turn(self, now: float) -> None:
-        """Let what is old go."""
+        """Start new generations where they are due."""
         self.recently_heard.turn(now)
         for expired in self.expired:
             expired.turn(now)
@@ -70,20 +80,20 @@
         self.expired[zone].discard(machine)
 
     def lease_over(self, zone: int, machine: int) -> None:
-        """A machine's lease has surely ended; it is still there, as far as anybody knows."""
+        """A machine's lease has certainly ended; the machine itself may still be there."""
         self.expired[zone].add(machine)
 
     def gone(self, zone: int, machine: int) -> None:
-        """A machine was returned. That its lease ended lately stays known for a while."""
+        """A machine was terminated. That its lease ended lately stays known for a while."""
         self.present[zone].discard(machine)
 
-    def counts(self, zone: int) -> tuple[int, int, int]:
-        """Machines of the zone, those of them that are unheard, and whose leases have ended."""
+    def counts(self, zone: int) -> MachineCounts:
+        """The counts of a zone's machines by which its health is judged."""
         expired = self.expired[zone].members()
         known = self.present[zone] | expired
         heard = known.intersection_cardinality(self.recently_heard.members())
-        return len(known), len(known) - heard, len(expired)
+        return MachineCounts(len(known), len(known) - heard, len(expired))
 
     def heard_in(self, zone: int) -> BitMap:
-        """Machines of the zone that are there and were heard lately."""
+        """Machines of the zone that are present and have sent a heartbeat lately."""
         return self.present[zone] & self.recently_heard.members()
--- a/src/salthead/failure_detection/preconditions.py
+++ b/src/salthead/failure_detection/preconditions.py
@@ -1,7 +1,7 @@
-"""The one gate from evidence to action: what has to be confirmed before a controller acts.
+"""The preconditions of actions: what has to be confirmed before a controller acts.
 
-Pure: callers collect the facts that hold now, and ask which of those that an action requires are
-lacking. A decision that is sent or written later is asked about again at that time.
+Pure: callers collect the preconditions that hold now, and ask which of those that an action
+requires are missing. A decision that is sent or written later is checked again at that time.
 """
 
 from __future__ import annotations
@@ -14,30 +14,44 @@
 class Precondition(IntFlag):
     """What may be confirmed at a moment, of the lead, the fleet, one worker or one job."""
 
-    LEADER_LEASE = auto()  # the lease on the lead, or the promises of all peers, certainly last now
-    TOKEN_CURRENT = auto()  # no worker and no write has shown a higher fencing token
-    JOBS_KNOWN = auto()  # no cancellation that was confirmed to a user can be missing here
-    # Each machine of the machine registry has reported here, or its lease is over
+    # The lease on the lead, or the promises of all peers, certainly last now.
+    LEADER_LEASE = auto()
+    # No worker and no write has shown a higher fencing token.
+    TOKEN_CURRENT = auto()
+    # No cancellation that was confirmed to a user can be missing here.
+    JOBS_KNOWN = auto()
+    # Each machine of the machine registry has reported here, or its lease is over.
     FLEET_RECONCILED = auto()
-    MACHINE_NOT_TERMINATED = auto()  # the cloud has not confirmed the machine's return
-    INCARNATION_CURRENT = auto()  # the worker's incarnation is not one that must have ended
-    RESPONSES_DELIVERED = auto()  # answers to the worker are not known to be lost
-    MACHINE_REGISTERED = auto()  # the state service knows the machine
-    TOKEN_ACCEPTED = auto()  # the worker has shown this term's token
-    WORKER_LEASE_OVER = auto()  # the worker's lease must have ended, by this controller's clock
-    TASK_NOWHERE = auto()  # no machine can be running the task
-    OUTCOME_DURABLE = auto()  # the state service holds the outcome
-    OUTCOMES_DETERMINATE = (
-        auto()
-    )  # no outcome that the job depends on was sent with its fate unknown
-    REASON_HOLDS = auto()  # what a decision was made for has not changed since
-    STATE_SERVICE = auto()  # the state service has just answered this controller
-    VOTE_NOT_WITHHELD = auto()  # this controller has promised nobody not to stand
-    PEER_HEARS_MORE_WORKERS = auto()  # clearly more workers report to a peer than are heard here
+    # The cloud has not confirmed the machine's termination.
+    MACHINE_NOT_TERMINATED = auto()
+    # The worker's incarnation is not one that must have ended.
+    INCARNATION_CURRENT = auto()
+    # Responses to the worker are not known to be lost.
+    RESPONSES_DELIVERED = auto()
+    # The state service knows the machine.
+    MACHINE_REGISTERED = auto()
+    # The worker has shown this term's token.
+    TOKEN_ACCEPTED = auto()
+    # The worker's lease must have ended, by this controller's clock.
+    WORKER_LEASE_OVER = auto()
+    # No machine can be running the task.
+    TASK_NOWHERE = auto()
+    # The state service holds the outcome.
+    OUTCOME_DURABLE = auto()
+    # Of no outcome that the job depends on is it unknown whether it was written.
+    OUTCOMES_DETERMINATE = auto()
+    # The reason for a decision still holds.
+    REASON_HOLDS = auto()
+    # The state service has just answered this controller.
+    STATE_SERVICE = auto()
+    # This controller has promised nobody not to stand for election.
+    VOTE_NOT_WITHHELD = auto()
+    # Clearly more workers report to a peer than are heard here.
+    PEER_HEARS_MORE_WORKERS = auto()
 
 
 class Action(IntEnum):
-    """What a controller does on the strength of such facts."""
+    """What a controller does once its preconditions hold."""
 
     ACKNOWLEDGE_HEARTBEAT = auto()
     START = auto()
@@ -83,22 +97,22 @@
     }
 )
 
-# Heartbeats and passes of placement ask hundreds of times a second: plain numbers, since operations
-# on flags are functions written in Python.
+# Plain integers, since heartbeats and scheduling passes ask hundreds of times a second, and the
+# operators of flags are functions written in Python.
 _REQUIRED_BITS = {action: int(required) for action, required in REQUIRED.items()}
 
 
 def missing_preconditions(action: Action, held: int) -> int:
-    """The facts that the action requires and that do not hold, as bits; 0 permits it."""
+    """The preconditions that the action requires and that do not hold, as bits; 0 permits it."""
     return _REQUIRED_BITS[action] & ~held
 
 
 def permits(action: Action, held: int) -> bool:
-    """Whether all facts that the action requires hold."""
+    """Whether all preconditions of the action hold."""
     return not _REQUIRED_BITS[action] & ~held
 
 
-# Labels of metrics and rows of the interface keep the names under which they were first published.
+# Metrics and the interface keep the names under which actions were first published.
 _PUBLISHED_ACTION_NAMES = {
     Action.ACKNOWLEDGE_HEARTBEAT: "answer_report",
     Action.REPORT_STATUS: "tell_status",
@@ -109,7 +123,7 @@
     Action.BECOME_LEADER: "take_lead",
 }
 
-
+# And those of preconditions.
 _PUBLISHED_PRECONDITION_NAMES = {
     Precondition.LEADER_LEASE: "lead_lease",
     Precondition.FLEET_RECONCILED: "fleet_accounted",
@@ -129,9 +143,9 @@
 
 
 def precondition_names(bits: int) -> list[str]:
-    """The names of facts, for logs, metrics and operators."""
+    """The names of preconditions, for logs, metrics and operators."""
     return [
-        _PUBLISHED_PRECONDITION_NAMES.get(fact, str(fact.name).lower())
-        for fact in Precondition
-        if fact & bits
+        _PUBLISHED_PRECONDITION_NAMES.get(precondition, str(precondition.name).lower())
+        for precondition in Precondition
+        if precondition & bits
     ]
--- a/src/salthead/networks/directory.py
+++ b/src/salthead/networks/directory.py
@@ -2,12 +2,30 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from typing import Protocol
+
 import netaddr
 
-from salthead.policy import Network
 from salthead.toml_file import ConfigFileError as PolicyError
 
 
+class DeclaredNetwork(Protocol):
+    """The fields of a network in the policy file, as ``salthead.policy.Network`` has them."""
+
+    @property
+    def name(self) -> str:
+        """The network's name."""
+
+    @property
+    def prefix(self) -> str:
+        """Its address and prefix length."""
+
+    @property
+    def within(self) -> str | None:
+        """The next larger network that it lies in, if that is declared."""
+
+
 class NetworkDirectory:
     """The networks of a policy file, checked; PolicyError names the entry that is wrong.
 
@@ -15,45 +33,46 @@
     quietly take machines out of the network that they belong to.
     """
 
-    def __init__(self, declared: list[Network]) -> None:
-        self.names = [one.name for one in declared]
+    def __init__(self, declared: Sequence[DeclaredNetwork]) -> None:
+        self.names = [network.name for network in declared]
         self.prefixes: list[netaddr.IPNetwork] = []
-        for n, one in enumerate(declared):
-            self.prefixes.append(self._prefix(n, one))
+        for n, network in enumerate(declared):
+            self.prefixes.append(self._checked_prefix(n, network))
         self.index = {prefix: n for n, prefix in enumerate(self.prefixes)}
-        for n, one in enumerate(declared):
-            self._check_within(n, one)
+        for n, network in enumerate(declared):
+            self._check_within(n, network)
 
-    def _prefix(self, n: int, one: Network) -> netaddr.IPNetwork:
+    def _checked_prefix(self, n: int, network: DeclaredNetwork) -> netaddr.IPNetwork:
         entry = f"networks[{n}]"
-        if not one.name or one.name in self.names[:n]:
+        if not network.name or network.name in self.names[:n]:
             raise PolicyError(f"{entry}.name: must be there, and only once")
         try:
-            prefix = netaddr.IPNetwork(one.prefix)
+            prefix = netaddr.IPNetwork(network.prefix)
         except (netaddr.AddrFormatError, ValueError):
-            raise PolicyError(f"{entry}.prefix: no network: {one.prefix!r}") from None
-        if prefix.ip != prefix.network or "/" not in one.prefix:
-            raise PolicyError(f"{entry}.prefix: {one.prefix!r} is no network, as {prefix.cidr} is")
+            raise PolicyError(f"{entry}.prefix: no network: {network.prefix!r}") from None
+        if prefix.ip != prefix.network or "/" not in network.prefix:
+            raise PolicyError(
+                f"{entry}.prefix: {network.prefix!r} is no network, as {prefix.cidr} is"
+            )
         if prefix in self.prefixes:
-            other = self.names[self.prefixes.index(prefix)]
-            raise PolicyError(f"{entry}.prefix: the same as that of {other!r}")
+            same = self.names[self.prefixes.index(prefix)]
+            raise PolicyError(f"{entry}.prefix: the same as that of {same!r}")
         return prefix
 
-    def _check_within(self, n: int, one: Network) -> None:
-        around = [prefix for prefix in self.prefixes if prefix != self.prefixes[n]]
-        nearest = netaddr.smallest_matching_cidr(self.prefixes[n].ip, self._around(n, around))
+    def _check_within(self, n: int, network: DeclaredNetwork) -> None:
+        own = self.prefixes[n]
+        larger = [prefix for prefix in self.prefixes if prefix != own and own in prefix]
+        nearest = netaddr.smallest_matching_cidr(own.ip, larger)
         found = None if nearest is None else self.names[self.index[nearest]]
-        if one.within == found:
+        if network.within == found:
             return
+        entry, name = f"networks[{n}].within", network.name
         if found is None:
-            raise PolicyError(f"networks[{n}].within: {one.name!r} is not within {one.within!r}")
-        raise PolicyError(f"networks[{n}].within: {one.name!r} lies within {found!r}")
-
-    def _around(self, n: int, others: list[netaddr.IPNetwork]) -> list[netaddr.IPNetwork]:
-        return [prefix for prefix in others if self.prefixes[n] in prefix]
+            raise PolicyError(f"{entry}: {name!r} is not within {network.within!r}")
+        raise PolicyError(f"{entry}: {name!r} lies within {found!r}")
 
     def of(self, address: str) -> int | None:
-        """The number of the network that an address (``host:port`` or bare) is in, if any."""
+        """The index of the network that an address (``host:port`` or bare) is in; None if none."""
         host = address.rpartition(":")[0] if address.count(":") == 1 else address
         if host.startswith("["):
             host = host[1:].partition("]")[0]
