--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -8,11 +8,11 @@
 from salthead import metrics
 from salthead.cluster.model import UP, Job, Machine
 from salthead.scheduling import eligibility
+from salthead.zones.views import ZoneView, waiting_reason, zone_views
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
     from salthead.networks.silence import NetworkView
-    from salthead.zones.recovery import ZoneView
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
         "since_s": round(view.since_s, 1),
         "reason": view.reason,
         "machines": view.machines,
-        "unheard": view.unheard,
+        "unheard": view.silent,
         "open": view.open_machines,
         "held_back_by": view.held_back_by,
     }
@@ -39,7 +39,7 @@
         "name": view.name,
         "prefix": view.prefix,
         "machines": view.machines,
-        "unheard": view.unheard,
+        "unheard": view.silent,
     }
 
 
@@ -67,14 +67,14 @@
             "ready": ledger.ready,
             "teams": self._team_rows(),
             "jobs": [
-                self._job_row(job, recovery.reason(job) if recovery is not None else "")
+                self._job_row(job, waiting_reason(recovery, job) if recovery is not None else "")
                 for job in jobs[:OVERVIEW_ROWS]
             ],
             "jobs_total": len(jobs),
             "machines": [self._machine_row(machine, now) for machine in machines[:OVERVIEW_ROWS]],
             "machines_total": len(machines),
-            "zones": [_zone_row(view) for view in recovery.views(now)] if recovery else [],
-            "networks": [_network_row(view) for view in recovery.network_views()]
+            "zones": [_zone_row(view) for view in zone_views(recovery, now)] if recovery else [],
+            "networks": [_network_row(view) for view in recovery.evidence.network_views()]
             if recovery
             else [],
         }
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -10,6 +10,7 @@
 from salthead.zones import records
 from salthead.zones.recovery import ZoneRecovery
 from salthead.zones.state import ZonePhase
+from salthead.zones.views import zone_views
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -73,26 +74,26 @@
                 await self.term.controller.sleep_with_jitter(OBSERVE_INTERVAL_S)
                 continue
             values = {path: value for path, (value, _) in rows.items()}
-            self.recovery.load(values, self.term.now())
+            self.recovery.records.load(values, self.term.now())
             return
 
     async def _write(self) -> None:
         now = self.term.now()
-        rows = list(self.recovery.unwritten(now).items())
+        rows = list(self.recovery.records.unwritten(now).items())
         most = self.term.state_limits.txn_ops
         for at in range(0, len(rows), most):
             part = rows[at : at + most]
-            covered = self.recovery.covered([zone for zone, _ in part], now)
+            covered = self.recovery.records.covered([zone for zone, _ in part], now)
             await self.term.transaction(
                 {}, [put(key, value) for _, (key, value) in part], bulk=True
             )
-            self.recovery.wrote(covered)
+            self.recovery.records.mark_written(covered)
 
     def _show(self) -> None:
-        for view in self.recovery.views(self.term.now()):
+        for view in zone_views(self.recovery, self.term.now()):
             for phase in ZonePhase:
                 metrics.ZONES.labels(view.name, phase.value).set(view.phase is phase)
             metrics.ZONE_OPEN.labels(view.name).set(view.open_machines)
-        for network in self.recovery.network_views():
-            metrics.NETWORK_UNHEARD.labels(network.name).set(network.unheard)
-        metrics.DISPLACED.set(len(self.recovery.displaced_jobs))
+        for network in self.recovery.evidence.network_views():
+            metrics.NETWORK_UNHEARD.labels(network.name).set(network.silent)
+        metrics.DISPLACED.set(len(self.recovery.displaced_jobs.displaced_at))
--- a/src/salthead/networks/silence.py
+++ b/src/salthead/networks/silence.py
@@ -1,4 +1,4 @@
-"""Which machines of each network are silent, by the sets that follow the zones."""
+"""Which machines of each declared network are silent."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     name: str
     prefix: str
     machines: int
-    unheard: int
+    silent: int  # machines of which no heartbeat has arrived lately
 
     @property
-    def silent(self) -> bool:
-        """Whether nothing is heard of it."""
-        return 0 < self.machines == self.unheard
+    def all_silent(self) -> bool:
+        """Whether it has machines and all of them are silent."""
+        return 0 < self.machines == self.silent
 
 
 class NetworkSilence:
@@ -56,7 +56,10 @@
         return None if network is None else self.directory.names[network]
 
     def views(self, heard: BitMap) -> list[NetworkView]:
-        """All networks; a machine counts to the one with the longest prefix alone."""
+        """All networks; a machine counts only in the one with the longest prefix.
+
+        ``heard``: the machines that have sent a heartbeat lately.
+        """
         return [
             NetworkView(name, str(prefix), len(members), len(members - heard))
             for name, prefix, members in zip(
--- a/src/salthead/zones/records.py
+++ b/src/salthead/zones/records.py
@@ -1,7 +1,7 @@
 """The state of a zone as the state service keeps it: one small value for each, ``zone/NAME``.
 
-It only tells a new leader what the last one thought. Nothing that the rules ask for rests on it, so
-it is written behind, and a record that nobody renewed is not believed.
+It only tells a new leader how the last one judged the zone. No rule of the protocol depends on it,
+so it is written after the fact, and a record that was not renewed in time is ignored.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 ZONES = "zone/"
 RENEW_S = 30.0  # a zone that is not available is written again after this long
-BELIEVED_S = 120.0  # what was written longer ago says nothing
+VALID_S = 120.0  # a record that was written longer ago is ignored
 
 
 class ZoneRecord(msgspec.Struct, omit_defaults=True):
-    """What a leader thought of a zone; times are times of day."""
+    """How a leader judged a zone; times are times of day."""
 
     phase: str
     since: float
@@ -58,12 +58,12 @@
         ZonePhase(record.phase)
     except (msgspec.ValidationError, ValueError):
         return None
-    believed = abs(wall - record.at) <= BELIEVED_S + 2.0 * clock_error_s
-    return record if believed else None
+    valid = abs(wall - record.at) <= VALID_S + 2.0 * clock_error_s
+    return record if valid else None
 
 
 def restore(state: ZoneState, record: ZoneRecord, now: float, wall: float) -> None:
-    """Go on from what the last leader thought."""
+    """Go on from the last leader's record."""
     state.phase = ZonePhase(record.phase)
     state.since = now - max(0.0, wall - record.since)
     state.reason = "as the last leader thought" if state.phase is not ZonePhase.AVAILABLE else ""
--- a/src/salthead/zones/slow_start.py
+++ b/src/salthead/zones/slow_start.py
@@ -1,4 +1,4 @@
-"""The gradual return of a zone: which of its machines get new work, and when more of them do."""
+"""The slow start of a recovering zone: which of its machines get new work, and when more do."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from salthead.policy import ZonePolicy
 from salthead.zones.start_times import StartTimes, slow_classes
 
-# Steps are not equally long, so that zones which return together do not grow together.
+# Steps are not equally long, so that zones which recover together do not grow in lockstep.
 JITTER = 0.2
-# More failed starts than this part of all of them hold the next step back.
+# A larger share of failed starts than this delays the next step.
 MAX_FAILED_SHARE = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """What a step of the return has shown so far."""
+    """The starts that a step of the slow start still waits for."""
 
     pending: int  # tasks that were given to open machines and have not started yet
     oldest_pending_s: float
 
 
 class SlowStart:
-    """One return of one zone, from its first step to its last."""
+    """One slow start of one zone, from its first step to its last."""
 
     def __init__(self, policy: ZonePolicy, zone: int, rng: random.Random, now: float) -> None:
         self.policy = policy
@@ -46,7 +46,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the last step is over, so that the zone is as any other."""
+        """Whether the last step is over, so that the zone is like any other."""
         return self.step >= len(self.policy.steps)
 
     @property
@@ -64,7 +64,7 @@
         self.failed += 1
 
     def advance(self, progress: Progress, usual: StartTimes, now: float) -> bool:
-        """Go on to the next step if this one has proved itself; whether it has."""
+        """Go on to the next step once tasks start well in this one; whether that was done now."""
         if now < self.step_until:
             return False
         self.held_back_by = self._reason_to_wait(progress, usual)
--- a/src/salthead/zones/start_times.py
+++ b/src/salthead/zones/start_times.py
@@ -1,4 +1,4 @@
-"""How long starts take: the usual ones of a zone and class, and those of a zone that returns."""
+"""How long starts take: the usual ones of a zone and class, and those of a recovering zone."""
 
 from __future__ import annotations
 
--- a/src/salthead/zones/state.py
+++ b/src/salthead/zones/state.py
@@ -1,4 +1,4 @@
-"""The state of one zone, a pure state machine over counts of its machines."""
+"""The phase of one zone: a pure state machine over counts of its machines."""
 
 from __future__ import annotations
 
@@ -9,17 +9,23 @@
 
 # A suspicion ends at this part of the share at which it begins, so that it does not come and go.
 SUSPICION_CLEAR_SHARE = 0.5
-# A penalty below this part of one loss is none.
+# A recovering zone is not lost again for fewer silent machines than these.
+MIN_SILENT_AGAIN = 2
+# Earlier losses that count for less than this part of one are forgotten.
 MIN_PENALTY = 0.05
 
 
 class ZonePhase(enum.StrEnum):
-    """What is thought of a zone."""
+    """How a zone is judged."""
 
     AVAILABLE = "available"
-    SUSPECTED = "suspected"  # many machines are unheard, and may yet run what they were given
-    LOST = "lost"  # their leases have ended, and with them what ran there
-    RECOVERING = "recovering"  # they are heard again, and get new work step by step
+    SUSPECTED = "suspected"  # many machines are silent, and may still run their tasks
+    LOST = "lost"  # their leases have ended, and with them all tasks there
+    RECOVERING = "recovering"  # heartbeats arrive again, and new work is admitted step by step
+
+
+# Phases in which a zone gets no new work, or not all that it has room for.
+OUT_OF_SERVICE = (ZonePhase.LOST, ZonePhase.RECOVERING)
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,10 +33,15 @@
     """What is known of a zone's machines at one moment."""
 
     machines: int  # that are up, or whose lease ended lately
-    unheard: int
-    expired: int  # whose lease has surely ended
-    # A controller behind a cut keeps the leases there, so what runs there runs on
-    kept: bool = False
+    silent: int  # of which no heartbeat has arrived lately
+    expired: int  # whose lease has certainly ended
+    # A controller behind a cut renews the leases there, so the tasks there run on.
+    delegated: bool = False
+
+    @property
+    def heard(self) -> int:
+        """How many machines have sent a heartbeat lately."""
+        return self.machines - self.silent
 
     def share(self, count: int) -> float:
         """A count as a share of all machines; 0 where there is none."""
@@ -47,7 +58,8 @@
         self.reason = ""
         self.losses = 0.0  # earlier losses, as they are remembered at ``losses_at``
         self.losses_at = now
-        self.recovering_since: float | None = None  # since when a lost zone is heard well enough
+        # Since when enough machines of a lost zone have been heard.
+        self.recovering_since: float | None = None
 
     def remembered_losses(self, now: float) -> float:
         """Earlier losses, each of which counts half after the policy's half-life."""
@@ -56,7 +68,7 @@
         return found if found >= MIN_PENALTY else 0.0
 
     def return_after_s(self, now: float) -> float:
-        """For how long a lost zone has to be heard: longer the more often it was lost lately."""
+        """For how long heartbeats have to arrive from a lost zone: longer for each recent loss."""
         again = max(0.0, self.remembered_losses(now) - 1.0)
         wanted = self.policy.return_after_s * 2.0**again
         return float(min(self.policy.return_after_most_s, wanted))
@@ -69,54 +81,56 @@
         self.phase, self.since, self.reason = phase, now, reason
         self.recovering_since = None
 
-    def observe(self, evidence: ZoneHealth, now: float) -> bool:
-        """Take new evidence in; whether the phase has changed."""
+    def observe(self, health: ZoneHealth, now: float) -> bool:
+        """Judge the zone anew; whether its phase has changed."""
         before = self.phase
         if before is ZonePhase.LOST:
-            self._look_for_return(evidence, now)
+            self._check_for_return(health, now)
         elif before is ZonePhase.RECOVERING:
-            self._look_for_relapse(evidence, now)
+            self._check_for_relapse(health, now)
         else:
-            self._look_for_loss(evidence, now)
+            self._check_for_loss(health, now)
         return self.phase is not before
 
-    def _look_for_loss(self, evidence: ZoneHealth, now: float) -> None:
+    def _check_for_loss(self, health: ZoneHealth, now: float) -> None:
         policy = self.policy
-        enough = evidence.unheard >= policy.min_machines
+        enough = health.silent >= policy.min_machines
         if (
             enough
-            and not evidence.kept
-            and evidence.expired >= policy.min_machines
-            and evidence.share(evidence.expired) >= policy.lost_share
+            and not health.delegated
+            and health.expired >= policy.min_machines
+            and health.share(health.expired) >= policy.lost_share
         ):
-            reason = f"{evidence.expired} of {evidence.machines} leases have ended"
+            reason = f"{health.expired} of {health.machines} leases have ended"
             self.enter(ZonePhase.LOST, reason, now)
         elif self.phase is ZonePhase.AVAILABLE:
-            if enough and evidence.share(evidence.unheard) >= policy.suspect_share:
-                reason = f"{evidence.unheard} of {evidence.machines} machines are unheard"
+            if enough and health.share(health.silent) >= policy.suspect_share:
+                reason = f"{health.silent} of {health.machines} machines are unheard"
                 self.enter(ZonePhase.SUSPECTED, reason, now)
         elif (
-            not enough
-            or evidence.share(evidence.unheard) < SUSPICION_CLEAR_SHARE * policy.suspect_share
+            not enough or health.share(health.silent) < SUSPICION_CLEAR_SHARE * policy.suspect_share
         ):
             self.enter(ZonePhase.AVAILABLE, "", now)
 
-    def _look_for_return(self, evidence: ZoneHealth, now: float) -> None:
-        heard = evidence.machines - evidence.unheard
-        # Of machines that were returned only the ends of their leases are known, so what has to be
-        # heard is a share of those that are there or came back.
-        there = max(heard, evidence.machines - evidence.expired)
-        if heard == 0 or heard < self.policy.return_share * there:
+    def _check_for_return(self, health: ZoneHealth, now: float) -> None:
+        heard = health.heard
+        # Of terminated machines only the ends of their leases are known, so what has to be heard is
+        # a share of the machines that are there or came back.
+        present = max(heard, health.machines - health.expired)
+        if heard == 0 or heard < self.policy.return_share * present:
             self.recovering_since = None
         elif self.recovering_since is None:
             self.recovering_since = now
         elif now - self.recovering_since >= self.return_after_s(now):
             self.enter(ZonePhase.RECOVERING, f"{heard} machines are heard again", now)
 
-    def _look_for_relapse(self, evidence: ZoneHealth, now: float) -> None:
-        there = evidence.machines - evidence.expired
-        heard = evidence.machines - evidence.unheard
-        unheard = max(0, there - heard)
-        lost_again = there > 0 and unheard >= 2 and unheard >= self.policy.suspect_share * there
-        if lost_again or heard == 0:
-            self.enter(ZonePhase.LOST, f"{unheard} of {there} machines are unheard again", now)
+    def _check_for_relapse(self, health: ZoneHealth, now: float) -> None:
+        present = health.machines - health.expired
+        silent = max(0, present - health.heard)
+        lost_again = (
+            present > 0
+            and silent >= MIN_SILENT_AGAIN
+            and silent >= self.policy.suspect_share * present
+        )
+        if lost_again or health.heard == 0:
+            self.enter(ZonePhase.LOST, f"{silent} of {present} machines are unheard again", now)
--- a/tests/test_networks.py
+++ b/tests/test_networks.py
@@ -94,11 +94,11 @@
             for n in range(4):
                 led.handle_heartbeat(heartbeat(f"m{n}", 2), now)
         recovery.observe(now)
-    views = {view.name: (view.machines, view.unheard) for view in recovery.network_views()}
+    views = {view.name: (view.machines, view.silent) for view in recovery.evidence.network_views()}
     assert views == {"east": (4, 0), "east-2": (4, 4), "west": (2, 0)}
     assert "nothing is heard of east-2" in recovery.states[0].reason
     led.machine_gone(led.machines["m0"], now)
-    assert recovery.network_views()[1] == NetworkView("east-2", "10.1.2.0/24", 3, 3)
+    assert recovery.evidence.network_views()[1] == NetworkView("east-2", "10.1.2.0/24", 3, 3)
 
 
 def test_networks_of_a_policy_file(tmp_path: Path) -> None:
--- a/tests/test_zone_days.py
+++ b/tests/test_zone_days.py
@@ -131,7 +131,7 @@
         await world.until(ZonePhase.LOST)
         world.bring_back("south")
         await world.until(ZonePhase.RECOVERING)
-        while world.south() == ZonePhase.RECOVERING and world.recovery().step(1) < step:
+        while world.south() == ZonePhase.RECOVERING and world.recovery().admission.step(1) < step:
             await asyncio.sleep(0.2)
     await world.lose("south", dead=False)
     await asyncio.sleep(18.0)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -22,6 +22,7 @@
 from salthead.zones.slow_start import Progress, SlowStart
 from salthead.zones.start_times import StartTimes, slow_classes
 from salthead.zones.state import ZoneHealth, ZonePhase, ZoneState
+from salthead.zones.views import waiting_reason
 from test_scale import calls
 
 ENTRIES: dict[str, Any] = {
@@ -54,7 +55,7 @@
 QUIET = ZoneHealth(10, 6, 0)
 BETTER = ZoneHealth(10, 3, 0)
 OVER = ZoneHealth(10, 10, 9)
-KEPT = ZoneHealth(10, 10, 9, kept=True)
+KEPT = ZoneHealth(10, 10, 9, delegated=True)
 FEW = ZoneHealth(10, 2, 2)
 SMALL = ZoneHealth(2, 2, 2)
 HALF = ZoneHealth(10, 5, 0)
@@ -252,7 +253,7 @@
     assert placement.schedule_array(led, one, random.Random(1), 0.0) > 0
     lose(led, recovery)
     assert [state.phase for state in recovery.states] == [AVAILABLE, LOST]
-    assert one.job_id in recovery.displaced_jobs and recovery.evacuating()
+    assert one.job_id in recovery.displaced_jobs.displaced_at and recovery.evacuating()
     speak(led, 21.0, "s", incarnation=2)
     recovery.observe(21.0)
     south = [m for m in led.machines.values() if m.zone == 1]
@@ -304,7 +305,7 @@
         opened.append(sum(not m.awaiting_slow_start for m in led.machines.values() if m.zone == 1))
     assert opened == sorted(opened), "never fewer"
     assert opened[0] == 0 and {0, 2, 4, 8} == set(opened)
-    assert recovery.states[1].phase is AVAILABLE and not recovery.slow_starts
+    assert recovery.states[1].phase is AVAILABLE and not recovery.admission.slow_starts
     assert all(m.has_freed_capacity or not m.awaiting_slow_start for m in led.machines.values())
 
 
@@ -357,7 +358,7 @@
     # Only while displaced work waits.
     assert recovery.evacuation_order([low, gang], set(), 0.0) == [low, gang]
     recovery.states[1].enter(LOST, "", 0.0)
-    recovery.lost_tasks[1][gang.job_id] = 0.0
+    recovery.displaced_jobs.lost_tasks[1][gang.job_id] = 0.0
     recovery.observe(0.0)
     assert recovery.evacuation_order([low, gang], set(), 0.0) == [gang, low]
     # For a bounded time.
@@ -373,7 +374,7 @@
     gang = job(led, job_id="req-2", shape="gang", task_count=2, vcpus=7.0, single_zone=True)
     array = job(led, job_id="req-1", task_count=20, vcpus=2.0)
     recovery.states[1].enter(LOST, "", 0.0)
-    recovery.lost_tasks[1][gang.job_id] = 0.0
+    recovery.displaced_jobs.lost_tasks[1][gang.job_id] = 0.0
     recovery.observe(0.0)
     led.pending.jobs = [gang, array]
     led.pending.min_cpus = 2.0
@@ -403,7 +404,7 @@
     led.team_limits[0] = (4.0, 0.0)
     gang = job(led, job_id="req-2", shape="gang", task_count=2, vcpus=7.0)
     led.pending.jobs = [job(led, job_id="req-1", **first), gang]
-    evacuation.claim(led, {gang.job_id: 0.0}, led.machines["n0"], 0.0)
+    evacuation.reserve_for_displaced(led, {gang.job_id: 0.0}, led.machines["n0"], 0.0)
     assert (led.machines["n0"].reserved_for == gang.job_id) is claimed
 
 
@@ -418,7 +419,7 @@
     job(led, job_id="req-1", task_count=20, vcpus=2.0)
     if evacuating:
         recovery.states[1].enter(LOST, "", 0.0)
-        recovery.lost_tasks[1][gang.job_id] = 0.0
+        recovery.displaced_jobs.lost_tasks[1][gang.job_id] = 0.0
         recovery.observe(0.0)
     gangs.reserve_machines(led, [gang], 1.0)
     assert len(led.capacity_index.reserved_machines(gang.job_id, 1.0)) == (2 if evacuating else 0)
@@ -460,9 +461,9 @@
     one = job(led, **changes)
     for index, name in enumerate(zones):
         led.bind(one, index, led.machines[name], index, 0.0)
-    assert recovery.reason(one) == ""
+    assert waiting_reason(recovery, one) == ""
     recovery.states[1].enter(LOST, "", 0.0)
-    assert recovery.reason(one) == reason
+    assert waiting_reason(recovery, one) == reason
 
 
 def test_hires_go_elsewhere_and_come_back_a_few_at_a_time() -> None:
@@ -498,19 +499,19 @@
     _, before = two_zones()
     before.states[1].enter(LOST, "", -30.0)
     before.states[1].enter(RECOVERING, "", 0.0)
-    before.slow_starts[1] = SlowStart(POLICY, 1, random.Random(1), 0.0)
-    before.slow_starts[1].step = 1
-    rows = before.unwritten(0.0)
+    before.admission.slow_starts[1] = SlowStart(POLICY, 1, random.Random(1), 0.0)
+    before.admission.slow_starts[1].step = 1
+    rows = before.records.unwritten(0.0)
     assert list(rows) == [1] and rows[1][0] == "zone/south"
-    before.wrote(before.covered([1], 0.0))
-    assert before.unwritten(1.0) == {}
-    assert list(before.unwritten(records.RENEW_S + 1.0)) == [1]
+    before.records.mark_written(before.records.covered([1], 0.0))
+    assert before.records.unwritten(1.0) == {}
+    assert list(before.records.unwritten(records.RENEW_S + 1.0)) == [1]
     _, after = two_zones()
-    after.load({rows[1][0]: rows[1][1] | change, "zone/nowhere": {}}, 5.0)
+    after.records.load({rows[1][0]: rows[1][1] | change, "zone/nowhere": {}}, 5.0)
     state = after.states[1]
     assert (state.phase is RECOVERING) is believed
     if believed:
-        assert after.step(1) == 1 and after.unwritten(5.0) == {}
+        assert after.admission.step(1) == 1 and after.records.unwritten(5.0) == {}
         assert state.remembered_losses(5.0) == pytest.approx(1.0, abs=0.25)
 
 
