--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -19,7 +19,7 @@
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.protocol import wire_names
 from salthead.protocol.messages import JobStatus, StopCommand
-from salthead.scheduling import placement, preemption, queue_order
+from salthead.scheduling import guarantees, pending_queue, preemption, queue_order, scheduling_pass
 from salthead.state_store import records
 from standins import World, run
 
@@ -168,8 +168,15 @@
     led = ready()
     pipeline(led)
     job(led, job_id="req-9", task_count=8, vcpus=2.0, at=1.0)  # fits into the guarantee only alone
-    assert placement.guaranteed_jobs(led) == {"req-1"} if led.jobs["req-9"].size()[0] > 14 else True
-    assert {one.job_id for one in placement.queue(led, set(), 300.0)} == {"req-1", "req-9"}
+    assert (
+        guarantees.guaranteed_job_ids(led) == {"req-1"}
+        if led.jobs["req-9"].size()[0] > 14
+        else True
+    )
+    assert {one.job_id for one in pending_queue.pending_jobs(led, set(), 300.0)} == {
+        "req-1",
+        "req-9",
+    }
     led.jobs["req-9"].dependency_cancelled = True
     plan = fleet_plan.plan(led, 300.0, fleet_plan.CapacityBackoff(), {})
     assert sum(plan.to_provision.values()) == 1, "for req-1 alone"
@@ -229,7 +236,7 @@
     led = ready()
     machine(led, "m1")
     pipeline(led)
-    placement.schedule(led, random.Random(1), 0.0)
+    scheduling_pass.schedule(led, random.Random(1), 0.0)
     first = led.jobs["req-1"]
     handle_heartbeat(
         led, heartbeat("m1", 2, ("req-1/0", first.bindings[0].attempt, "exited", "done")), 90.0
@@ -240,7 +247,7 @@
     second = led.jobs["req-2"]
     assert second.waiting() == 4 and second.since == 91.0 and second.accepted_this_term
     assert not led.jobs["req-3"].waiting()
-    assert not queue_order.reserving(second, 140.0), "a minute counts from when it could begin"
+    assert not queue_order.reserves_quota(second, 140.0), "a minute counts from when it could begin"
     # Later terms know it from the record; a clock ahead of ours does not make it younger.
     later = ready(200.0)
     later.wall_ahead = 1000.0
@@ -260,7 +267,7 @@
     )
     machine(led, "m1")
     other = job(led, job_id="req-8", task_count=4, urgency="normal", team="red")
-    placement.schedule(led, random.Random(1), 0.0)
+    scheduling_pass.schedule(led, random.Random(1), 0.0)
     assert len(other.bindings) == 4 and led.bound_by_priority == [0, 0, 4, 0]
     pipeline(led, urgency="idle")
     assert led.jobs["req-1"].priority == 2 and led.jobs["req-1"].due == NEVER
@@ -273,8 +280,8 @@
     )
     # run times of three after it: 20 s each, and it runs for 20 s itself
     assert first.due[0] == 100.0 - 60.0 and first.due[1] == 150.0 - 60.0
-    assert queue_order.target(led, first, 20.0, 0.0) == 20.0
-    assert queue_order.target(led, first, 20.0, 30.0) == 70.0, (
+    assert queue_order.latest_start(led, first, 20.0, 0.0) == 20.0
+    assert queue_order.latest_start(led, first, 20.0, 30.0) == 70.0, (
         "late, but the last that counts is not"
     )
     # Others of a lower rank are stopped for what inherits a higher one.
@@ -310,7 +317,7 @@
     # One that comes now, before those are written.
     late = job(led, job_id="req-4", depends_on=["req-3"])
     assert late.dependency_cancelled and not late.waiting()
-    placement.schedule(led, random.Random(1), 2.0)
+    scheduling_pass.schedule(led, random.Random(1), 2.0)
     assert not led.machines["m1"].bindings
     assert handle_heartbeat(led, heartbeat("m1", 2, ("req-2/0", 5, "running")), 3.0) == [
         StopCommand("req-2/0", 5, 0.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,18 +5,25 @@
 import pytest
 
 from helpers import heartbeat, job, machine, ready, verbs
-from salthead.autoscaling import fleet_plan
+from salthead.autoscaling import fleet_plan, provision_limits
 from salthead.cluster import machine_health
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import LOST, Job, Resources, ResourceUsage
 from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
-from salthead.scheduling import gangs, placement, preemption, queue_order
+from salthead.scheduling import (
+    eligibility,
+    gangs,
+    placement,
+    preemption,
+    queue_order,
+    scheduling_pass,
+)
 
 
 def place(led: Ledger, now: float = 0.0, seed: int = 1):
-    return placement.schedule(led, random.Random(seed), now)
+    return scheduling_pass.schedule(led, random.Random(seed), now)
 
 
 @pytest.mark.parametrize(
@@ -112,7 +119,7 @@
     )
     assert place(led, 1.0) == [], "nothing has changed"
     assert place(led, 2.0) == [one] and one.pause_until == 4.0
-    led.events.room_freed = lambda m, now: placement.backfill(led, m, random.Random(1), now)
+    led.events.room_freed = lambda m, now: scheduling_pass.backfill(led, m, random.Random(1), now)
     led.add_machine("m1", "small", "north", False, 2.5, registered=True)
     assert verbs(handle_heartbeat(led, heartbeat("m1", 1), 2.5)) == [("start", "req-1/0")]
     assert one.bindings and one.pause == 0.0, "room that came ends the pause"
@@ -405,7 +412,9 @@
         kept = [m.name for m in led.machines.values() if m.reserved_for == "req-1"]
         assert kept == ["m0", "m1"], "those that are free first"
         before = dict(late.bindings)
-        led.events.room_freed = lambda m, now: placement.backfill(led, m, random.Random(1), now)
+        led.events.room_freed = lambda m, now: scheduling_pass.backfill(
+            led, m, random.Random(1), now
+        )
         for name in kept:
             handle_heartbeat(
                 led,
@@ -683,8 +692,8 @@
 
     def test_it_is_not_kept_for_ever(self) -> None:
         led, gang, small = self.world(10.0)
-        assert queue_order.reserving(gang, 2 * queue_order.BEGIN_WITHIN_S - 1.0)
-        assert not queue_order.reserving(gang, 3 * queue_order.BEGIN_WITHIN_S + 1.0)
+        assert queue_order.reserves_quota(gang, 2 * queue_order.BEGIN_WITHIN_S - 1.0)
+        assert not queue_order.reserves_quota(gang, 3 * queue_order.BEGIN_WITHIN_S + 1.0)
 
 
 class TestOutlivedEstimates:
@@ -779,7 +788,9 @@
     def test_they_are_hired_last_for_who_can_do_without(self) -> None:
         led, _ = self.crowd()
         small = job(led, job_id="req-2", task_count=8, vcpus=2.0, spot=True)
-        kinds = fleet_plan.kinds_for(led, small, fleet_plan.CapacityBackoff(), 0.0)
+        kinds = provision_limits.provisionable_kinds(
+            led, small, provision_limits.offered_kinds(led), fleet_plan.CapacityBackoff(), 0.0
+        )
         machine_types = [led.type_names[kind[0]] for kind in kinds]
         assert machine_types.index("big") == machine_types.count("small")
 
@@ -833,7 +844,7 @@
         place(led, float(now))
         if one.bindings and placed is None:
             placed = now
-    assert placed is not None and placement.MAX_HELD_BACK_S <= placed < 85
+    assert placed is not None and eligibility.MAX_HELD_BACK_S <= placed < 85
 
 
 def test_what_is_held_back_for_want_of_room_waits() -> None:
