--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -14,6 +14,7 @@
 from salthead.autoscaling.scale_in import TerminationDecision
 from salthead.cluster.model import BOOTING, MachineKind
 from salthead.failure_detection.preconditions import Action, Precondition
+from salthead.leader.context import PAUSE_FACTOR
 from salthead.protocol import wire_names
 from salthead.protocol.messages import (
     MachineList,
@@ -38,9 +39,6 @@
 
 log = logging.getLogger(__name__)
 
-# A loop whose rounds take long pauses for this many times as long, so that heartbeats have the
-# processor for most of the time whatever the size of the fleet and the queue.
-PAUSE_FACTOR = 9.0
 MAX_TERMINATE_BATCH = 100  # machines in one call
 PROVISION_ATTEMPTS = 4
 # Plans come at once for a job that finds no machine, and otherwise now and then.
@@ -56,15 +54,18 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
-        self.ledger = term.ledger
-        self.now = term.now
-        self.limits = term.limits
+        self.context = term.context
+        self.ledger = term.context.ledger
+        self.now = term.context.now
+        self.limits = term.context.limits
         self.provision_request_count = 0
         self.plan_requested = asyncio.Event()  # a job has come for which there is no machine
         self.provisioning: dict[MachineKind, int] = {}
         self.capacity_backoff = CapacityBackoff()
         # A quarter is left for the other controllers' reads of machine types.
-        self.cloud_budget = Budget(term.limits.cloud.rps * 0.7, term.limits.cloud.rps, term.now)
+        self.cloud_budget = Budget(
+            term.context.limits.cloud.rps * 0.7, term.context.limits.cloud.rps, term.context.now
+        )
         self.machine_types_stored: list[MachineType] = []
 
     async def store_machine_types(self) -> None:
@@ -72,16 +73,16 @@
         machine_types = list(self.term.controller.machine_types.values())
         if not machine_types or machine_types == self.machine_types_stored:
             return
-        there, _ = await self.term.state_store.list_prefix(records.MACHINE_TYPE_PARTS)
+        there, _ = await self.context.state_store.list_prefix(records.MACHINE_TYPE_PARTS)
         rows = dict(
             records.machine_type_rows(
-                msgspec.to_builtins(machine_types), self.term.state_limits.value_kb
+                msgspec.to_builtins(machine_types), self.context.state_limits.value_kb
             )
         )
         changes = [put(key, value) for key, value in rows.items()]
         changes += [delete(key) for key in there if key not in rows]
-        for at in range(0, len(changes), self.term.state_limits.txn_ops):
-            await self.term.transaction({}, changes[at : at + self.term.state_limits.txn_ops])
+        for at in range(0, len(changes), self.context.state_limits.txn_ops):
+            await self.context.transaction({}, changes[at : at + self.context.state_limits.txn_ops])
         self.machine_types_stored = machine_types
 
     async def list_loop(self) -> None:
@@ -90,16 +91,16 @@
             try:
                 await self.store_machine_types()
             except records.RecordTooLargeError as error:
-                self.term.controller.log_throttled("flavors", error)
+                self.context.log_throttled("flavors", error)
                 self.machine_types_stored = list(self.term.controller.machine_types.values())
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.log_throttled("flavors", error)
+                self.context.log_throttled("flavors", error)
             calls = 1
             try:
                 calls = await self.read_list()
             except RETRYABLE_ERRORS as error:
-                self.term.controller.log_throttled("cloud list", error)
-            await self.term.controller.sleep_with_jitter(self.list_interval_s(calls))
+                self.context.log_throttled("cloud list", error)
+            await self.context.sleep_with_jitter(self.list_interval_s(calls))
 
     def list_interval_s(self, calls: int) -> float:
         """The pause after a reading of the list that took so many calls."""
@@ -155,14 +156,14 @@
                     await self.plan_requested.wait()
             self.plan_requested.clear()
             began = self.now()
-            if not self.term.valid():
+            if not self.context.valid():
                 continue
             plan = fleet_plan.plan(
                 self.ledger, self.now(), self.capacity_backoff, self.provisioning
             )
             for kind, count in plan.to_provision.items():
                 for at in range(0, count, fleet_plan.MAX_PROVISION_BATCH):
-                    self.term.spawn(
+                    self.term.background.spawn(
                         self.provision(kind, min(count - at, fleet_plan.MAX_PROVISION_BATCH))
                     )
             if plan.to_terminate:
@@ -172,9 +173,9 @@
                 ]
                 for decision in decisions:
                     decision.machine.terminating = True
-                self.term.spawn(self.terminate(decisions))
+                self.term.background.spawn(self.terminate(decisions))
             self.term.views.show()
-            await self.term.controller.sleep_with_jitter(
+            await self.context.sleep_with_jitter(
                 max(MIN_PLAN_INTERVAL_S, PAUSE_FACTOR * (self.now() - began))
             )
 
@@ -182,7 +183,7 @@
         """Rent machines of a kind; the same request is repeated until it is answered."""
         machine_type, zone, spot = kind
         self.provision_request_count += 1
-        name = f"{self.term.fencing_token}-{self.provision_request_count}"
+        name = f"{self.context.fencing_token}-{self.provision_request_count}"
         self.provisioning[kind] = self.provisioning.get(kind, 0) + count
         type_name, zone_name = self.ledger.type_names[machine_type], self.ledger.zones[zone]
         body = {
@@ -198,19 +199,19 @@
             for _ in range(PROVISION_ATTEMPTS):
                 await self.cloud_budget.wait()
                 # Since it was decided the lead, or the picture that it rests on, may have gone.
-                if not self.term.permits(Action.PROVISION):
+                if not self.context.permits(Action.PROVISION):
                     break
                 try:
                     answer = await self.term.controller.cloud.call(
                         "POST", wire_names.MACHINES_PATH, body, timeout=4.0
                     )
                 except UnansweredError as error:
-                    self.term.controller.log_throttled("hire", error)
-                    await self.term.controller.sleep_with_jitter(1.0)
+                    self.context.log_throttled("hire", error)
+                    await self.context.sleep_with_jitter(1.0)
                     continue
                 if answer.status != 200:
                     if answer.body.get("error") != "no capacity":
-                        self.term.controller.log_throttled("hire", f"{answer.status} {answer.body}")
+                        self.context.log_throttled("hire", f"{answer.status} {answer.body}")
                     break
                 hosts = shape(answer.body, ProvisionedMachines).machines
                 now = self.now()
@@ -219,7 +220,7 @@
                 got = len(hosts)
                 break
         except MalformedMessageError as error:
-            self.term.controller.log_throttled("hire", error)
+            self.context.log_throttled("hire", error)
         finally:
             self.provisioning[kind] -= count
         log.info(
@@ -254,8 +255,8 @@
             if answer.status != 200:
                 raise RequestRefusedError(answer.status, "return")
         except RETRYABLE_ERRORS as error:
-            self.term.controller.log_throttled("return", error)
-            await self.term.controller.sleep_with_jitter(1.0)
+            self.context.log_throttled("return", error)
+            await self.context.sleep_with_jitter(1.0)
             return
         finally:
             for decision in decisions:
@@ -274,4 +275,4 @@
 
     def _still_justified(self, decision: TerminationDecision) -> bool:
         held = Precondition.REASON_HOLDS if decision.holds() else Precondition(0)
-        return self.term.permits(Action.TERMINATE, held)
+        return self.context.permits(Action.TERMINATE, held)
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -29,21 +29,22 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
-        self.ledger = term.ledger
-        self.now = term.now
+        self.context = term.context
+        self.ledger = term.context.ledger
+        self.now = term.context.now
         self.since = 0  # the epoch up to which the records are known
         self.incomplete: dict[str, None] = {}  # jobs whose record is continued, not read in full
 
     async def load(self) -> None:
         """Read all that earlier leaders left."""
         ledger = self.ledger
-        jobs, self.since = await self.term.state_store.list_prefix(records.JOBS)
-        parts, _ = await self.term.state_store.list_prefix(records.DONE_TASKS)
-        machine_registry, _ = await self.term.state_store.list_prefix(records.MACHINE_REGISTRY)
+        jobs, self.since = await self.context.state_store.list_prefix(records.JOBS)
+        parts, _ = await self.context.state_store.list_prefix(records.DONE_TASKS)
+        machine_registry, _ = await self.context.state_store.list_prefix(records.MACHINE_REGISTRY)
         now = self.now()
         self.term.pages.parts, self.term.pages.machine_registry = self.term.pages.new_pages()
         # After the jobs: a record and what continues it are written together.
-        rows, _ = await self.term.state_store.list_prefix(records.DEPENDENCIES)
+        rows, _ = await self.context.state_store.list_prefix(records.DEPENDENCIES)
         rest = {key: value for key, (value, _) in rows.items()}
         for key, (value, revision) in jobs.items():
             self.take_row(key, value, revision, rest, loading=True)
@@ -146,12 +147,14 @@
                     )
                 ]
         except MalformedMessageError as error:
-            self.term.controller.log_throttled("job record", f"{key}: {error}")
+            self.context.log_throttled("job record", f"{key}: {error}")
             return
         # What is loaded is not over, though its outcome may have been derived, and told, before it
         # is written.
         if loading or self._is_news(spec.job_id, revision):
-            self.ledger.add_job(spec, self.now(), accepted_this_term=revision > self.term.revision)
+            self.ledger.add_job(
+                spec, self.now(), accepted_this_term=revision > self.context.revision
+            )
 
     def add_job(self, spec: Submission, revision: int) -> None:
         """A job whose record this controller has written, with the revision of that write."""
@@ -168,14 +171,15 @@
         time for which an answer is waited for.
         """
         return (
-            revision > self.term.revision and job_id not in self.term.controller.terminal_outcomes
+            revision > self.context.revision
+            and job_id not in self.term.controller.terminal_outcomes
         )
 
     async def watch_loop(self) -> None:
         """Jobs that any controller accepted."""
         while True:
             try:
-                events, self.since = await self.term.state_store.watch(
+                events, self.since = await self.context.state_store.watch(
                     records.JOBS, self.since, 10.0
                 )
                 for event in events:
@@ -183,15 +187,15 @@
                         self.take_row(event["set"], event.get("value"), event.get("stamp", 0))
             except CompactedError:
                 try:
-                    rows, self.since = await self.term.state_store.list_prefix(records.JOBS)
+                    rows, self.since = await self.context.state_store.list_prefix(records.JOBS)
                     for key, (value, revision) in rows.items():
                         self.take_row(key, value, revision)
                 except RETRYABLE_ERRORS as error:
-                    self.term.controller.log_throttled("job list", error)
-                    await self.term.controller.sleep_with_jitter(1.0)
+                    self.context.log_throttled("job list", error)
+                    await self.context.sleep_with_jitter(1.0)
             except RETRYABLE_ERRORS as error:
-                self.term.controller.log_throttled("job watch", error)
-                await self.term.controller.sleep_with_jitter(0.5)
+                self.context.log_throttled("job watch", error)
+                await self.context.sleep_with_jitter(0.5)
 
     async def await_loop(self) -> None:
         """What became of awaited jobs of which this term knows nothing, and long records."""
@@ -200,9 +204,9 @@
                 try:
                     await self.look_up(job_id)
                 except RETRYABLE_ERRORS as error:
-                    self.term.controller.log_throttled("awaited job", error)
-                    await self.term.controller.sleep_with_jitter(0.5)
-            await self.term.controller.sleep_with_jitter(DEPENDENCY_CHECK_INTERVAL_S)
+                    self.context.log_throttled("awaited job", error)
+                    await self.context.sleep_with_jitter(0.5)
+            await self.context.sleep_with_jitter(DEPENDENCY_CHECK_INTERVAL_S)
 
     async def look_up(self, job_id: str) -> None:
         """Find out what became of a job that another depends on."""
@@ -215,12 +219,12 @@
             if job_id in unresolved:
                 dependencies.resolve(self.ledger, job_id, found[0], found[2], self.now())
             return
-        row = await self.term.state_store.get(records.job_key(job_id))
+        row = await self.context.state_store.get(records.job_key(job_id))
         if row is None:
             raise UnansweredError(f"no record of {job_id}")
         if job_id not in self.ledger.jobs:
             spec = await self.term.controller.job_reader.whole(records.job_from(row.value))
             self.incomplete.pop(job_id, None)
             self.ledger.add_job(
-                spec, self.now(), accepted_this_term=row.revision > self.term.revision
+                spec, self.now(), accepted_this_term=row.revision > self.context.revision
             )
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -26,20 +26,21 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
+        self.context = term.context
         self.renewal_failed = False
         self.votes_withheld = False
 
     async def renew_loop(self) -> None:
         """Renew the lease until it has ended or somebody else leads."""
-        ttl = self.term.clock.ttl
+        ttl = self.context.clock.ttl
         while True:
-            if self.term.ledger.newer_fencing_token:
+            if self.context.ledger.newer_fencing_token:
                 self._ending("deposed")
                 return
-            sent = self.term.now()
+            sent = self.context.now()
             try:
-                await self.term.state_store.renew_lease(self.term.lease_id, timeout=ttl / 4)
-                self.term.clock.renewed(sent)
+                await self.context.state_store.renew_lease(self.context.lease_id, timeout=ttl / 4)
+                self.context.clock.renewed(sent)
                 self.renewal_failed = False
                 await asyncio.sleep(ttl / 5)
             except LeaseExpiredError:
@@ -47,18 +48,18 @@
                 return
             except RETRYABLE_ERRORS as error:
                 self.renewal_failed = True
-                self.term.controller.log_throttled("renew", error)
-                await self.term.controller.sleep_with_jitter(ttl / 12)
+                self.context.log_throttled("renew", error)
+                await self.context.sleep_with_jitter(ttl / 12)
 
     def _ending(self, why: str, **facts: int) -> None:
-        ledger = self.term.ledger
+        ledger = self.context.ledger
         event(
             log,
             "lead_ending",
             logging.WARNING,
-            fencing_token=self.term.fencing_token,
+            fencing_token=self.context.fencing_token,
             why=why,
-            certain=self.term.valid(),
+            certain=self.context.valid(),
             fencing_token_seen=ledger.newer_fencing_token,
             **facts,
         )
@@ -66,22 +67,24 @@
     async def stickiness_loop(self) -> None:
         """While renewals fail, ask all peers for their promise not to stand."""
         peers = self.term.controller.peers
-        every = stickiness_s(self.term.clock.ttl) / 5
+        every = stickiness_s(self.context.clock.ttl) / 5
         while True:
             await asyncio.sleep(every)
-            if not peers or len(peers) + 1 < self.term.limits.initial_size:
+            if not peers or len(peers) + 1 < self.context.limits.initial_size:
                 continue  # somebody unknown could stand
-            if not self.renewal_failed or not self.term.valid():
+            if not self.renewal_failed or not self.context.valid():
                 self.votes_withheld = False
                 continue
-            sent = self.term.now()
+            sent = self.context.now()
             given = await asyncio.gather(
                 *(
                     ask_to_withhold_vote(peer, self.term.controller.settings.member, every * 2)
                     for peer in peers.values()
                 )
             )
-            counts = all(given) and self.term.clock.votes_withheld_by_all(sent, self.term.now())
+            counts = all(given) and self.context.clock.votes_withheld_by_all(
+                sent, self.context.now()
+            )
             if counts != self.votes_withheld:
                 self.votes_withheld = counts
                 log.info(
@@ -98,13 +101,13 @@
         certain = True
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
-            if self.term.valid() == certain:
+            if self.context.valid() == certain:
                 continue
             certain = not certain
             metrics.LEADING.set(certain)
             log.warning(
                 "token %d: the lead is %s",
-                self.term.fencing_token,
+                self.context.fencing_token,
                 "certain again" if certain else "not certain: nothing is judged, nothing ordered",
             )
 
@@ -113,12 +116,12 @@
 
         A leader that is cut off from the workers alone would keep its lease while theirs end.
         """
-        grace_s = 3.0 * self.term.limits.workers.heartbeat_interval_s
+        grace_s = 3.0 * self.context.limits.workers.heartbeat_interval_s
         while True:
-            await self.term.controller.sleep_with_jitter(1.0)
-            now = self.term.now()
-            heard, silent = self.term.ledger.heartbeat_counts(now)
-            if silent <= heard or now - self.term.ledger.term_started_at < grace_s + 1.0:
+            await self.context.sleep_with_jitter(1.0)
+            now = self.context.now()
+            heard, silent = self.context.ledger.heartbeat_counts(now)
+            if silent <= heard or now - self.context.ledger.term_started_at < grace_s + 1.0:
                 continue
             found = await asyncio.gather(
                 *(ask_connectivity(peer) for peer in self.term.controller.peers.values())
@@ -132,12 +135,12 @@
                 if self.clearly_more(elsewhere, heard)
                 else Precondition(0)
             )
-            if self.term.permits(Action.RESIGN, held):
+            if self.context.permits(Action.RESIGN, held):
                 self._ending(
                     "resigning", heard=heard, silent=silent, heartbeats_elsewhere=elsewhere
                 )
                 # Longer than an election, so that a controller that hears the workers wins it.
-                self.term.controller.leader_stickiness.withhold_vote(self.term.now())
+                self.term.controller.leader_stickiness.withhold_vote(self.context.now())
                 return
 
     def clearly_more(self, elsewhere: int, heard: int) -> bool:
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -12,7 +12,7 @@
 from salthead.failure_detection.preconditions import action_name, precondition_names
 from salthead.failure_detection.shared_silence import SharedSilence
 from salthead.heartbeats import handling
-from salthead.leader.autoscaler import PAUSE_FACTOR
+from salthead.leader.context import PAUSE_FACTOR
 from salthead.leader.peer_calls import PeerConnectivity, ask_connectivity
 from salthead.policy import Network, PartialCutPolicy
 from salthead.scheduling.placement import FRESH_HEARTBEAT_INTERVALS
@@ -41,11 +41,12 @@
 
     def __init__(self, term: Term, policy: PartialCutPolicy, networks: list[Network]) -> None:
         self.term = term
-        self.ledger = term.ledger
+        self.context = term.context
+        self.ledger = term.context.ledger
         self.silence = SharedSilence(
-            term.ledger, policy, term.now(), self._follow_networks(networks)
+            term.context.ledger, policy, term.context.now(), self._follow_networks(networks)
         )
-        term.ledger.shared_silence = self.silence
+        term.context.ledger.shared_silence = self.silence
         self.peers: dict[str, PeerAnswer] = {}
 
     @staticmethod
@@ -63,29 +64,29 @@
         try:
             while True:
                 await asyncio.gather(*(self._ask(member) for member in self.term.controller.peers))
-                began = self.term.now()
-                if self.term.valid():
+                began = self.context.now()
+                if self.context.valid():
                     self._show()
-                await self.term.controller.sleep_with_jitter(
-                    max(PEER_CHECK_INTERVAL_S, PAUSE_FACTOR * (self.term.now() - began))
+                await self.context.sleep_with_jitter(
+                    max(PEER_CHECK_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - began))
                 )
         finally:
             metrics.forget_links()
 
     async def _ask(self, member: str) -> None:
-        sent = self.term.now()
+        sent = self.context.now()
         found = await ask_connectivity(self.term.controller.peers[member], leads=True)
         if found is None:
             return
         self.peers[member] = PeerAnswer(sent, found)
         for seen in found.seen:
-            shows_fencing_token = seen.fencing_token == self.term.fencing_token
+            shows_fencing_token = seen.fencing_token == self.context.fencing_token
             handling.heartbeat_seen_by_peer(
                 self.ledger,
                 seen.worker,
                 (seen.incarnation, seen.sequence),
                 shows_fencing_token,
-                self.term.now(),
+                self.context.now(),
             )
 
     def _show(self) -> None:
@@ -101,12 +102,14 @@
 
     def worker_views(self) -> list[LinkView]:
         """The links to machines by declared network, or else by zone."""
-        fresh_s = FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
-        return link_views(self.ledger.machines.values(), self._group_of, self.term.now(), fresh_s)
+        fresh_s = FRESH_HEARTBEAT_INTERVALS * self.context.limits.workers.heartbeat_interval_s
+        return link_views(
+            self.ledger.machines.values(), self._group_of, self.context.now(), fresh_s
+        )
 
     def overview(self) -> dict[str, Any]:
         """The rows of the operators' overview."""
-        now = self.term.now()
+        now = self.context.now()
         return {
             "links": [
                 {
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -40,8 +40,9 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
+        self.context = term.context
         self.controller = term.controller
-        self.ledger = term.ledger
+        self.ledger = term.context.ledger
         self.due: dict[str, Job] = {}  # complete or to be cancelled, and not known to be durable
         self.indeterminate: dict[str, str] = {}  # sent, by job, with the phase that was sent last
         self.wanted = asyncio.Event()
@@ -108,7 +109,7 @@
 
     async def save(self) -> None:
         """Write the outcomes that are wanted, as many as a transaction takes."""
-        most = max(1, self.term.state_limits.txn_ops // 2)
+        most = max(1, self.context.state_limits.txn_ops // 2)
         while self.due or self.ledger.pending_aborts:
             # What users wait for, then what other jobs wait for; what follows from a durable
             # outcome may be told already, and a thousand of that must not hold up the rest.
@@ -140,7 +141,7 @@
                 put(
                     records.outcome_key(job.job_id),
                     records.outcome_value(
-                        job.spec, phases[job.job_id], at, term.state_limits.value_kb
+                        job.spec, phases[job.job_id], at, term.context.state_limits.value_kb
                     ),
                 )
             )
@@ -155,7 +156,9 @@
             job.job_id: phases[job.job_id] for job in jobs if not job.dependency_cancelled
         }
         try:
-            await term.transaction({records.outcome_key(job.job_id): 0 for job in jobs}, operations)
+            await term.context.transaction(
+                {records.outcome_key(job.job_id): 0 for job in jobs}, operations
+            )
         except RequestRefusedError:
             for job_id in fresh:
                 del self.indeterminate[job_id]
@@ -181,7 +184,7 @@
         job_id = job.job_id
         self.controller.remember_outcome(job_id, phase, job.spec.task_count, at)
         self.term.pages.tidy(job)
-        self.ledger.end_job(job, phase, self.term.now())
+        self.ledger.end_job(job, phase, self.context.now())
         self.due.pop(job_id, None)
         self.indeterminate.pop(job_id, None)
         tried = self.tries.pop(job_id, None)
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -25,14 +25,17 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
-        self.stretches = records.Stretches(term.limits.state.value_kb, term.state_limits.value_kb)
+        self.context = term.context
+        self.stretches = records.Stretches(
+            term.context.limits.state.value_kb, term.context.state_limits.value_kb
+        )
         self.parts, self.machine_registry = self.new_pages()
         self.registry_write_due_at = -1e9
         self.leftovers: dict[str, str] = {}  # keys that continue records of jobs that are over
 
     def new_pages(self) -> tuple[Pages, Pages]:
         """Empty pages of done tasks and of the machine registry."""
-        kb = self.term.state_limits.value_kb
+        kb = self.context.state_limits.value_kb
         return Pages(records.DONE_TASKS, kb), Pages(records.MACHINE_REGISTRY, kb)
 
     def tidy(self, job: Job) -> None:
@@ -46,18 +49,18 @@
     async def save_loop(self) -> None:
         """Done tasks of jobs that go on; outcomes do not wait for these."""
         while True:
-            await self.term.controller.sleep_with_jitter(SAVE_INTERVAL_S)
+            await self.context.sleep_with_jitter(SAVE_INTERVAL_S)
             try:
                 await self.clear_leftovers()
                 await self.save_parts()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.log_throttled("save", error)
-                await self.term.controller.sleep_with_jitter(0.5)
+                self.context.log_throttled("save", error)
+                await self.context.sleep_with_jitter(0.5)
 
     async def save_parts(self) -> None:
         """Write the done tasks of jobs that go on."""
         covered: list[tuple[Job, list[int]]] = []
-        for job in self.term.ledger.ready_jobs.values():
+        for job in self.context.ledger.ready_jobs.values():
             if job.terminal_phase or not job.unsaved:
                 continue
             covered.append((job, list(job.unsaved)))
@@ -65,16 +68,16 @@
         while self.parts.dirty:
             await self.write_pages(self.parts)
         for job, done in covered:
-            self.term.ledger.saved(job, done)
+            self.context.ledger.saved(job, done)
 
     async def clear_leftovers(self) -> None:
         """Drop what continued the records of jobs that are over."""
         while self.leftovers:
-            keys = list(islice(self.leftovers, self.term.state_limits.txn_ops))
+            keys = list(islice(self.leftovers, self.context.state_limits.txn_ops))
             # On condition that there is no such job: it may have been accepted since the list was
             # read, or its record may have come late.
             with contextlib.suppress(ConflictError):
-                await self.term.transaction(
+                await self.context.transaction(
                     {records.job_key(self.leftovers[key]): 0 for key in keys},
                     [delete(key) for key in keys],
                     bulk=True,
@@ -84,10 +87,10 @@
 
     async def write_pages(self, pages: Pages) -> dict[int, tuple[int, dict[str, Any]]]:
         """One transaction of what the service lacks of these pages."""
-        batch = pages.batch(self.term.state_limits.txn_ops, BATCH_KB)
+        batch = pages.batch(self.context.state_limits.txn_ops, BATCH_KB)
         if batch:
             try:
-                revision = await self.term.transaction(
+                revision = await self.context.transaction(
                     {pages.key(page): pages.revisions.get(page, 0) for page in batch},
                     [
                         put(pages.key(page), content) if content else delete(pages.key(page))
@@ -98,7 +101,7 @@
             except ConflictError:
                 # An earlier try took effect after all; what it wrote is replaced.
                 for page in batch:
-                    row = await self.term.state_store.get(pages.key(page))
+                    row = await self.context.state_store.get(pages.key(page))
                     pages.revisions[page] = row.revision if row is not None else 0
                 raise
             pages.written(batch, revision)
@@ -107,7 +110,7 @@
     async def registry_loop(self) -> None:
         """A machine is in the machine registry, durably, before the first start is sent to it."""
         while True:
-            ledger = self.term.ledger
+            ledger = self.context.ledger
             for machine in ledger.unregistered:
                 if machine.phase == UP or machine.seen_in_earlier_term:
                     self.machine_registry.set(
@@ -125,11 +128,11 @@
                 for machine in ledger.unregistered
             )
             if fresh or (
-                self.machine_registry.dirty and self.term.now() >= self.registry_write_due_at
+                self.machine_registry.dirty and self.context.now() >= self.registry_write_due_at
             ):
                 try:
                     batch = await self.write_pages(self.machine_registry)
-                    self.registry_write_due_at = self.term.now() + SAVE_INTERVAL_S
+                    self.registry_write_due_at = self.context.now() + SAVE_INTERVAL_S
                     for _, content in batch.values():
                         for name in content:
                             found = ledger.machines.get(name)
@@ -138,5 +141,5 @@
                                 found.has_freed_capacity = True
                     self.term.wake()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
-                    self.term.controller.log_throttled("roster", error)
-            await self.term.controller.sleep_with_jitter(0.1)
+                    self.context.log_throttled("roster", error)
+            await self.context.sleep_with_jitter(0.1)
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -6,14 +6,16 @@
 import contextlib
 import logging
 import time
-from collections.abc import Coroutine
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from salthead.cluster import orphans
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Machine
-from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
-from salthead.leader.autoscaler import PAUSE_FACTOR, Autoscaler
+from salthead.failure_detection.preconditions import Action, Precondition
+from salthead.leader.autoscaler import Autoscaler
+from salthead.leader.background import BackgroundTasks
+from salthead.leader.context import PAUSE_FACTOR, TermContext
+from salthead.leader.controller_interface import ControllerInterface
 from salthead.leader.job_records import JobRecords
 from salthead.leader.leadership import Leadership
 from salthead.leader.outcomes import Outcomes
@@ -28,13 +30,11 @@
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
-    ConflictError,
     RequestRefusedError,
 )
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.controller.controller import Controller
     from salthead.leader.link_loop import LinkLoop
     from salthead.leader.zone_loop import ZoneLoop
 
@@ -55,24 +55,31 @@
 
     def __init__(
         self,
-        controller: Controller,
+        controller: ControllerInterface,
         fencing_token: int,
         revision: int,
         lease_id: int,
         clock: LeaseClock,
     ) -> None:
         self.controller = controller
-        self.state_store = controller.state_store
-        self.limits = controller.limits
-        self.state_limits = controller.state_limits
-        self.now = controller.now
         self.fencing_token = fencing_token
-        self.revision = revision
-        self.lease_id = lease_id
-        self.clock = clock
         self.ledger = Ledger(controller.limits, fencing_token, controller.now(), time.time())
+        self.context = TermContext(
+            fencing_token=fencing_token,
+            revision=revision,
+            lease_id=lease_id,
+            clock=clock,
+            ledger=self.ledger,
+            state_store=controller.state_store,
+            limits=controller.limits,
+            state_limits=controller.state_limits,
+            now=controller.now,
+            sleep_with_jitter=controller.sleep_with_jitter,
+            log_throttled=controller.log_throttled,
+        )
+        self.clock = clock
         self.ledger.events.changed = self.wake
-        self.ledger.leader_lease_valid = self.valid
+        self.ledger.leader_lease_valid = self.context.valid
         self.outcomes = Outcomes(self)
         self.ledger.events.completed = self.outcomes.want
         self.ledger.events.aborts_pending = self.outcomes.wanted.set
@@ -80,7 +87,7 @@
         self.ledger.set_machine_types(controller.machine_types.values())
         self.changed = asyncio.Event()
         self.pages = SavedPages(self)
-        self.background: set[asyncio.Task[None]] = set()
+        self.background = BackgroundTasks()
         self.unschedulable: set[str] = set()  # jobs that found no machine at the last pass
         self.job_records = JobRecords(self)
         self.autoscaler = Autoscaler(self)
@@ -111,14 +118,7 @@
 
     def valid(self) -> bool:
         """Whether this term may act now."""
-        return self.clock.valid(self.now())
-
-    def permits(self, action: Action, more: int = 0) -> bool:
-        """Whether an action is permitted now, by what is confirmed here and ``more`` facts."""
-        missing = missing_preconditions(action, self.ledger.confirmed_preconditions() | more)
-        if missing:
-            self.ledger.blocked_actions.note(action, missing, self.now())
-        return not missing
+        return self.context.valid()
 
     def wake(self) -> None:
         """Something has changed that decisions depend on."""
@@ -143,11 +143,11 @@
                     log.error("term %d ends by an error", self.fencing_token, exc_info=error)
         finally:
             self.clock.drop()
-            for task in [*tasks, *self.background]:
+            for task in [*tasks, *self.background.tasks]:
                 task.cancel()
-            await asyncio.gather(*tasks, *self.background, return_exceptions=True)
+            await asyncio.gather(*tasks, *self.background.tasks, return_exceptions=True)
             with contextlib.suppress(UnansweredError, RequestRefusedError):
-                await self.state_store.revoke_lease(self.lease_id)
+                await self.context.state_store.revoke_lease(self.context.lease_id)
 
     async def work_loop(self) -> None:
         """Load what earlier leaders left, then run all loops."""
@@ -155,9 +155,11 @@
             try:
                 await self.job_records.load()
             except RETRYABLE_ERRORS as error:
-                self.controller.log_throttled("load", error)
-                await self.controller.sleep_with_jitter(0.3)
-        self.spawn(self.worker_calls.reconcile_all(self.ledger.failover.unreconciled_machines()))
+                self.context.log_throttled("load", error)
+                await self.context.sleep_with_jitter(0.3)
+        self.background.spawn(
+            self.worker_calls.reconcile_all(self.ledger.failover.unreconciled_machines())
+        )
         loops = [
             self.job_records.watch_loop(),
             self.job_records.await_loop(),
@@ -181,28 +183,6 @@
             for loop in loops:
                 group.create_task(loop)
 
-    async def transaction(
-        self,
-        conditions: dict[str, int],
-        operations: list[dict[str, Any]],
-        bulk: bool = False,
-        urgent: bool = False,
-    ) -> int:
-        """A write that only takes effect while this term leads."""
-        if not self.valid():
-            raise UnansweredError("lease not certain")
-        try:
-            return await self.state_store.transaction(
-                {records.LEADER: self.revision} | conditions, operations, bulk=bulk, urgent=urgent
-            )
-        except ConflictError as error:
-            if records.LEADER in error.failed:
-                self.ledger.newer_fencing_token = max(
-                    self.ledger.newer_fencing_token, self.fencing_token + 1
-                )
-                raise UnansweredError("deposed") from None
-            raise
-
     # -- loading and following jobs -----------------------------------------------------
 
     async def unknown_jobs_loop(self) -> None:
@@ -210,18 +190,18 @@
         while True:
             for job_id in list(self.ledger.unknown_jobs):
                 try:
-                    row = await self.state_store.get(records.outcome_key(job_id))
+                    row = await self.context.state_store.get(records.outcome_key(job_id))
                     if row is not None:
                         orphans.identify_job(self.ledger, records.outcome_from(row.value)[1])
                 except RETRYABLE_ERRORS as error:
-                    self.controller.log_throttled("stray task", error)
-            await self.controller.sleep_with_jitter(0.5)
+                    self.context.log_throttled("stray task", error)
+            await self.context.sleep_with_jitter(0.5)
 
     # -- deciding -----------------------------------------------------------------------
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
         """Commands for a worker; None if it must not be answered with 200."""
-        return self.ledger.handle_heartbeat(heartbeat, self.now())
+        return self.ledger.handle_heartbeat(heartbeat, self.context.now())
 
     async def decide_loop(self) -> None:
         """Decide again and again, sooner when something has changed."""
@@ -233,29 +213,29 @@
                 async with asyncio.timeout(MAX_PASS_INTERVAL_S):
                     await self.changed.wait()
             self.changed.clear()
-            now = self.now()
+            now = self.context.now()
             if now - looked >= SWEEP_INTERVAL_S:
                 looked = now
                 self.look(now)
             self.decide(now)
             self.worker_calls.send_stops()
-            await asyncio.sleep(max(MIN_PASS_INTERVAL_S, PAUSE_FACTOR * (self.now() - now)))
+            await asyncio.sleep(max(MIN_PASS_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - now)))
 
     def backfill(self, machine: Machine, now: float) -> None:
         """Offer room that a heartbeat has freed to those in line."""
-        if self.permits(Action.SCHEDULE, TASK_NOWHERE):
+        if self.context.permits(Action.SCHEDULE, TASK_NOWHERE):
             placement.backfill(self.ledger, machine, self.controller.rng, now)
 
     def look(self, now: float) -> None:
         """What time alone changes, machine by machine."""
         self.ledger.tick(now)
-        if self.permits(Action.SCHEDULE, TASK_NOWHERE):
+        if self.context.permits(Action.SCHEDULE, TASK_NOWHERE):
             placement.reschedule_unsent(self.ledger, self.controller.rng, now)
             preemption.drain(self.ledger, now)
 
     def decide(self, now: float) -> None:
         """One pass of placement, and what follows for those that found no machine."""
-        if self.permits(Action.SCHEDULE, TASK_NOWHERE):
+        if self.context.permits(Action.SCHEDULE, TASK_NOWHERE):
             unschedulable = placement.schedule(self.ledger, self.controller.rng, now)
             before, self.unschedulable = self.unschedulable, {job.job_id for job in unschedulable}
             if not self.unschedulable <= before:
@@ -272,7 +252,7 @@
             found = await self.controller.job_reader.read(job_id)
             if found is None or found.is_terminal:
                 return found
-            row = await self.state_store.get(records.job_key(job_id))
+            row = await self.context.state_store.get(records.job_key(job_id))
             if row is None or not self.ledger.loaded:
                 raise UnansweredError("cancel in doubt")
             self.job_records.take_row(records.job_key(job_id), *row)
@@ -289,19 +269,6 @@
             if job.terminal_phase or job.dependency_cancelled
             else Precondition(0)
         )
-        if not self.permits(Action.CONFIRM_CANCELLATION, durable):
+        if not self.context.permits(Action.CONFIRM_CANCELLATION, durable):
             raise UnansweredError("cancel in doubt")
         return JobStatus(job_id, job.terminal_phase or wire_names.ABORTED)
-
-    # -- machines -----------------------------------------------------------------------
-
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something beside the loops until it is done or the term ends."""
-        task = asyncio.create_task(work)
-        self.background.add(task)
-        task.add_done_callback(self._ended)
-
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        self.background.discard(task)
-        if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("background work failed", exc_info=error)
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -48,10 +48,11 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
-        self.ledger = term.ledger
-        self.now = term.now
+        self.context = term.context
+        self.ledger = term.context.ledger
+        self.now = term.context.now
         self.shown = -FLEET_LOG_INTERVAL_S
-        self.accounted = term.now()
+        self.accounted = term.context.now()
         self.spent: dict[str, float] = {}
 
     def overview(self) -> dict[str, Any]:
@@ -63,7 +64,7 @@
         machines = sorted(ledger.machines.values(), key=lambda machine: machine.name)
         return links | {
             "leader": self.term.controller.settings.member,
-            "token": self.term.fencing_token,
+            "token": self.context.fencing_token,
             "ready": ledger.ready,
             "teams": self._team_rows(),
             "jobs": [
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -31,13 +31,14 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
+        self.context = term.context
 
     async def _command(
         self, machine: Machine, incarnation: int, commands: list[Command], timeout: float
     ) -> Answer:
         """POST /do under this term's token."""
-        body = CommandRequest(self.term.fencing_token, incarnation, commands)
-        sent = self.term.now()
+        body = CommandRequest(self.context.fencing_token, incarnation, commands)
+        sent = self.context.now()
         try:
             answer = await self.term.controller.workers.call(
                 "POST", wire_names.COMMAND_PATH, body, timeout=timeout, endpoint=machine.endpoint
@@ -75,31 +76,29 @@
         """
         incarnation = 1
         for _ in range(2):
-            if machine.reconciled or not machine.endpoint or not self.term.valid():
+            if machine.reconciled or not machine.endpoint or not self.context.valid():
                 return
             try:
                 answer = await self._command(machine, incarnation, [], timeout)
                 heartbeat = shape(answer.body, Heartbeat)
             except RETRYABLE_ERRORS as error:
-                self.term.controller.log_throttled("join", error)
+                self.context.log_throttled("join", error)
                 return
             if heartbeat.worker != machine.name:
                 return
             if answer.status == 200:
-                self.term.ledger.handle_heartbeat(heartbeat, self.term.now(), direct=True)
+                self.context.ledger.handle_heartbeat(heartbeat, self.context.now(), direct=True)
                 return
             incarnation = heartbeat.incarnation
 
     async def unresponsive_loop(self) -> None:
         """Machines that nothing seems to reach: whether a direct call does."""
         while True:
-            await self.term.controller.sleep_with_jitter(
-                self.term.limits.workers.heartbeat_interval_s
-            )
+            await self.context.sleep_with_jitter(self.context.limits.workers.heartbeat_interval_s)
             left = iter(
                 [
                     machine
-                    for machine in self.term.ledger.machines.values()
+                    for machine in self.context.ledger.machines.values()
                     if machine.unresponsive_since is not None
                     and machine.endpoint
                     and not machine.terminating
@@ -123,12 +122,10 @@
         and of many that share theirs no answer decides anything.
         """
         while True:
-            await self.term.controller.sleep_with_jitter(
-                self.term.limits.workers.heartbeat_interval_s
-            )
-            if not self.term.valid():
+            await self.context.sleep_with_jitter(self.context.limits.workers.heartbeat_interval_s)
+            if not self.context.valid():
                 continue
-            left = iter(self._unreachable_machines(self.term.now()))
+            left = iter(self._unreachable_machines(self.context.now()))
 
             async def some(left: Iterator[Machine] = left) -> None:
                 for machine in left:
@@ -151,18 +148,18 @@
         if machine.reconciled:
             return False
         fresh_s = (
-            placement.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
+            placement.FRESH_HEARTBEAT_INTERVALS * self.context.limits.workers.heartbeat_interval_s
         )
-        heartbeats_arrive = self.term.now() - machine.links.last_received_at <= fresh_s
+        heartbeats_arrive = self.context.now() - machine.links.last_received_at <= fresh_s
         return machine.phase == UP or heartbeats_arrive
 
     def _unreachable_machines(self, now: float) -> list[Machine]:
         fresh_s = (
-            placement.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
+            placement.FRESH_HEARTBEAT_INTERVALS * self.context.limits.workers.heartbeat_interval_s
         )
         return [
             machine
-            for machine in self.term.ledger.machines.values()
+            for machine in self.context.ledger.machines.values()
             if machine.endpoint
             and not machine.terminating
             and machine.unresponsive_since is None  # those have a loop of their own
@@ -182,7 +179,7 @@
         with contextlib.suppress(UnansweredError):
             answer = await self._command(machine, machine.incarnation, [], PROBE_S)
             if answer.status in (200, 409):
-                machine_health.mark_responsive(self.term.ledger, machine, self.term.now())
+                machine_health.mark_responsive(self.context.ledger, machine, self.context.now())
 
     def send_stops(self) -> None:
         """Tell stops at once, rather than in the answer to the next heartbeat.
@@ -191,11 +188,11 @@
         reports repeat it. Starts are never sent like this: a late one would start a task that
         has meanwhile been started elsewhere, cancelled or reaped.
         """
-        if not self.term.permits(
+        if not self.context.permits(
             Action.STOP, Precondition.TOKEN_ACCEPTED
         ):  # asked of each machine below
             return
-        wanted, self.term.ledger.stops = self.term.ledger.stops, []
+        wanted, self.context.ledger.stops = self.context.ledger.stops, []
         commands: dict[Machine, list[Command]] = {}
         for binding in wanted:
             machine = binding.machine
@@ -211,11 +208,11 @@
                     StopCommand(binding.task_id, binding.attempt, binding.stop_grace_s)
                 )
         for machine, stops in commands.items():
-            self.term.spawn(self.send(machine, stops[:MAX_COMMANDS]))
+            self.term.background.spawn(self.send(machine, stops[:MAX_COMMANDS]))
 
     async def send(self, machine: Machine, commands: list[Command]) -> None:
         """Send commands once; answers to the worker's heartbeats repeat them."""
         try:
             await self._command(machine, machine.incarnation, commands, STOP_S)
         except UnansweredError as error:
-            self.term.controller.log_throttled("direct stop", error)
+            self.context.log_throttled("direct stop", error)
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -31,6 +31,7 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
+        self.context = term.context
         self.earlier: dict[str, int] = {}  # permissions of earlier leaders, and their revisions
 
     async def load(self) -> None:
@@ -40,31 +41,33 @@
         so that no permission is written any more, late or not. A question alone is none.
         """
         term = self.term
-        questions, _ = await term.state_store.list_prefix(records.DELEGATION_REQUESTS)
+        questions, _ = await term.context.state_store.list_prefix(records.DELEGATION_REQUESTS)
         members = {key.removeprefix(records.DELEGATION_REQUESTS) for key in questions}
         permissions: dict[str, VersionedValue] = {}
         if term.link_loop is not None:
-            permissions, _ = await term.state_store.list_prefix(records.DELEGATIONS)
+            permissions, _ = await term.context.state_store.list_prefix(records.DELEGATIONS)
         self.earlier = {key: revision for key, (_, revision) in permissions.items()}
-        term.ledger.leases.counted_from = term.now()
+        term.context.ledger.leases.counted_from = term.context.now()
         if term.link_loop is not None:
             # Whenever a leader ends, its peers miss it, and ask before there is a new one. Each
             # crash of a leader on prairie-ledger-hunt held the failover up by a third of a lease.
             members &= {key.removeprefix(records.DELEGATIONS) for key in permissions}
         if members:
-            term.ledger.leases.counted_from = counted_until(term.now(), term.clock.ttl)
+            term.context.ledger.leases.counted_from = counted_until(
+                term.context.now(), term.context.clock.ttl
+            )
 
     async def loop(self) -> None:
         """Answer what controllers ask."""
         since = self.term.job_records.since
         while True:
             try:
-                events, since = await self.term.state_store.watch(
+                events, since = await self.context.state_store.watch(
                     records.DELEGATION_REQUESTS, since, WATCH_S
                 )
                 for event in events:
                     value = event.get("value")
-                    if type(value) is not dict or value.get("token") != self.term.fencing_token:
+                    if type(value) is not dict or value.get("token") != self.context.fencing_token:
                         continue
                     if "set" in event:
                         await self.allow(
@@ -72,34 +75,36 @@
                         )
             except CompactedError:
                 since = self.term.job_records.since
-                await self.term.controller.sleep_with_jitter(RETRY_S)
+                await self.context.sleep_with_jitter(RETRY_S)
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.log_throttled("keep", error)
-                await self.term.controller.sleep_with_jitter(RETRY_S)
+                self.context.log_throttled("keep", error)
+                await self.context.sleep_with_jitter(RETRY_S)
 
     async def allow(self, member: str, value: dict[str, Any]) -> None:
         """Let a controller behind a cut answer its zone's workers for a while."""
         term = self.term
-        if not term.ledger.ready:
+        if not term.context.ledger.ready:
             return  # a zone that is kept would hold up the failover for as long as the cut
         # Counted before it is allowed, so that whatever becomes of the write errs late.
-        until = counted_until(term.now(), term.clock.ttl)
-        if term.ledger.leases.delegate_zone(str(value.get("area")), until):
-            permission = {"token": term.fencing_token, "nonce": value.get("nonce")}
-            await term.transaction({}, [put(records.DELEGATIONS + member, permission)], urgent=True)
+        until = counted_until(term.context.now(), term.context.clock.ttl)
+        if term.context.ledger.leases.delegate_zone(str(value.get("area")), until):
+            permission = {"token": term.context.fencing_token, "nonce": value.get("nonce")}
+            await term.context.transaction(
+                {}, [put(records.DELEGATIONS + member, permission)], urgent=True
+            )
 
     async def forget_loop(self) -> None:
         """Drop earlier leaders' permissions once they are over, so that no failover counts them."""
         while self.earlier:
             await asyncio.sleep(
-                max(0.0, self.term.ledger.leases.counted_from - self.term.now()) + RETRY_S
+                max(0.0, self.context.ledger.leases.counted_from - self.context.now()) + RETRY_S
             )
             key, revision = next(iter(self.earlier.items()))
             try:
-                await self.term.transaction({key: revision}, [delete(key)], bulk=True)
+                await self.context.transaction({key: revision}, [delete(key)], bulk=True)
             except ConflictError:
                 pass  # this leader has allowed something since
             except RETRYABLE_ERRORS as error:
-                self.term.controller.log_throttled("keep", error)
+                self.context.log_throttled("keep", error)
                 continue
             del self.earlier[key]
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -33,16 +33,17 @@
 
     def __init__(self, term: Term, policy: ZonePolicy, networks: list[Network]) -> None:
         self.term = term
-        now = term.now()
+        self.context = term.context
+        now = term.context.now()
         self.recovery = ZoneRecovery(
-            term.ledger,
+            term.context.ledger,
             policy,
             term.controller.rng,
             now,
-            term.ledger.wall_ahead + now,
+            term.context.ledger.wall_ahead + now,
             _silence_of(networks),
         )
-        term.ledger.zone_hooks = self.recovery
+        term.context.ledger.zone_hooks = self.recovery
 
     async def loop(self) -> None:
         """Until the term ends; then this controller says nothing of zones any more."""
@@ -54,42 +55,42 @@
 
     async def _follow(self) -> None:
         while True:
-            if self.term.valid():  # else others lead, and what is silent here says nothing
-                self.recovery.observe(self.term.now())
+            if self.context.valid():  # else others lead, and what is silent here says nothing
+                self.recovery.observe(self.context.now())
                 self._show()
             try:
                 await self._write()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.log_throttled("zones", error)
-            await self.term.controller.sleep_with_jitter(OBSERVE_INTERVAL_S)
+                self.context.log_throttled("zones", error)
+            await self.context.sleep_with_jitter(OBSERVE_INTERVAL_S)
 
     async def _load(self) -> None:
         """Go on from the records; without them, the zones are as they are seen."""
-        while not self.term.ledger.ready:
+        while not self.context.ledger.ready:
             try:
-                rows, _ = await self.term.state_store.list_prefix(records.ZONES)
+                rows, _ = await self.context.state_store.list_prefix(records.ZONES)
             except RETRYABLE_ERRORS as error:
-                self.term.controller.log_throttled("zones", error)
-                await self.term.controller.sleep_with_jitter(OBSERVE_INTERVAL_S)
+                self.context.log_throttled("zones", error)
+                await self.context.sleep_with_jitter(OBSERVE_INTERVAL_S)
                 continue
             values = {path: value for path, (value, _) in rows.items()}
-            self.recovery.load(values, self.term.now())
+            self.recovery.load(values, self.context.now())
             return
 
     async def _write(self) -> None:
-        now = self.term.now()
+        now = self.context.now()
         rows = list(self.recovery.unwritten(now).items())
-        most = self.term.state_limits.txn_ops
+        most = self.context.state_limits.txn_ops
         for at in range(0, len(rows), most):
             part = rows[at : at + most]
             covered = self.recovery.covered([zone for zone, _ in part], now)
-            await self.term.transaction(
+            await self.context.transaction(
                 {}, [put(key, value) for _, (key, value) in part], bulk=True
             )
             self.recovery.wrote(covered)
 
     def _show(self) -> None:
-        for view in self.recovery.views(self.term.now()):
+        for view in self.recovery.views(self.context.now()):
             for phase in ZonePhase:
                 metrics.ZONES.labels(view.name, phase.value).set(view.phase is phase)
             metrics.ZONE_OPEN.labels(view.name).set(view.open_machines)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -670,7 +670,7 @@
         assert await world.cancel("req-1") == "aborted"
         assert leader.term is not None
         again = msgspec.structs.replace(world.specs["req-1"], at=1000.0)
-        leader.term.job_records.add_job(again, leader.term.revision + 1)
+        leader.term.job_records.add_job(again, leader.term.context.revision + 1)
         await asyncio.sleep(10.0)
         assert "req-1" not in leader.term.ledger.jobs
         return world
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -153,7 +153,7 @@
             await asyncio.sleep(0.05)
         term, clock = leader.term, [0.0]
         leader.now = lambda: world.now() + clock[0]
-        term.now = leader.now
+        term.context.now = leader.now
         inner = term.ledger.handle_heartbeat
 
         def handle_heartbeat(*words: Any, **more: Any) -> Any:
