--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -22,6 +22,7 @@
 from salthead.errors import UnavailableError
 from salthead.event_log import event
 from salthead.failure_detection.preconditions import Action, Precondition, permits
+from salthead.leader.overview import Overview
 from salthead.leader.term import Term
 from salthead.leases import leader_lease
 from salthead.policy import NO_POLICY, Policy
@@ -332,7 +333,7 @@
             return read
         raise UnavailableError("no leader")
 
-    async def overview(self) -> dict[str, Any]:
+    async def overview(self) -> Overview | dict[str, Any]:
         """Queue and fleet, from the leader wherever it is."""
         term = self.leading()
         if term is not None:
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -4,17 +4,16 @@
 
 import asyncio
 import logging
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Mapping
 
 from salthead import metrics
 from salthead.event_log import event
 from salthead.failure_detection.preconditions import Action, Precondition
+from salthead.leader.context import TermContext
 from salthead.leader.peer_calls import ask_connectivity, ask_to_withhold_vote
 from salthead.leases.leader_lease import stickiness_s
 from salthead.state_store.client import RETRYABLE_ERRORS, LeaseExpiredError
-
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
+from salthead.transport.client import Caller
 
 log = logging.getLogger(__name__)
 
@@ -24,9 +23,24 @@
 class Leadership:
     """The loops that renew the lease of a term, and that end the term when it should not lead."""
 
-    def __init__(self, term: Term) -> None:
-        self.term = term
-        self.context = term.context
+    def __init__(
+        self,
+        context: TermContext,
+        member: str,
+        peers: Mapping[str, Caller],
+        withhold_vote: Callable[[float], bool],
+        handover_factor: float = 1.0,
+    ) -> None:
+        """``withhold_vote`` keeps this controller from campaigning for a while, from a given time.
+
+        ``handover_factor``: how many times as many workers a peer has to hear to be handed the
+        leadership.
+        """
+        self.context = context
+        self.member = member
+        self.peers = peers
+        self.withhold_vote = withhold_vote
+        self.handover_factor = handover_factor
         self.renewal_failed = False
         self.votes_withheld = False
 
@@ -66,7 +80,7 @@
 
     async def stickiness_loop(self) -> None:
         """While renewals fail, ask all peers for their promise not to stand."""
-        peers = self.term.controller.peers
+        peers = self.peers
         every = stickiness_s(self.context.clock.ttl) / 5
         while True:
             await asyncio.sleep(every)
@@ -77,10 +91,7 @@
                 continue
             sent = self.context.now()
             given = await asyncio.gather(
-                *(
-                    ask_to_withhold_vote(peer, self.term.controller.settings.member, every * 2)
-                    for peer in peers.values()
-                )
+                *(ask_to_withhold_vote(peer, self.member, every * 2) for peer in peers.values())
             )
             counts = all(given) and self.context.clock.votes_withheld_by_all(
                 sent, self.context.now()
@@ -123,9 +134,7 @@
             heard, silent = self.context.ledger.heartbeat_counts(now)
             if silent <= heard or now - self.context.ledger.term_started_at < grace_s + 1.0:
                 continue
-            found = await asyncio.gather(
-                *(ask_connectivity(peer) for peer in self.term.controller.peers.values())
-            )
+            found = await asyncio.gather(*(ask_connectivity(peer) for peer in self.peers.values()))
             elsewhere = max(
                 (connectivity.redirected for connectivity in found if connectivity is not None),
                 default=0,
@@ -140,7 +149,7 @@
                     "resigning", heard=heard, silent=silent, heartbeats_elsewhere=elsewhere
                 )
                 # Longer than an election, so that a controller that hears the workers wins it.
-                self.term.controller.leader_stickiness.withhold_vote(self.context.now())
+                self.withhold_vote(self.context.now())
                 return
 
     def clearly_more(self, elsewhere: int, heard: int) -> bool:
@@ -151,6 +160,4 @@
         between: the peer hears that many times as many as this controller, and can't resign for the
         reverse.
         """
-        policy = self.term.controller.policy.partial_cuts
-        factor = policy.handover_factor if policy is not None and policy.enabled else 1.0
-        return elsewhere > factor * heard
+        return elsewhere > self.handover_factor * heard
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
 from salthead.cluster.model import Machine
@@ -12,13 +12,13 @@
 from salthead.failure_detection.preconditions import action_name, precondition_names
 from salthead.failure_detection.shared_silence import SharedSilence
 from salthead.heartbeats import handling
-from salthead.leader.context import PAUSE_FACTOR
+from salthead.leader.context import PAUSE_FACTOR, TermContext
+from salthead.leader.declared_networks import network_silence
+from salthead.leader.overview import BlockedActionRow, CutRow, LinkOverview, LinkRow, PeerRow
 from salthead.leader.peer_calls import PeerConnectivity, ask_connectivity
 from salthead.policy import Network, PartialCutPolicy
 from salthead.scheduling.placement import FRESH_HEARTBEAT_INTERVALS
-
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
+from salthead.transport.client import Caller
 
 PEER_CHECK_INTERVAL_S = 2.0
 BLOCKED_SHOWN_S = 60.0
@@ -36,34 +36,43 @@
     return None if seconds is None else round(seconds, 1)
 
 
+def _link_row(view: LinkView) -> LinkRow:
+    return LinkRow(
+        group=view.group,
+        machines=view.machines,
+        both_ways=view.counts.get(LinkState.BOTH_WAYS, 0),
+        heartbeats_only=view.counts.get(LinkState.HEARTBEATS_ONLY, 0),
+        commands_only=view.counts.get(LinkState.COMMANDS_ONLY, 0),
+        silent=view.counts.get(LinkState.SILENT, 0),
+        since_s=round(view.since_s, 1),
+        diagnosis=view.diagnosis,
+    )
+
+
 class LinkLoop:
     """Follows the links while the term lasts; what it finds decides nothing by itself."""
 
-    def __init__(self, term: Term, policy: PartialCutPolicy, networks: list[Network]) -> None:
-        self.term = term
-        self.context = term.context
-        self.ledger = term.context.ledger
+    def __init__(
+        self,
+        context: TermContext,
+        peers: Mapping[str, Caller],
+        policy: PartialCutPolicy,
+        networks: list[Network],
+    ) -> None:
+        self.context = context
+        self.peers = peers
+        self.ledger = context.ledger
         self.silence = SharedSilence(
-            term.context.ledger, policy, term.context.now(), self._follow_networks(networks)
+            context.ledger, policy, context.now(), network_silence(networks)
         )
-        term.context.ledger.shared_silence = self.silence
-        self.peers: dict[str, PeerAnswer] = {}
-
-    @staticmethod
-    def _follow_networks(networks: list[Network]) -> Any:
-        if not networks:
-            return None
-        # Here, so that the library is loaded only where networks are declared.
-        from salthead.networks.directory import NetworkDirectory
-        from salthead.networks.silence import NetworkSilence
-
-        return NetworkSilence(NetworkDirectory(networks))
+        context.ledger.shared_silence = self.silence
+        self.answers: dict[str, PeerAnswer] = {}  # of peers, by member
 
     async def loop(self) -> None:
         """Until the term ends; then this controller confirms nothing any more."""
         try:
             while True:
-                await asyncio.gather(*(self._ask(member) for member in self.term.controller.peers))
+                await asyncio.gather(*(self._ask(member) for member in self.peers))
                 began = self.context.now()
                 if self.context.valid():
                     self._show()
@@ -75,10 +84,10 @@
 
     async def _ask(self, member: str) -> None:
         sent = self.context.now()
-        found = await ask_connectivity(self.term.controller.peers[member], leads=True)
+        found = await ask_connectivity(self.peers[member], leads=True)
         if found is None:
             return
-        self.peers[member] = PeerAnswer(sent, found)
+        self.answers[member] = PeerAnswer(sent, found)
         for seen in found.seen:
             shows_fencing_token = seen.fencing_token == self.context.fencing_token
             handling.heartbeat_seen_by_peer(
@@ -107,43 +116,36 @@
             self.ledger.machines.values(), self._group_of, self.context.now(), fresh_s
         )
 
-    def overview(self) -> dict[str, Any]:
+    def overview(self) -> LinkOverview:
         """The rows of the operators' overview."""
         now = self.context.now()
-        return {
-            "links": [
-                {
-                    "group": view.group,
-                    "machines": view.machines,
-                    **{state.value: view.counts.get(state, 0) for state in LinkState},
-                    "since_s": round(view.since_s, 1),
-                    "diagnosis": view.diagnosis,
-                }
-                for view in self.worker_views()
-            ],
-            "controllers": [
-                {
-                    "name": member,
-                    "answered_s": round(now - found.asked_at, 1),
-                    "state_service_s": _rounded(found.connectivity.state_service_s),
-                    "workers_there": found.connectivity.redirected,
-                }
-                for member, found in self.peers.items()
-            ],
-            "withheld": [
-                {
-                    "action": action_name(action),
-                    "lacking": ", ".join(precondition_names(missing)),
-                    "count": row.count,
-                    "since_s": round(now - row.first_at, 1),
-                    "last_s": round(now - row.last_at, 1),
-                }
-                for action, missing, row in self.ledger.blocked_actions.recent(
-                    now - BLOCKED_SHOWN_S
+        return LinkOverview(
+            links=[_link_row(view) for view in self.worker_views()],
+            controllers=[
+                PeerRow(
+                    member=member,
+                    answered_s=round(now - answer.asked_at, 1),
+                    state_service_s=_rounded(answer.connectivity.state_service_s),
+                    redirected_workers=answer.connectivity.redirected,
                 )
+                for member, answer in self.answers.items()
             ],
-            "cuts": [
-                {"group": name, "since_s": round(now - since, 1)}
+            blocked_actions=self._blocked_action_rows(now),
+            cuts=[
+                CutRow(name, round(now - since, 1))
                 for name, since in self.silence.cut_since.items()
             ],
-        }
+        )
+
+    def _blocked_action_rows(self, now: float) -> list[BlockedActionRow]:
+        recent = self.ledger.blocked_actions.recent(now - BLOCKED_SHOWN_S)
+        return [
+            BlockedActionRow(
+                action=action_name(action),
+                missing=", ".join(precondition_names(missing)),
+                count=row.count,
+                since_s=round(now - row.first_at, 1),
+                last_s=round(now - row.last_at, 1),
+            )
+            for action, missing, row in recent
+        ]
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -91,12 +91,22 @@
         self.unschedulable: set[str] = set()  # jobs that found no machine at the last pass
         self.job_records = JobRecords(self)
         self.autoscaler = Autoscaler(self)
-        self.leadership = Leadership(self)
+        self.leadership = Leadership(
+            self.context,
+            controller.settings.member,
+            controller.peers,
+            controller.leader_stickiness.withhold_vote,
+            self._handover_factor(),
+        )
         self.worker_calls = WorkerCalls(self)
         self.zone_lease_delegations = ZoneLeaseDelegations(self)
-        self.views = Views(self)
         self.zone_loop = self._zone_loop()
         self.link_loop = self._link_loop()
+        self.views = Views(self.context, controller.settings.member, self.zone_loop, self.link_loop)
+
+    def _handover_factor(self) -> float:
+        policy = self.controller.policy.partial_cuts
+        return policy.handover_factor if policy is not None and policy.enabled else 1.0
 
     def _zone_loop(self) -> ZoneLoop | None:
         policy = self.controller.policy.zone_recovery
@@ -105,7 +115,7 @@
         # Here, so that its libraries are loaded only where the policy asks for them.
         from salthead.leader.zone_loop import ZoneLoop
 
-        return ZoneLoop(self, policy, self.controller.policy.networks)
+        return ZoneLoop(self.context, policy, self.controller.policy.networks, self.controller.rng)
 
     def _link_loop(self) -> LinkLoop | None:
         policy = self.controller.policy.partial_cuts
@@ -114,7 +124,9 @@
         # Here, as above.
         from salthead.leader.link_loop import LinkLoop
 
-        return LinkLoop(self, policy, self.controller.policy.networks)
+        return LinkLoop(
+            self.context, self.controller.peers, policy, self.controller.policy.networks
+        )
 
     def valid(self) -> bool:
         """Whether this term may act now."""
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -3,14 +3,19 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
+
+import msgspec
 
 from salthead import metrics
 from salthead.cluster.model import UP, Job, Machine
+from salthead.leader.context import TermContext
+from salthead.leader.overview import JobRow, MachineRow, NetworkRow, Overview, TeamRow, ZoneRow
 from salthead.scheduling import placement
 
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
+if TYPE_CHECKING:  # these load libraries that only some policies need
+    from salthead.leader.link_loop import LinkLoop
+    from salthead.leader.zone_loop import ZoneLoop
     from salthead.networks.silence import NetworkView
     from salthead.zones.recovery import ZoneView
 
@@ -21,114 +26,124 @@
 OVERVIEW_DEPENDENCIES = 3
 
 
-def _zone_row(view: ZoneView) -> dict[str, Any]:
-    return {
-        "name": view.name,
-        "state": view.phase.value,
-        "since_s": round(view.since_s, 1),
-        "reason": view.reason,
-        "machines": view.machines,
-        "unheard": view.unheard,
-        "open": view.open_machines,
-        "held_back_by": view.held_back_by,
-    }
+def _zone_row(view: ZoneView) -> ZoneRow:
+    return ZoneRow(
+        name=view.name,
+        state=view.phase.value,
+        since_s=round(view.since_s, 1),
+        reason=view.reason,
+        machines=view.machines,
+        silent=view.unheard,
+        open_machines=view.open_machines,
+        held_back_by=view.held_back_by,
+    )
 
 
-def _network_row(view: NetworkView) -> dict[str, Any]:
-    return {
-        "name": view.name,
-        "prefix": view.prefix,
-        "machines": view.machines,
-        "unheard": view.unheard,
-    }
+def _network_row(view: NetworkView) -> NetworkRow:
+    return NetworkRow(view.name, view.prefix, view.machines, view.unheard)
 
 
 class Views:
     """What operators are shown of one term."""
 
-    def __init__(self, term: Term) -> None:
-        self.term = term
-        self.context = term.context
-        self.ledger = term.context.ledger
-        self.now = term.context.now
-        self.shown = -FLEET_LOG_INTERVAL_S
-        self.accounted = term.context.now()
-        self.spent: dict[str, float] = {}
-
-    def overview(self) -> dict[str, Any]:
+    def __init__(
+        self,
+        context: TermContext,
+        member: str,
+        zone_loop: ZoneLoop | None,
+        link_loop: LinkLoop | None,
+    ) -> None:
+        self.context = context
+        self.member = member
+        self.zone_loop = zone_loop
+        self.link_loop = link_loop
+        self.ledger = context.ledger
+        self.now = context.now
+        self.fleet_logged_at = -FLEET_LOG_INTERVAL_S
+        self.accounted_at = context.now()
+        self.spent: dict[str, float] = {}  # CPU-seconds, by what they were spent on
+
+    def overview(self) -> Overview:
         """Queue and fleet for operators, cut to what fits into an answer."""
         ledger, now = self.ledger, self.now()
-        recovery = self.term.zone_loop.recovery if self.term.zone_loop is not None else None
-        links = self.term.link_loop.overview() if self.term.link_loop is not None else {}
+        recovery = self.zone_loop.recovery if self.zone_loop is not None else None
+        links = self.link_loop.overview() if self.link_loop is not None else None
         jobs = sorted(ledger.jobs.values(), key=lambda job: job.spec.at)
         machines = sorted(ledger.machines.values(), key=lambda machine: machine.name)
-        return links | {
-            "leader": self.term.controller.settings.member,
-            "token": self.context.fencing_token,
-            "ready": ledger.ready,
-            "teams": self._team_rows(),
-            "jobs": [
+        found = Overview(
+            leader=self.member,
+            fencing_token=self.context.fencing_token,
+            ready=ledger.ready,
+            teams=self._team_rows(),
+            jobs=[
                 self._job_row(job, recovery.reason(job) if recovery is not None else "")
                 for job in jobs[:OVERVIEW_ROWS]
             ],
-            "jobs_total": len(jobs),
-            "machines": [self._machine_row(machine, now) for machine in machines[:OVERVIEW_ROWS]],
-            "machines_total": len(machines),
-            "zones": [_zone_row(view) for view in recovery.views(now)] if recovery else [],
-            "networks": [_network_row(view) for view in recovery.network_views()]
-            if recovery
-            else [],
-        }
-
-    def _team_rows(self) -> list[dict[str, Any]]:
+            jobs_total=len(jobs),
+            machines=[self._machine_row(machine, now) for machine in machines[:OVERVIEW_ROWS]],
+            machines_total=len(machines),
+            zones=[_zone_row(view) for view in recovery.views(now)] if recovery else [],
+            networks=[_network_row(view) for view in recovery.network_views()] if recovery else [],
+        )
+        if links is None:
+            return found
+        return msgspec.structs.replace(
+            found,
+            links=links.links,
+            controllers=links.controllers,
+            blocked_actions=links.blocked_actions,
+            cuts=links.cuts,
+        )
+
+    def _team_rows(self) -> list[TeamRow]:
         ledger = self.ledger
         return [
-            {
-                "name": name,
-                "cpus": round(ledger.usage[n][0], 3),
-                "guaranteed": ledger.guarantees[n][0],
-                "most": ledger.team_limits[n][0],
-            }
-            for n, name in enumerate(ledger.team_names.names)
+            TeamRow(
+                name=name,
+                cpus=round(ledger.usage[team][0], 3),
+                guaranteed=ledger.guarantees[team][0],
+                limit=ledger.team_limits[team][0],
+            )
+            for team, name in enumerate(ledger.team_names.names)
         ]
 
-    def _job_row(self, job: Job, reason: str) -> dict[str, Any]:
+    def _job_row(self, job: Job, reason: str) -> JobRow:
         phase, done, running = self.ledger.phase_of(job)
-        return {
-            "uid": job.job_id,
-            "crew": job.spec.team,
-            "breed": job.spec.job_class,
-            "urgency": job.spec.urgency,
-            "phase": phase,
-            "waiting": job.waiting(),
-            "running": running,
-            "done": done,
-            "pieces": job.spec.task_count,
-            "awaits": self.ledger.unfinished_dependencies(job.job_id, OVERVIEW_DEPENDENCIES),
-            "reason": reason,
-        }
-
-    def _machine_row(self, machine: Machine, now: float) -> dict[str, Any]:
+        return JobRow(
+            job_id=job.job_id,
+            team=job.spec.team,
+            job_class=job.spec.job_class,
+            urgency=job.spec.urgency,
+            phase=phase,
+            waiting=job.waiting(),
+            running=running,
+            done=done,
+            task_count=job.spec.task_count,
+            depends_on=self.ledger.unfinished_dependencies(job.job_id, OVERVIEW_DEPENDENCIES),
+            reason=reason,
+        )
+
+    def _machine_row(self, machine: Machine, now: float) -> MachineRow:
         notes = [
             machine.quarantine_reason,
             "cordoned" if machine.cordoned else "",
             f"kept for {machine.reserved_for}" if now < machine.reserved_until else "",
             "is taken soon" if machine.reclaim_at is not None else "",
         ]
-        return {
-            "name": machine.name,
-            "build": self.ledger.type_names[machine.machine_type],
-            "zone": self.ledger.zones[machine.zone],
-            "kind": "spot" if machine.spot else "ordinary",
-            "phase": machine.phase,
-            "cpus": machine.capacity.cpus,
-            "used": round(machine.allocated.cpus, 3),
-            "note": ", ".join(note for note in notes if note),
-        }
+        return MachineRow(
+            name=machine.name,
+            machine_type=self.ledger.type_names[machine.machine_type],
+            zone=self.ledger.zones[machine.zone],
+            kind="spot" if machine.spot else "ordinary",
+            phase=machine.phase,
+            cpus=machine.capacity.cpus,
+            used=round(machine.allocated.cpus, 3),
+            note=", ".join(note for note in notes if note),
+        )
 
     def account(self, now: float) -> None:
         """Where the rented CPU-seconds go: the metric behind price and useful share."""
-        passed, self.accounted = now - self.accounted, now
+        passed, self.accounted_at = now - self.accounted_at, now
         for machine in self.ledger.machines.values():
             if machine.phase != UP:
                 self.spent[machine.phase] = (
@@ -147,7 +162,7 @@
 
     def show(self) -> None:
         """Set the metrics, and log a line about the fleet now and then."""
-        if self.now() - self.accounted < ACCOUNTING_INTERVAL_S:
+        if self.now() - self.accounted_at < ACCOUNTING_INTERVAL_S:
             return
         self.account(self.now())
         phases: dict[str, int] = {}
@@ -156,8 +171,8 @@
         for phase in ("up", "booting", "lost"):
             metrics.MACHINES.labels(phase).set(phases.get(phase, 0))
         now = self.now()
-        if now - self.shown >= FLEET_LOG_INTERVAL_S:
-            self.shown = now
+        if now - self.fleet_logged_at >= FLEET_LOG_INTERVAL_S:
+            self.fleet_logged_at = now
             machines = [m for m in self.ledger.machines.values() if m.phase == UP]
             log.info(
                 "fleet %s; %.0f of %.0f CPUs booked, %d idle; %d jobs, %d tasks waiting, %d bound; "
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -2,48 +2,41 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+import random
 
 from salthead import metrics
+from salthead.leader.context import TermContext
+from salthead.leader.declared_networks import network_silence
 from salthead.policy import Network, ZonePolicy
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, put
 from salthead.zones import records
 from salthead.zones.recovery import ZoneRecovery
 from salthead.zones.state import ZonePhase
 
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
-    from salthead.networks.silence import NetworkSilence
-
 OBSERVE_INTERVAL_S = 1.0
 
 
-def _silence_of(networks: list[Network]) -> NetworkSilence | None:
-    if not networks:
-        return None
-    # Here, so that the library is loaded only where networks are declared.
-    from salthead.networks.directory import NetworkDirectory
-    from salthead.networks.silence import NetworkSilence
-
-    return NetworkSilence(NetworkDirectory(networks))
-
-
 class ZoneLoop:
     """Observes the zones each second; what changed is written behind."""
 
-    def __init__(self, term: Term, policy: ZonePolicy, networks: list[Network]) -> None:
-        self.term = term
-        self.context = term.context
-        now = term.context.now()
+    def __init__(
+        self,
+        context: TermContext,
+        policy: ZonePolicy,
+        networks: list[Network],
+        rng: random.Random,
+    ) -> None:
+        self.context = context
+        now = context.now()
         self.recovery = ZoneRecovery(
-            term.context.ledger,
+            context.ledger,
             policy,
-            term.controller.rng,
+            rng,
             now,
-            term.context.ledger.wall_ahead + now,
-            _silence_of(networks),
+            context.ledger.wall_ahead + now,
+            network_silence(networks),
         )
-        term.context.ledger.zone_hooks = self.recovery
+        context.ledger.zone_hooks = self.recovery
 
     async def loop(self) -> None:
         """Until the term ends; then this controller says nothing of zones any more."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -298,7 +298,7 @@
             found.quarantine_reason, found.reclaim_at = "fails its tasks", world.now()
             led.capacity_index.reserve(found, f"req-{n:06d}", world.now() + 60.0)
             job(led, job_id=f"req-{n:06d}", team="blue", job_class="b" * 60, task_count=100_000)
-        return dict(leader.term.views.overview())
+        return dict(msgspec.to_builtins(leader.term.views.overview()))
 
     found = run(day)
     assert found["jobs_total"] == found["machines_total"] == 1000
