--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -2,24 +2,21 @@
 
 from __future__ import annotations
 
-import logging
-from collections.abc import Iterable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Mapping
+from typing import Any
 
 from salthead.cluster import dependencies
-from salthead.cluster.model import Job
-from salthead.event_log import event
+from salthead.leader.context import TermContext
+from salthead.leader.controller_interface import JobLookup, TerminalOutcome
+from salthead.leader.done_task_pages import DoneTaskPages
+from salthead.leader.machine_registry import MachineRegistry
+from salthead.leader.save_loop import SaveLoop
 from salthead.protocol import wire_names
 from salthead.protocol.messages import MalformedMessageError, Submission
 from salthead.state_store import records
 from salthead.state_store.client import RETRYABLE_ERRORS, CompactedError
 from salthead.transport.client import UnansweredError
 
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
-
-log = logging.getLogger(__name__)
-
 # Between looks at what became of awaited jobs.
 DEPENDENCY_CHECK_INTERVAL_S = 0.2
 
@@ -27,123 +24,70 @@
 class JobRecords:
     """The records of jobs for one term, and what changes of them."""
 
-    def __init__(self, term: Term) -> None:
-        self.term = term
-        self.context = term.context
-        self.ledger = term.context.ledger
-        self.now = term.context.now
+    def __init__(
+        self,
+        context: TermContext,
+        save_loop: SaveLoop,
+        machine_registry: MachineRegistry,
+        job_lookup: JobLookup,
+        terminal_outcomes: Mapping[str, TerminalOutcome],
+    ) -> None:
+        self.context = context
+        self.ledger = context.ledger
+        self.now = context.now
+        self.save_loop = save_loop
+        self.done_tasks: DoneTaskPages = save_loop.done_tasks
+        self.machine_registry = machine_registry
+        self.job_lookup = job_lookup
+        self.terminal_outcomes = terminal_outcomes
         self.since = 0  # the epoch up to which the records are known
         self.incomplete: dict[str, None] = {}  # jobs whose record is continued, not read in full
 
     async def load(self) -> None:
-        """Read all that earlier leaders left."""
-        ledger = self.ledger
-        jobs, self.since = await self.context.state_store.list_prefix(records.JOBS)
-        parts, _ = await self.context.state_store.list_prefix(records.DONE_TASKS)
-        machine_registry, _ = await self.context.state_store.list_prefix(records.MACHINE_REGISTRY)
+        """Read all that earlier leaders left of jobs and machines."""
+        list_prefix = self.context.state_store.list_prefix
+        jobs, self.since = await list_prefix(records.JOBS)
+        done_tasks, _ = await list_prefix(records.DONE_TASKS)
+        machines, _ = await list_prefix(records.MACHINE_REGISTRY)
         now = self.now()
-        self.term.pages.parts, self.term.pages.machine_registry = self.term.pages.new_pages()
+        self.done_tasks.clear()
+        self.machine_registry.clear()
         # After the jobs: a record and what continues it are written together.
-        rows, _ = await self.context.state_store.list_prefix(records.DEPENDENCIES)
-        rest = {key: value for key, (value, _) in rows.items()}
+        rows, _ = await list_prefix(records.DEPENDENCIES)
+        continuations = {key: value for key, (value, _) in rows.items()}
         for key, (value, revision) in jobs.items():
-            self.take_row(key, value, revision, rest, loading=True)
-        self.term.pages.leftovers = {
-            key: job_id for key in rest if (job_id := key.split("/")[1]) not in ledger.jobs
+            self.take_row(key, value, revision, continuations, loading=True)
+        self.save_loop.leftovers = {
+            key: job_id
+            for key in continuations
+            if (job_id := key.split("/")[1]) not in self.ledger.jobs
         }
-        self.load_parts(
-            {key: value for key, (value, _) in parts.items()},
-            {key: revision for key, (_, revision) in parts.items()},
-        )
-        for key, (value, revision) in machine_registry.items():
-            self.term.pages.machine_registry.load(key, value, revision)
-            for name, (machine_type, zone, spot, endpoint) in value.items():
-                machine = ledger.add_machine(
-                    name, machine_type, zone, bool(spot), now, registered=True
-                )
-                machine.endpoint = machine.endpoint or str(endpoint or "")
-        await self.term.zone_lease_delegations.load()
-        ledger.loaded = True
-        event(
-            log,
-            "records_loaded",
-            fencing_token=ledger.fencing_token,
-            revision=self.since,
-            jobs=len(ledger.jobs),
-            machines=len(ledger.machines),
-            machine_types=len(ledger.machine_types),
-            leases_from=ledger.leases.counted_from,
+        self.done_tasks.load(
+            {key: value for key, (value, _) in done_tasks.items()},
+            {key: revision for key, (_, revision) in done_tasks.items()},
         )
-
-    def load_parts(self, pages: dict[str, dict[str, Any]], revisions: dict[str, int]) -> None:
-        """Done tasks as earlier terms saved them, whichever version wrote them."""
-        ledger = self.ledger
-        again: set[str] = set()
-        for key, content in pages.items():
-            self.term.pages.parts.load(key, content, revisions[key])
-            # A stretch may stand on two pages, if a writer ended between them: what either names
-            # is done.
-            for name, item in content.items():
-                job_id, done = self.term.pages.stretches.read(name, item)
-                job = ledger.jobs.get(job_id)
-                if job is not None:
-                    ledger.load_done(job, done)
-                    if not self.term.pages.stretches.own(item):
-                        again.add(job_id)
-        again |= {records.done_item_from(name)[0] for name in self.term.pages.parts.twice}
-        for name in list(self.term.pages.parts.where):
-            if records.done_item_from(name)[0] not in ledger.jobs:
-                self.term.pages.parts.drop(name)
-        for job_id in again & ledger.jobs.keys():
-            # Written by another size, or twice: once more, as this version writes it.
-            job = ledger.jobs[job_id]
-            self.set_parts(job, [n for n in range(job.spec.task_count) if job.done[n]])
-            own = set(self.term.pages.stretches.names(job_id, job.spec.task_count))
-            for name in [
-                n for n in self.term.pages.parts.where if records.done_item_from(n)[0] == job_id
-            ]:
-                if name not in own:
-                    self.term.pages.parts.drop(name)
-
-    def set_parts(self, job: Job, changed: Iterable[int]) -> None:
-        """Put the items that hold these tasks on the pages, as they are now."""
-        at: dict[int, None] = dict.fromkeys(
-            self.term.pages.stretches.base(index) for index in changed
-        )
-        ahead: list[str] = []
-        for base in sorted(at, reverse=True):
-            # The first cut of a stretch, whose name every version knows, comes after the others:
-            # it may hold them all as yet.
-            end = min(self.term.pages.stretches.end(base), job.spec.task_count)
-            name = self.term.pages.stretches.name(job.job_id, base)
-            first = base % self.term.pages.stretches.size == 0
-            self.term.pages.parts.set(
-                name,
-                self.term.pages.stretches.item(base, (n for n in range(base, end) if job.done[n])),
-                ahead if first else (),
-            )
-            ahead = [] if first else [*ahead, name]
+        self.machine_registry.load(machines, now)
 
     def take_row(
         self,
         key: str,
         value: Any,
         revision: int,
-        rest: dict[str, Any] | None = None,
+        continuations: dict[str, Any] | None = None,
         loading: bool = False,
     ) -> None:
-        """A job's record. ``rest`` has what continues it, if that was read."""
+        """A job's record. ``continuations`` has what continues it, if that was read."""
         try:
             spec = records.job_from(value)
             if spec.more:
-                if rest is None:
+                if continuations is None:
                     self.incomplete[spec.job_id] = None
                     return
                 spec.depends_on = (spec.depends_on or []) + [
                     job_id
                     for n in range(spec.more)
                     for job_id in records.dependencies_from(
-                        rest.get(records.dependencies_key(spec.job_id, n))
+                        continuations.get(records.dependencies_key(spec.job_id, n))
                     )
                 ]
         except MalformedMessageError as error:
@@ -170,10 +114,7 @@
         submission). Of this term's own outcomes ``finals`` holds many more than are written in the
         time for which an answer is waited for.
         """
-        return (
-            revision > self.context.revision
-            and job_id not in self.term.controller.terminal_outcomes
-        )
+        return revision > self.context.revision and job_id not in self.terminal_outcomes
 
     async def watch_loop(self) -> None:
         """Jobs that any controller accepted."""
@@ -211,9 +152,9 @@
     async def look_up(self, job_id: str) -> None:
         """Find out what became of a job that another depends on."""
         unresolved = self.ledger.dependency_graph.unresolved
-        found = self.term.controller.terminal_outcomes.get(job_id)
+        found = self.terminal_outcomes.get(job_id)
         if found is None or (found[0] == wire_names.DONE and found[2] is None):
-            found = await self.term.controller.job_reader.ended(job_id)
+            found = await self.job_lookup.ended(job_id)
         if found is not None:
             self.incomplete.pop(job_id, None)
             if job_id in unresolved:
@@ -223,7 +164,7 @@
         if row is None:
             raise UnansweredError(f"no record of {job_id}")
         if job_id not in self.ledger.jobs:
-            spec = await self.term.controller.job_reader.whole(records.job_from(row.value))
+            spec = await self.job_lookup.whole(records.job_from(row.value))
             self.incomplete.pop(job_id, None)
             self.ledger.add_job(
                 spec, self.now(), accepted_this_term=row.revision > self.context.revision
--- /dev/null
+++ b/src/salthead/leader/machine_list.py
@@ -0,0 +1,82 @@
+"""The loop that reads the cloud's list of machines into the ledger."""
+
+from __future__ import annotations
+
+import logging
+
+from salthead.cluster.model import BOOTING
+from salthead.leader.cloud import CloudClient
+from salthead.leader.context import TermContext
+from salthead.leader.machine_type_records import MachineTypeRecords
+from salthead.protocol import wire_names
+from salthead.protocol.messages import ListedMachine
+from salthead.state_store.client import RETRYABLE_ERRORS
+
+log = logging.getLogger(__name__)
+
+# Between two readings of the machine list: at least this, and so long that the list, which has a
+# call for each 500 machines, takes no more than this part of the calls; provisions and terminates
+# wait for their turn behind them.
+LIST_INTERVAL_S, MAX_LIST_CALL_SHARE = 2.0, 1 / 3
+
+
+class MachineListLoop:
+    """Finds the machines that the cloud has, and those of them that failed."""
+
+    def __init__(
+        self, context: TermContext, cloud: CloudClient, machine_type_records: MachineTypeRecords
+    ) -> None:
+        self.context = context
+        self.ledger = context.ledger
+        self.cloud = cloud
+        self.machine_type_records = machine_type_records
+
+    async def loop(self) -> None:
+        """Store the machine types and read the machine list, until the term ends."""
+        while True:
+            await self.machine_type_records.update()
+            calls = 1
+            try:
+                calls = await self.read()
+            except RETRYABLE_ERRORS as error:
+                self.context.log_throttled("cloud list", error)
+            await self.context.sleep_with_jitter(self.list_interval_s(calls))
+
+    def list_interval_s(self, calls: int) -> float:
+        """The pause in seconds after a reading of the list that took so many calls."""
+        reading_s = calls / self.cloud.budget.rate
+        return max(
+            LIST_INTERVAL_S,
+            2.0 / self.context.limits.cloud.rps,
+            reading_s * (1.0 / MAX_LIST_CALL_SHARE - 1.0),
+        )
+
+    async def read(self) -> int:
+        """Take in the cloud's list of machines; how many calls that took."""
+        start = ""
+        calls = 0
+        while True:
+            await self.cloud.wait_for_turn()
+            calls += 1
+            page = await self.cloud.list_page(start)
+            now = self.context.now()
+            for listed in page.machines:
+                start = listed.name
+                if listed.name not in self.ledger.recently_gone:  # else the list lags
+                    self._take(listed, now)
+            if not page.truncated:
+                return calls
+
+    def _take(self, listed: ListedMachine, now: float) -> None:
+        known = listed.name in self.ledger.machines
+        machine = self.ledger.add_machine(
+            listed.name, listed.machine_type, listed.zone, listed.spot, now
+        )
+        if not known:
+            log.info("machine %s found in the list (%s)", listed.name, listed.phase)
+            machine.provisioned_at = now - listed.age_s
+        elif machine.phase == BOOTING:
+            machine.provisioned_at = min(machine.provisioned_at, now - listed.age_s)
+        if listed.phase == wire_names.FAILED and not machine.quarantine_reason:
+            machine.quarantine_reason = "failed"
+            log.info("machine %s failed", listed.name)
--- /dev/null
+++ b/src/salthead/leader/orphan_jobs.py
@@ -0,0 +1,30 @@
+"""The loop of one term that finds out to which teams orphan tasks belong."""
+
+from __future__ import annotations
+
+from salthead.cluster import orphans
+from salthead.leader.context import TermContext
+from salthead.state_store import records
+from salthead.state_store.client import RETRYABLE_ERRORS
+
+CHECK_INTERVAL_S = 0.5
+
+
+class OrphanJobsLoop:
+    """Reads the outcomes of jobs that the ledger does not know and that have orphan tasks."""
+
+    def __init__(self, context: TermContext) -> None:
+        self.context = context
+        self.ledger = context.ledger
+
+    async def loop(self) -> None:
+        """Until the term ends; the team of such a job is charged for its tasks from then on."""
+        while True:
+            for job_id in list(self.ledger.unknown_jobs):
+                try:
+                    row = await self.context.state_store.get(records.outcome_key(job_id))
+                    if row is not None:
+                        orphans.identify_job(self.ledger, records.outcome_from(row.value)[1])
+                except RETRYABLE_ERRORS as error:
+                    self.context.log_throttled("stray task", error)
+            await self.context.sleep_with_jitter(CHECK_INTERVAL_S)
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -13,9 +13,13 @@
 import logging
 import time
 from itertools import islice
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from salthead.cluster.model import Job
+from salthead.leader.context import TermContext
+from salthead.leader.controller_interface import JobLookup
+from salthead.leader.save_loop import SaveLoop
+from salthead.leader.worker_calls import WorkerCalls
 from salthead.protocol import wire_names
 from salthead.state_store import records
 from salthead.state_store.client import (
@@ -27,34 +31,54 @@
 )
 from salthead.transport.client import UnansweredError
 
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
-
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.5
 
 
+def _phase_of(job: Job) -> str:
+    if job.complete and not job.dependency_cancelled:
+        return wire_names.DONE
+    return wire_names.ABORTED
+
+
+class OutcomeMemory(Protocol):
+    """Where a controller remembers outcomes."""
+
+    def __call__(self, job_id: str, phase: str, task_count: int, at: float | None = None) -> None:
+        """Remember a job's outcome."""
+
+
 class Outcomes:
-    """What becomes of jobs: wanted, in doubt, durable; and the loop that writes it."""
-
-    def __init__(self, term: Term) -> None:
-        self.term = term
-        self.context = term.context
-        self.controller = term.controller
-        self.ledger = term.context.ledger
-        self.due: dict[str, Job] = {}  # complete or to be cancelled, and not known to be durable
+    """What becomes of jobs: to be written, in doubt, durable; and the loop that writes it."""
+
+    def __init__(
+        self,
+        context: TermContext,
+        job_lookup: JobLookup,
+        remember_outcome: OutcomeMemory,
+        worker_calls: WorkerCalls,
+        save_loop: SaveLoop,
+    ) -> None:
+        self.context = context
+        self.ledger = context.ledger
+        self.job_lookup = job_lookup
+        self.remember_outcome = remember_outcome
+        self.worker_calls = worker_calls
+        self.save_loop = save_loop
+        # Jobs that are complete or to be cancelled, and not known to have a durable outcome.
+        self.pending_writes: dict[str, Job] = {}
         self.indeterminate: dict[str, str] = {}  # sent, by job, with the phase that was sent last
-        self.wanted = asyncio.Event()
-        self.tries: dict[str, asyncio.Future[None]] = {}  # of users who wait for a cancellation
+        self.write_requested = asyncio.Event()
+        self.waiters: dict[str, asyncio.Future[None]] = {}  # users who wait for a cancellation
 
     # -- what others ask ----------------------------------------------------------------
 
-    def want(self, job: Job) -> None:
+    def request_write(self, job: Job) -> None:
         """The job is complete or to be cancelled: its outcome is to be written."""
         if not job.terminal_phase:
-            self.due[job.job_id] = job
-            self.wanted.set()
+            self.pending_writes[job.job_id] = job
+            self.write_requested.set()
 
     def is_indeterminate(self, job: Job) -> bool:
         """Whether another controller may have told more of the job than this leader knows.
@@ -77,10 +101,10 @@
             # controller then confirms the cancellation, and the state service may be down from then
             # on.
             self.ledger.request_cancel(job)
-            self.term.worker_calls.send_stops()
-        self.want(job)
-        tried = self.tries.setdefault(job.job_id, asyncio.get_running_loop().create_future())
-        await asyncio.shield(tried)
+            self.worker_calls.send_stops()
+        self.request_write(job)
+        waiter = self.waiters.setdefault(job.job_id, asyncio.get_running_loop().create_future())
+        await asyncio.shield(waiter)
 
     # -- writing ------------------------------------------------------------------------
 
@@ -88,33 +112,33 @@
         """Outcomes, as soon as there are any: what awaits a job starts only after that."""
         try:
             while True:
-                await self.wanted.wait()
-                self.wanted.clear()
+                await self.write_requested.wait()
+                self.write_requested.clear()
                 try:
                     await self.save()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
-                    self.controller.log_throttled("outcomes", error)
+                    self.context.log_throttled("outcomes", error)
                     self._failed(error)
-                    self.wanted.set()
-                    await self.controller.sleep_with_jitter(RETRY_S)
+                    self.write_requested.set()
+                    await self.context.sleep_with_jitter(RETRY_S)
         finally:
             self._failed(UnansweredError("this term is over"))
 
     def _failed(self, error: Exception) -> None:
-        tries, self.tries = self.tries, {}
-        for tried in tries.values():
-            if not tried.done():
-                tried.set_exception(UnansweredError(str(error)))
-                tried.exception()  # whoever asked may have gone
+        waiters, self.waiters = self.waiters, {}
+        for waiter in waiters.values():
+            if not waiter.done():
+                waiter.set_exception(UnansweredError(str(error)))
+                waiter.exception()  # whoever asked may have gone
 
     async def save(self) -> None:
         """Write the outcomes that are wanted, as many as a transaction takes."""
         most = max(1, self.context.state_limits.txn_ops // 2)
-        while self.due or self.ledger.pending_aborts:
+        while self.pending_writes or self.ledger.pending_aborts:
             # What users wait for, then what other jobs wait for; what follows from a durable
             # outcome may be told already, and a thousand of that must not hold up the rest.
             first = sorted(
-                self.due.values(),
+                self.pending_writes.values(),
                 key=lambda job: (
                     not job.cancel_requested,
                     not self.ledger.dependency_graph.has_dependents(job.job_id),
@@ -127,25 +151,9 @@
 
     async def write(self, jobs: list[Job]) -> None:
         """One transaction with the outcomes of a few jobs."""
-        term = self.term
         at = time.time()
-        phases = {
-            job.job_id: wire_names.DONE
-            if job.complete and not job.dependency_cancelled
-            else wire_names.ABORTED
-            for job in jobs
-        }
-        operations: list[dict[str, Any]] = []
-        for job in jobs:
-            operations.append(
-                put(
-                    records.outcome_key(job.job_id),
-                    records.outcome_value(
-                        job.spec, phases[job.job_id], at, term.context.state_limits.value_kb
-                    ),
-                )
-            )
-            operations.append(delete(records.job_key(job.job_id)))
+        phases = {job.job_id: _phase_of(job) for job in jobs}
+        operations = self._operations(jobs, phases, at)
         # A try that is refused was not carried out; those before it that had no answer may yet be.
         fresh = [
             job.job_id
@@ -155,39 +163,53 @@
         self.indeterminate |= {
             job.job_id: phases[job.job_id] for job in jobs if not job.dependency_cancelled
         }
+        conditions = {records.outcome_key(job.job_id): 0 for job in jobs}
         try:
-            await term.context.transaction(
-                {records.outcome_key(job.job_id): 0 for job in jobs}, operations
-            )
+            await self.context.transaction(conditions, operations)
         except RequestRefusedError:
             for job_id in fresh:
                 del self.indeterminate[job_id]
             raise
         except ConflictError:
-            # An earlier try took effect without an answer: what it wrote counts.
-            known = 0
-            for job in jobs:
-                found = await self.controller.job_reader.ended(job.job_id)
-                if found is not None:
-                    known += 1
-                    self.ended(job, found[0], found[2])
-                elif job.job_id in fresh:
-                    del self.indeterminate[job.job_id]
-            if not known:
-                raise UnansweredError("outcome in doubt") from None
+            await self._read_back(jobs, fresh)
             return
         for job in jobs:
             self.ended(job, phases[job.job_id], at)
 
+    def _operations(
+        self, jobs: list[Job], phases: dict[str, str], at: float
+    ) -> list[dict[str, Any]]:
+        """Each job moves from the active jobs to the outcomes."""
+        max_kb = self.context.state_limits.value_kb
+        operations: list[dict[str, Any]] = []
+        for job in jobs:
+            outcome = records.outcome_value(job.spec, phases[job.job_id], at, max_kb)
+            operations.append(put(records.outcome_key(job.job_id), outcome))
+            operations.append(delete(records.job_key(job.job_id)))
+        return operations
+
+    async def _read_back(self, jobs: list[Job], fresh: list[str]) -> None:
+        """An earlier try took effect without an answer: what it wrote counts."""
+        known = 0
+        for job in jobs:
+            found = await self.job_lookup.ended(job.job_id)
+            if found is not None:
+                known += 1
+                self.ended(job, found[0], found[2])
+            elif job.job_id in fresh:
+                del self.indeterminate[job.job_id]
+        if not known:
+            raise UnansweredError("outcome in doubt") from None
+
     def ended(self, job: Job, phase: str, at: float | None) -> None:
         """The outcome is durable, and may be told."""
         job_id = job.job_id
-        self.controller.remember_outcome(job_id, phase, job.spec.task_count, at)
-        self.term.pages.tidy(job)
+        self.remember_outcome(job_id, phase, job.spec.task_count, at)
+        self.save_loop.job_ended(job)
         self.ledger.end_job(job, phase, self.context.now())
-        self.due.pop(job_id, None)
+        self.pending_writes.pop(job_id, None)
         self.indeterminate.pop(job_id, None)
-        tried = self.tries.pop(job_id, None)
-        if tried is not None and not tried.done():
-            tried.set_result(None)
+        waiter = self.waiters.pop(job_id, None)
+        if waiter is not None and not waiter.done():
+            waiter.set_result(None)
         log.info("job %s %s", job_id, phase)
--- /dev/null
+++ b/src/salthead/leader/page_writer.py
@@ -0,0 +1,33 @@
+"""Writing pages of a term to the state service, a transaction at a time."""
+
+from __future__ import annotations
+
+from salthead.leader.context import TermContext
+from salthead.state_store.client import ConflictError, delete, put
+from salthead.state_store.pages import PageBatch, Pages
+
+BATCH_KB = 56.0  # of a transaction's 64 KiB
+
+
+async def write_pages(context: TermContext, pages: Pages) -> PageBatch:
+    """Write in one transaction what the service lacks of these pages; returns what was written."""
+    batch = pages.batch(context.state_limits.txn_ops, BATCH_KB)
+    if not batch:
+        return batch
+    try:
+        revision = await context.transaction(
+            {pages.key(page): pages.revisions.get(page, 0) for page in batch},
+            [
+                put(pages.key(page), content) if content else delete(pages.key(page))
+                for page, (_, content) in batch.items()
+            ],
+            bulk=True,
+        )
+    except ConflictError:
+        # An earlier try took effect after all; what it wrote is replaced.
+        for page in batch:
+            row = await context.state_store.get(pages.key(page))
+            pages.revisions[page] = row.revision if row is not None else 0
+        raise
+    pages.written(batch, revision)
+    return batch
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -6,48 +6,80 @@
 import contextlib
 import logging
 import time
-from typing import TYPE_CHECKING
+from collections.abc import Coroutine
+from typing import TYPE_CHECKING, Any
 
-from salthead.cluster import orphans
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import Machine
-from salthead.failure_detection.preconditions import Action, Precondition
+from salthead.event_log import event
 from salthead.leader.autoscaler import Autoscaler
 from salthead.leader.background import BackgroundTasks
-from salthead.leader.context import PAUSE_FACTOR, TermContext
+from salthead.leader.cancellation import Cancellations
+from salthead.leader.cloud import CloudClient
+from salthead.leader.context import TermContext
 from salthead.leader.controller_interface import ControllerInterface
+from salthead.leader.done_task_pages import DoneTaskPages
 from salthead.leader.job_records import JobRecords
 from salthead.leader.leadership import Leadership
+from salthead.leader.machine_list import MachineListLoop
+from salthead.leader.machine_registry import MachineRegistry
+from salthead.leader.machine_type_records import MachineTypeRecords
+from salthead.leader.orphan_jobs import OrphanJobsLoop
 from salthead.leader.outcomes import Outcomes
-from salthead.leader.saved_pages import SavedPages
+from salthead.leader.save_loop import SaveLoop
+from salthead.leader.scheduling_loop import SchedulingLoop
 from salthead.leader.views import Views
 from salthead.leader.worker_calls import WorkerCalls
 from salthead.leader.zone_lease_delegations import ZoneLeaseDelegations
 from salthead.leases.leader_lease import LeaseClock
-from salthead.protocol import wire_names
+from salthead.policy import PartialCutPolicy
 from salthead.protocol.messages import Command, Heartbeat, JobStatus
-from salthead.scheduling import gangs, placement, preemption
-from salthead.state_store import records
-from salthead.state_store.client import (
-    RETRYABLE_ERRORS,
-    RequestRefusedError,
-)
+from salthead.state_store.client import RETRYABLE_ERRORS, RequestRefusedError
 from salthead.transport.client import UnansweredError
 
-if TYPE_CHECKING:
+if TYPE_CHECKING:  # these load libraries that only some policies need
     from salthead.leader.link_loop import LinkLoop
     from salthead.leader.zone_loop import ZoneLoop
 
 log = logging.getLogger(__name__)
 
-# Between passes over the queue, when something has changed and when nothing has. Room that frees is
-# filled with the heartbeat that shows it, so that a pass is for jobs that come and pauses that end.
-MIN_PASS_INTERVAL_S, MAX_PASS_INTERVAL_S = 0.25, 0.5
-# A look at each machine, for what no heartbeat brings: a fifth of the processor time of a leader of
-# 570 machines went into doing that with each pass.
-SWEEP_INTERVAL_S = 0.5
-# Placement itself looks only at tasks that no machine can be running (``Ledger.may_schedule``).
-TASK_NOWHERE = int(Precondition.TASK_NOWHERE)
+LOAD_RETRY_S = 0.3
+
+
+def _zone_loop(context: TermContext, controller: ControllerInterface) -> ZoneLoop | None:
+    policy = controller.policy.zone_recovery
+    if policy is None or not policy.enabled:
+        return None
+    # Here, so that its libraries are loaded only where the policy asks for them.
+    from salthead.leader.zone_loop import ZoneLoop
+
+    return ZoneLoop(context, policy, controller.policy.networks, controller.rng)
+
+
+def _partial_cut_policy(controller: ControllerInterface) -> PartialCutPolicy | None:
+    """The policy for partial cuts, if it is enabled."""
+    policy = controller.policy.partial_cuts
+    return policy if policy is not None and policy.enabled else None
+
+
+def _link_loop(context: TermContext, controller: ControllerInterface) -> LinkLoop | None:
+    policy = _partial_cut_policy(controller)
+    if policy is None:
+        return None
+    # Here, as above.
+    from salthead.leader.link_loop import LinkLoop
+
+    return LinkLoop(context, controller.peers, policy, controller.policy.networks)
+
+
+def _leadership(context: TermContext, controller: ControllerInterface) -> Leadership:
+    policy = _partial_cut_policy(controller)
+    return Leadership(
+        context,
+        controller.settings.member,
+        controller.peers,
+        controller.leader_stickiness.withhold_vote,
+        policy.handover_factor if policy is not None else 1.0,
+    )
 
 
 class Term:
@@ -61,7 +93,7 @@
         lease_id: int,
         clock: LeaseClock,
     ) -> None:
-        self.controller = controller
+        """``revision`` of the leader's key, which is tied to the lease ``lease_id``."""
         self.fencing_token = fencing_token
         self.ledger = Ledger(controller.limits, fencing_token, controller.now(), time.time())
         self.context = TermContext(
@@ -78,63 +110,94 @@
             log_throttled=controller.log_throttled,
         )
         self.clock = clock
-        self.ledger.events.changed = self.wake
-        self.ledger.leader_lease_valid = self.context.valid
-        self.outcomes = Outcomes(self)
-        self.ledger.events.completed = self.outcomes.want
-        self.ledger.events.aborts_pending = self.outcomes.wanted.set
-        self.ledger.events.room_freed = self.backfill
-        self.ledger.set_machine_types(controller.machine_types.values())
-        self.changed = asyncio.Event()
-        self.pages = SavedPages(self)
         self.background = BackgroundTasks()
-        self.unschedulable: set[str] = set()  # jobs that found no machine at the last pass
-        self.job_records = JobRecords(self)
-        self.autoscaler = Autoscaler(self)
-        self.leadership = Leadership(
-            self.context,
-            controller.settings.member,
-            controller.peers,
-            controller.leader_stickiness.withhold_vote,
-            self._handover_factor(),
-        )
-        self.worker_calls = WorkerCalls(self)
-        self.zone_lease_delegations = ZoneLeaseDelegations(self)
-        self.zone_loop = self._zone_loop()
-        self.link_loop = self._link_loop()
-        self.views = Views(self.context, controller.settings.member, self.zone_loop, self.link_loop)
-
-    def _handover_factor(self) -> float:
-        policy = self.controller.policy.partial_cuts
-        return policy.handover_factor if policy is not None and policy.enabled else 1.0
+        self.ledger.set_machine_types(controller.machine_types.values())
+        self._build_scheduling(controller)
+        self._build_records(controller)
+        self._build_views(controller)
+        self._build_autoscaling(controller)
+        self._connect_ledger()
 
-    def _zone_loop(self) -> ZoneLoop | None:
-        policy = self.controller.policy.zone_recovery
-        if policy is None or not policy.enabled:
-            return None
-        # Here, so that its libraries are loaded only where the policy asks for them.
-        from salthead.leader.zone_loop import ZoneLoop
+    def _build_scheduling(self, controller: ControllerInterface) -> None:
+        context = self.context
+        self.worker_calls = WorkerCalls(
+            context, controller.workers, controller.sockets.reconcile_slots, self.background
+        )
+        self.plan_requested = asyncio.Event()
+        self.scheduling_loop = SchedulingLoop(
+            context, controller.rng, self.worker_calls, self.plan_requested
+        )
+        self.leadership = _leadership(context, controller)
 
-        return ZoneLoop(self.context, policy, self.controller.policy.networks, self.controller.rng)
+    def _build_records(self, controller: ControllerInterface) -> None:
+        """What is read from earlier terms, and written for the next."""
+        context, job_reader = self.context, controller.job_reader
+        self.done_tasks = DoneTaskPages(context)
+        self.machine_registry = MachineRegistry(context, self.wake)
+        self.save_loop = SaveLoop(context, self.done_tasks)
+        self.job_records = JobRecords(
+            context,
+            self.save_loop,
+            self.machine_registry,
+            job_reader,
+            controller.terminal_outcomes,
+        )
+        self.outcomes = Outcomes(
+            context, job_reader, controller.remember_outcome, self.worker_calls, self.save_loop
+        )
+        self.cancellations = Cancellations(context, job_reader, self.job_records, self.outcomes)
+        self.orphan_jobs = OrphanJobsLoop(context)
+        self.zone_lease_delegations = ZoneLeaseDelegations(
+            context,
+            _partial_cut_policy(controller) is not None,
+            lambda: self.job_records.since,
+        )
 
-    def _link_loop(self) -> LinkLoop | None:
-        policy = self.controller.policy.partial_cuts
-        if policy is None or not policy.enabled:
-            return None
-        # Here, as above.
-        from salthead.leader.link_loop import LinkLoop
+    def _build_views(self, controller: ControllerInterface) -> None:
+        self.zone_loop = _zone_loop(self.context, controller)
+        self.link_loop = _link_loop(self.context, controller)
+        self.views = Views(self.context, controller.settings.member, self.zone_loop, self.link_loop)
 
-        return LinkLoop(
-            self.context, self.controller.peers, policy, self.controller.policy.networks
+    def _build_autoscaling(self, controller: ControllerInterface) -> None:
+        cloud = CloudClient(controller.cloud, controller.limits.cloud, controller.now)
+        self.machine_type_records = MachineTypeRecords(
+            self.context, lambda: controller.machine_types.values()
+        )
+        self.machine_list = MachineListLoop(self.context, cloud, self.machine_type_records)
+        self.autoscaler = Autoscaler(
+            self.context,
+            cloud,
+            self.machine_registry,
+            self.background,
+            self.views,
+            self.plan_requested,
+            self.wake,
         )
 
+    def _connect_ledger(self) -> None:
+        """Have the ledger call the loops that act on its changes."""
+        self.ledger.leader_lease_valid = self.context.valid
+        events = self.ledger.events
+        events.changed = self.wake
+        events.completed = self.outcomes.request_write
+        events.aborts_pending = self.outcomes.write_requested.set
+        events.room_freed = self.scheduling_loop.backfill
+
     def valid(self) -> bool:
         """Whether this term may act now."""
         return self.context.valid()
 
     def wake(self) -> None:
         """Something has changed that decisions depend on."""
-        self.changed.set()
+        self.scheduling_loop.changed.set()
+
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
+        """Commands for a worker; None if it must not be answered with 200."""
+        return self.ledger.handle_heartbeat(heartbeat, self.context.now())
+
+    async def cancel(self, job_id: str) -> JobStatus | None:
+        """Cancel a job; its status then, or None if there is no such job."""
+        return await self.cancellations.cancel(job_id)
 
     async def run(self) -> None:
         """Until the lease has ended; then nothing of this term goes on."""
@@ -165,23 +228,45 @@
         """Load what earlier leaders left, then run all loops."""
         while not self.ledger.loaded:
             try:
-                await self.job_records.load()
+                await self._load()
             except RETRYABLE_ERRORS as error:
                 self.context.log_throttled("load", error)
-                await self.context.sleep_with_jitter(0.3)
+                await self.context.sleep_with_jitter(LOAD_RETRY_S)
         self.background.spawn(
             self.worker_calls.reconcile_all(self.ledger.failover.unreconciled_machines())
         )
+        async with asyncio.TaskGroup() as group:
+            for loop in self._loops():
+                group.create_task(loop)
+
+    async def _load(self) -> None:
+        """Read all that earlier leaders left."""
+        ledger = self.ledger
+        await self.job_records.load()
+        await self.zone_lease_delegations.load()
+        ledger.loaded = True
+        event(
+            log,
+            "records_loaded",
+            fencing_token=ledger.fencing_token,
+            revision=self.job_records.since,
+            jobs=len(ledger.jobs),
+            machines=len(ledger.machines),
+            machine_types=len(ledger.machine_types),
+            leases_from=ledger.leases.counted_from,
+        )
+
+    def _loops(self) -> list[Coroutine[Any, Any, None]]:
         loops = [
             self.job_records.watch_loop(),
             self.job_records.await_loop(),
-            self.decide_loop(),
+            self.scheduling_loop.loop(),
             self.outcomes.loop(),
-            self.pages.save_loop(),
-            self.pages.registry_loop(),
-            self.autoscaler.list_loop(),
-            self.autoscaler.fleet_loop(),
-            self.unknown_jobs_loop(),
+            self.save_loop.loop(),
+            self.machine_registry.loop(),
+            self.machine_list.loop(),
+            self.autoscaler.loop(),
+            self.orphan_jobs.loop(),
             self.worker_calls.unresponsive_loop(),
             self.zone_lease_delegations.loop(),
             self.zone_lease_delegations.forget_loop(),
@@ -191,96 +276,4 @@
         if self.link_loop is not None:
             loops.append(self.link_loop.loop())
             loops.append(self.worker_calls.probe_loop())
-        async with asyncio.TaskGroup() as group:
-            for loop in loops:
-                group.create_task(loop)
-
-    # -- loading and following jobs -----------------------------------------------------
-
-    async def unknown_jobs_loop(self) -> None:
-        """Orphan tasks of jobs that are over: whose quota do they use?"""
-        while True:
-            for job_id in list(self.ledger.unknown_jobs):
-                try:
-                    row = await self.context.state_store.get(records.outcome_key(job_id))
-                    if row is not None:
-                        orphans.identify_job(self.ledger, records.outcome_from(row.value)[1])
-                except RETRYABLE_ERRORS as error:
-                    self.context.log_throttled("stray task", error)
-            await self.context.sleep_with_jitter(0.5)
-
-    # -- deciding -----------------------------------------------------------------------
-
-    def handle_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
-        """Commands for a worker; None if it must not be answered with 200."""
-        return self.ledger.handle_heartbeat(heartbeat, self.context.now())
-
-    async def decide_loop(self) -> None:
-        """Decide again and again, sooner when something has changed."""
-        looked = -1e9
-        while True:
-            # Not wait_for: when the event is set as the term ends, that returns the result and
-            # loses the cancellation, and this loop would keep the controller from standing again.
-            with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(MAX_PASS_INTERVAL_S):
-                    await self.changed.wait()
-            self.changed.clear()
-            now = self.context.now()
-            if now - looked >= SWEEP_INTERVAL_S:
-                looked = now
-                self.look(now)
-            self.decide(now)
-            self.worker_calls.send_stops()
-            await asyncio.sleep(max(MIN_PASS_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - now)))
-
-    def backfill(self, machine: Machine, now: float) -> None:
-        """Offer room that a heartbeat has freed to those in line."""
-        if self.context.permits(Action.SCHEDULE, TASK_NOWHERE):
-            placement.backfill(self.ledger, machine, self.controller.rng, now)
-
-    def look(self, now: float) -> None:
-        """What time alone changes, machine by machine."""
-        self.ledger.tick(now)
-        if self.context.permits(Action.SCHEDULE, TASK_NOWHERE):
-            placement.reschedule_unsent(self.ledger, self.controller.rng, now)
-            preemption.drain(self.ledger, now)
-
-    def decide(self, now: float) -> None:
-        """One pass of placement, and what follows for those that found no machine."""
-        if self.context.permits(Action.SCHEDULE, TASK_NOWHERE):
-            unschedulable = placement.schedule(self.ledger, self.controller.rng, now)
-            before, self.unschedulable = self.unschedulable, {job.job_id for job in unschedulable}
-            if not self.unschedulable <= before:
-                self.autoscaler.plan_requested.set()
-            preemption.preempt(self.ledger, unschedulable, now)
-            gangs.reserve_machines(self.ledger, unschedulable, now)
-
-    # -- outcomes -----------------------------------------------------------------------
-
-    async def cancel(self, job_id: str) -> JobStatus | None:
-        """Cancel a job; what its user is told, or None if there is no such job."""
-        job = self.ledger.jobs.get(job_id) if self.ledger.loaded else None
-        if job is None:
-            found = await self.controller.job_reader.read(job_id)
-            if found is None or found.is_terminal:
-                return found
-            row = await self.context.state_store.get(records.job_key(job_id))
-            if row is None or not self.ledger.loaded:
-                raise UnansweredError("cancel in doubt")
-            self.job_records.take_row(records.job_key(job_id), *row)
-            if job_id in self.job_records.incomplete:
-                await self.job_records.look_up(job_id)
-            job = self.ledger.jobs.get(job_id)
-            if job is None:
-                raise UnansweredError("cancel in doubt")
-        if not job.terminal_phase and not job.dependency_cancelled:
-            await self.outcomes.cancel(job)
-        # What follows from a durable outcome may be told before it is written itself.
-        durable = (
-            Precondition.OUTCOME_DURABLE
-            if job.terminal_phase or job.dependency_cancelled
-            else Precondition(0)
-        )
-        if not self.context.permits(Action.CONFIRM_CANCELLATION, durable):
-            raise UnansweredError("cancel in doubt")
-        return JobStatus(job_id, job.terminal_phase or wire_names.ABORTED)
+        return loops
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -1,37 +1,60 @@
-"""Direct calls of one term to workers: to join them, to probe them, and to tell them of stops."""
+"""Direct calls of one term to workers: to reconcile them, to probe them, and to send stops."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from collections.abc import Iterator
-from typing import TYPE_CHECKING
+from collections.abc import Awaitable, Callable, Iterable
 
 from salthead.cluster import machine_health
 from salthead.cluster.model import LOST, UP, Machine
 from salthead.failure_detection.preconditions import Action, Precondition
 from salthead.heartbeats.task_reconciliation import MAX_COMMANDS
+from salthead.leader.background import BackgroundTasks
+from salthead.leader.context import TermContext
 from salthead.protocol import wire_names
 from salthead.protocol.messages import Command, CommandRequest, Heartbeat, StopCommand, shape
 from salthead.scheduling import placement
 from salthead.state_store.client import RETRYABLE_ERRORS
-from salthead.transport.client import Answer, UnansweredError
-
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
+from salthead.transport.client import Answer, Caller, UnansweredError
 
 # A machine that is well answers a direct call in milliseconds; a silent one is asked again, for
 # longer, when all others have been.
 RECONCILE_TIMEOUT_S, RECONCILE_RETRY_TIMEOUT_S = 0.5, 2.0
-PROBE_S, STOP_S = 2.0, 2.0
+PROBE_TIMEOUT_S, STOP_TIMEOUT_S = 2.0, 2.0
+
+
+async def _call_each(
+    machines: Iterable[Machine], call: Callable[[Machine], Awaitable[None]], slots: int
+) -> None:
+    """Call each machine, as many at a time as there are slots.
+
+    Calls that queue for a slot would time out in the queue.
+    """
+    left = iter(machines)
+
+    async def call_next() -> None:
+        for machine in left:
+            await call(machine)
+
+    await asyncio.gather(*(call_next() for _ in range(slots)))
 
 
 class WorkerCalls:
     """Calls to the addresses of workers, within the sockets that are set aside for them."""
 
-    def __init__(self, term: Term) -> None:
-        self.term = term
-        self.context = term.context
+    def __init__(
+        self,
+        context: TermContext,
+        workers: Caller,
+        reconcile_slots: int,
+        background: BackgroundTasks,
+    ) -> None:
+        self.context = context
+        self.ledger = context.ledger
+        self.workers = workers
+        self.reconcile_slots = reconcile_slots
+        self.background = background
 
     async def _command(
         self, machine: Machine, incarnation: int, commands: list[Command], timeout: float
@@ -40,7 +63,7 @@
         body = CommandRequest(self.context.fencing_token, incarnation, commands)
         sent = self.context.now()
         try:
-            answer = await self.term.controller.workers.call(
+            answer = await self.workers.call(
                 "POST", wire_names.COMMAND_PATH, body, timeout=timeout, endpoint=machine.endpoint
             )
         except UnansweredError:
@@ -50,22 +73,19 @@
         return answer
 
     async def reconcile_all(self, machines: list[Machine]) -> None:
-        """Some at a time: calls that queue for a slot would time out in the queue.
+        """Reconcile the machines that no heartbeat has reconciled yet, some at a time.
 
         Behind a cut hundreds are silent, and with one long time-out for each they would hold up
         those that answer at once.
         """
         for timeout in (RECONCILE_TIMEOUT_S, RECONCILE_RETRY_TIMEOUT_S):
-            left = iter([machine for machine in machines if not machine.reconciled])
 
-            async def some(left: Iterator[Machine] = left, timeout: float = timeout) -> None:
-                for machine in left:
-                    if machine.phase == UP:  # else its lease has ended while others were asked
-                        await self.reconcile(machine, timeout)
+            async def reconcile_if_up(machine: Machine, timeout: float = timeout) -> None:
+                if machine.phase == UP:  # else its lease has ended while others were asked
+                    await self.reconcile(machine, timeout)
 
-            await asyncio.gather(
-                *(some() for _ in range(self.term.controller.sockets.reconcile_slots))
-            )
+            unreconciled = [machine for machine in machines if not machine.reconciled]
+            await _call_each(unreconciled, reconcile_if_up, self.reconcile_slots)
 
     async def reconcile(self, machine: Machine, timeout: float) -> None:
         """Ask a machine of the machine registry directly: its worker may be waiting for a dead
@@ -87,56 +107,50 @@
             if heartbeat.worker != machine.name:
                 return
             if answer.status == 200:
-                self.context.ledger.handle_heartbeat(heartbeat, self.context.now(), direct=True)
+                self.ledger.handle_heartbeat(heartbeat, self.context.now(), direct=True)
                 return
             incarnation = heartbeat.incarnation
 
     async def unresponsive_loop(self) -> None:
-        """Machines that nothing seems to reach: whether a direct call does."""
+        """Probe the machines that are marked unresponsive, once in each heartbeat interval."""
         while True:
             await self.context.sleep_with_jitter(self.context.limits.workers.heartbeat_interval_s)
-            left = iter(
-                [
-                    machine
-                    for machine in self.context.ledger.machines.values()
-                    if machine.unresponsive_since is not None
-                    and machine.endpoint
-                    and not machine.terminating
-                ]
-            )
-
-            async def some(left: Iterator[Machine] = left) -> None:
-                for machine in left:
-                    await self.probe(machine)
-
-            # No more at a time than there are slots: what queues for one times out in the queue,
-            # and a round for each heartbeat period would pile up on those before it.
-            await asyncio.gather(
-                *(some() for _ in range(self.term.controller.sockets.reconcile_slots))
-            )
+            unresponsive = [
+                machine
+                for machine in self.ledger.machines.values()
+                if machine.unresponsive_since is not None
+                and machine.endpoint
+                and not machine.terminating
+            ]
+            # No more at a time than there are slots: a round for each heartbeat interval would
+            # pile up on those before it.
+            await _call_each(unresponsive, self._probe, self.reconcile_slots)
 
     async def probe_loop(self) -> None:
-        """Machines that are silent, or hear no answers: whether direct calls reach them.
+        """Machines that are silent, or do not receive answers: whether direct calls reach them.
 
-        A few at a time: a machine that is alone in its silence is asked within a heartbeat period,
-        and of many that share theirs no answer decides anything.
+        A few at a time: a machine that is alone in its silence is asked within a heartbeat
+        interval, and of many that share theirs no answer decides anything.
         """
         while True:
             await self.context.sleep_with_jitter(self.context.limits.workers.heartbeat_interval_s)
             if not self.context.valid():
                 continue
-            left = iter(self._unreachable_machines(self.context.now()))
+            unreachable = self._unreachable_machines(self.context.now())
+            await _call_each(
+                unreachable, self._reconcile_or_probe, max(1, self.reconcile_slots // 4)
+            )
 
-            async def some(left: Iterator[Machine] = left) -> None:
-                for machine in left:
-                    if self._may_reconcile(machine):
-                        await self.reconcile(machine, PROBE_S)
-                    else:
-                        await self.probe(machine)
+    async def _reconcile_or_probe(self, machine: Machine) -> None:
+        if self._may_reconcile(machine):
+            await self.reconcile(machine, PROBE_TIMEOUT_S)
+        else:
+            await self._probe(machine)
 
-            await asyncio.gather(
-                *(some() for _ in range(max(1, self.term.controller.sockets.reconcile_slots // 4)))
-            )
+    def _fresh_s(self) -> float:
+        """For how long a heartbeat counts as recent."""
+        interval_s = self.context.limits.workers.heartbeat_interval_s
+        return placement.FRESH_HEARTBEAT_INTERVALS * interval_s
 
     def _may_reconcile(self, machine: Machine) -> bool:
         """Whether a call that is answered may make the machine one of this term's.
@@ -147,19 +161,15 @@
         """
         if machine.reconciled:
             return False
-        fresh_s = (
-            placement.FRESH_HEARTBEAT_INTERVALS * self.context.limits.workers.heartbeat_interval_s
-        )
+        fresh_s = self._fresh_s()
         heartbeats_arrive = self.context.now() - machine.links.last_received_at <= fresh_s
         return machine.phase == UP or heartbeats_arrive
 
     def _unreachable_machines(self, now: float) -> list[Machine]:
-        fresh_s = (
-            placement.FRESH_HEARTBEAT_INTERVALS * self.context.limits.workers.heartbeat_interval_s
-        )
+        fresh_s = self._fresh_s()
         return [
             machine
-            for machine in self.context.ledger.machines.values()
+            for machine in self.ledger.machines.values()
             if machine.endpoint
             and not machine.terminating
             and machine.unresponsive_since is None  # those have a loop of their own
@@ -174,27 +184,26 @@
             )
         ]
 
-    async def probe(self, machine: Machine) -> None:
+    async def _probe(self, machine: Machine) -> None:
         """Note that a call reaches the machine, if one does."""
         with contextlib.suppress(UnansweredError):
-            answer = await self._command(machine, machine.incarnation, [], PROBE_S)
+            answer = await self._command(machine, machine.incarnation, [], PROBE_TIMEOUT_S)
             if answer.status in (200, 409):
-                machine_health.mark_responsive(self.context.ledger, machine, self.context.now())
+                machine_health.mark_responsive(self.ledger, machine, self.context.now())
 
     def send_stops(self) -> None:
-        """Tell stops at once, rather than in the answer to the next heartbeat.
+        """Send stops at once, rather than in the answer to the next heartbeat.
 
         A stop names its attempt, so one that is carried out late harms nothing; answers to
-        reports repeat it. Starts are never sent like this: a late one would start a task that
+        heartbeats repeat it. Starts are never sent like this: a late one would start a task that
         has meanwhile been started elsewhere, cancelled or reaped.
         """
-        if not self.context.permits(
-            Action.STOP, Precondition.TOKEN_ACCEPTED
-        ):  # asked of each machine below
+        # Whether a worker has accepted the token is asked of each machine below.
+        if not self.context.permits(Action.STOP, Precondition.TOKEN_ACCEPTED):
             return
-        wanted, self.context.ledger.stops = self.context.ledger.stops, []
+        requested, self.ledger.stops = self.ledger.stops, []
         commands: dict[Machine, list[Command]] = {}
-        for binding in wanted:
+        for binding in requested:
             machine = binding.machine
             if binding.stop_grace_s is None or binding.stop_sent or not binding.phase:
                 continue  # what no heartbeat shows yet is stopped by the answer to one that does
@@ -208,11 +217,11 @@
                     StopCommand(binding.task_id, binding.attempt, binding.stop_grace_s)
                 )
         for machine, stops in commands.items():
-            self.term.background.spawn(self.send(machine, stops[:MAX_COMMANDS]))
+            self.background.spawn(self.send(machine, stops[:MAX_COMMANDS]))
 
     async def send(self, machine: Machine, commands: list[Command]) -> None:
         """Send commands once; answers to the worker's heartbeats repeat them."""
         try:
-            await self._command(machine, machine.incarnation, commands, STOP_S)
+            await self._command(machine, machine.incarnation, commands, STOP_TIMEOUT_S)
         except UnansweredError as error:
             self.context.log_throttled("direct stop", error)
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -6,8 +6,10 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import Any
 
+from salthead.leader.context import TermContext
 from salthead.leases.zone_leases import counted_until
 from salthead.state_store import records
 from salthead.state_store.client import (
@@ -19,19 +21,26 @@
     put,
 )
 
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
-
 WATCH_S = 10.0
 RETRY_S = 0.5
 
 
 class ZoneLeaseDelegations:
-    """One term's part in it."""
+    """The delegations of one term: what it grants, and what earlier terms may have granted."""
+
+    def __init__(
+        self,
+        context: TermContext,
+        follows_links: bool,
+        known_epoch: Callable[[], int],
+    ) -> None:
+        """``known_epoch``: up to which epoch of the state service the records are known.
 
-    def __init__(self, term: Term) -> None:
-        self.term = term
-        self.context = term.context
+        ``follows_links``: whether the policy follows partial cuts.
+        """
+        self.context = context
+        self.follows_links = follows_links
+        self.known_epoch = known_epoch
         self.earlier: dict[str, int] = {}  # permissions of earlier leaders, and their revisions
 
     async def load(self) -> None:
@@ -40,26 +49,24 @@
         Read after this term took the lead: each write of an earlier leader was conditioned on that,
         so that no permission is written any more, late or not. A question alone is none.
         """
-        term = self.term
-        questions, _ = await term.context.state_store.list_prefix(records.DELEGATION_REQUESTS)
+        context = self.context
+        questions, _ = await context.state_store.list_prefix(records.DELEGATION_REQUESTS)
         members = {key.removeprefix(records.DELEGATION_REQUESTS) for key in questions}
         permissions: dict[str, VersionedValue] = {}
-        if term.link_loop is not None:
-            permissions, _ = await term.context.state_store.list_prefix(records.DELEGATIONS)
+        if self.follows_links:
+            permissions, _ = await context.state_store.list_prefix(records.DELEGATIONS)
         self.earlier = {key: revision for key, (_, revision) in permissions.items()}
-        term.context.ledger.leases.counted_from = term.context.now()
-        if term.link_loop is not None:
+        context.ledger.leases.counted_from = context.now()
+        if self.follows_links:
             # Whenever a leader ends, its peers miss it, and ask before there is a new one. Each
             # crash of a leader on prairie-ledger-hunt held the failover up by a third of a lease.
             members &= {key.removeprefix(records.DELEGATIONS) for key in permissions}
         if members:
-            term.context.ledger.leases.counted_from = counted_until(
-                term.context.now(), term.context.clock.ttl
-            )
+            context.ledger.leases.counted_from = counted_until(context.now(), context.clock.ttl)
 
     async def loop(self) -> None:
         """Answer what controllers ask."""
-        since = self.term.job_records.since
+        since = self.known_epoch()
         while True:
             try:
                 events, since = await self.context.state_store.watch(
@@ -74,7 +81,7 @@
                             event["set"].removeprefix(records.DELEGATION_REQUESTS), value
                         )
             except CompactedError:
-                since = self.term.job_records.since
+                since = self.known_epoch()
                 await self.context.sleep_with_jitter(RETRY_S)
             except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.context.log_throttled("keep", error)
@@ -82,14 +89,14 @@
 
     async def allow(self, member: str, value: dict[str, Any]) -> None:
         """Let a controller behind a cut answer its zone's workers for a while."""
-        term = self.term
-        if not term.context.ledger.ready:
+        context = self.context
+        if not context.ledger.ready:
             return  # a zone that is kept would hold up the failover for as long as the cut
         # Counted before it is allowed, so that whatever becomes of the write errs late.
-        until = counted_until(term.context.now(), term.context.clock.ttl)
-        if term.context.ledger.leases.delegate_zone(str(value.get("area")), until):
-            permission = {"token": term.context.fencing_token, "nonce": value.get("nonce")}
-            await term.context.transaction(
+        until = counted_until(context.now(), context.clock.ttl)
+        if context.ledger.leases.delegate_zone(str(value.get("area")), until):
+            permission = {"token": context.fencing_token, "nonce": value.get("nonce")}
+            await context.transaction(
                 {}, [put(records.DELEGATIONS + member, permission)], urgent=True
             )
 
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -17,6 +17,16 @@
 FILL_SHARE = 0.8
 
 
+class PageContent(NamedTuple):
+    """The items of a page, and its count of changes at the time."""
+
+    changes: int
+    items: dict[str, Any]
+
+
+PageBatch = dict[int, PageContent]  # by the number of the page
+
+
 class Pages:
     """Items by name on numbered pages, one page a value. Loading a page twice harms nothing.
 
@@ -129,9 +139,9 @@
         if name in self.where:
             self._touch(self._remove(name))
 
-    def batch(self, most: int, kb: float) -> dict[int, tuple[int, dict[str, Any]]]:
+    def batch(self, most: int, kb: float) -> PageBatch:
         """The next pages to write in one transaction, with their change counts."""
-        found: dict[int, tuple[int, dict[str, Any]]] = {}
+        found: PageBatch = {}
         left = int(kb * 1024)
         for page in list(self.dirty):
             self._shed(page)
@@ -143,7 +153,7 @@
                 if len(found) >= most or (found and left < size):
                     return found
                 if page not in found and not self._waits(page, found):
-                    found[page] = (self.changes[page], dict(self.pages.get(page, {})))
+                    found[page] = PageContent(self.changes[page], dict(self.pages.get(page, {})))
                     left -= size
                     more = True
             if not found and self.dirty:
@@ -160,7 +170,7 @@
         """The key of a page."""
         return f"{self.prefix}{page:06d}"
 
-    def written(self, batch: dict[int, tuple[int, dict[str, Any]]], revision: int) -> None:
+    def written(self, batch: PageBatch, revision: int) -> None:
         """These pages were written; what has changed since stays to be written."""
         for page, (change, content) in batch.items():
             self.revisions[page] = revision if content else 0
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -327,17 +327,17 @@
         await asyncio.sleep(5.0)
         leader = world.leader()
         assert leader is not None and leader.term is not None
-        loop = asyncio.create_task(leader.term.decide_loop())
+        loop = asyncio.create_task(leader.term.scheduling_loop.loop())
         await asyncio.sleep(1.15)  # it waits for its event
         for _ in range(40):
-            leader.term.changed.set()
+            leader.term.scheduling_loop.changed.set()
             for _ in range(ticks):
                 await asyncio.sleep(0)
             loop.cancel()
             await asyncio.sleep(1.0)
             if not loop.done():
                 return False
-            loop = asyncio.create_task(leader.term.decide_loop())
+            loop = asyncio.create_task(leader.term.scheduling_loop.loop())
             await asyncio.sleep(0.05 + 0.01 * _)
         return True
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -18,7 +18,8 @@
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.controller.server import listen
-from salthead.leader.autoscaler import LIST_INTERVAL_S, Autoscaler
+from salthead.leader.cloud import CloudClient
+from salthead.leader.machine_list import LIST_INTERVAL_S, MachineListLoop
 from salthead.leases import zone_leases
 from salthead.scheduling import placement
 from salthead.state_store import records
@@ -211,7 +212,10 @@
         while (leader := world.leader()) is None:
             await asyncio.sleep(0.05)
         leader.limits.cloud.rps = rps
-        return Autoscaler(leader.term).list_interval_s(calls_made)
+        assert leader.term is not None
+        cloud = CloudClient(leader.cloud, leader.limits.cloud, leader.now)
+        machine_list = MachineListLoop(leader.term.context, cloud, leader.term.machine_type_records)
+        return machine_list.list_interval_s(calls_made)
 
     gap_s = run(day)
     reading_s = calls_made / (0.7 * rps)
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -41,9 +41,14 @@
             "job records": term.job_records,
             "autoscaler": term.autoscaler,
             "views": term.views,
-            "done pages": term.pages.parts,
-            "machine registry": term.pages.machine_registry,
-            "pages": term.pages,
+            "background": term.background,
+            "done pages": term.done_tasks.pages,
+            "machine registry": term.machine_registry.pages,
+            "done tasks": term.done_tasks,
+            "save loop": term.save_loop,
+            "registry": term.machine_registry,
+            "scheduling": term.scheduling_loop,
+            "machine types": term.machine_type_records,
             "withheld": term.ledger.blocked_actions,
         }
     return {
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -634,7 +634,7 @@
         await world.until_over()
         term = (await leader_of(world)).term
         assert term is not None and not term.ledger.jobs
-        assert not term.outcomes.due and not term.outcomes.indeterminate
+        assert not term.outcomes.pending_writes and not term.outcomes.indeterminate
         assert not [key for key in world.state.keys if key.startswith("job/")]
         return world
 
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -32,6 +32,7 @@
 from salthead.controller.controller import Controller  # noqa: E402
 from salthead.controller.election import Election  # noqa: E402
 from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
+from salthead.leader.page_writer import write_pages  # noqa: E402
 from salthead.leader.peer_calls import ask_connectivity, ask_to_withhold_vote  # noqa: E402
 from salthead.leader.term import Term  # noqa: E402
 from salthead.leases.leader_lease import LeaseClock  # noqa: E402
@@ -207,11 +208,11 @@
     await term.autoscaler.provision((0, 0, True), 3)
     assert machine.phase == UP
     await term.autoscaler.terminate([TerminationDecision.of(machine, "not needed")])
-    await term.autoscaler.store_machine_types()
-    term.pages.machine_registry.set("m1", ["small", "north", True, "10.0.0.2:9"])
-    await term.pages.write_pages(term.pages.machine_registry)
-    term.pages.leftovers["awaits/req-8/0"] = "req-8"
-    await term.pages.clear_leftovers()
+    await term.machine_type_records.store()
+    term.machine_registry.pages.set("m1", ["small", "north", True, "10.0.0.2:9"])
+    await write_pages(term.context, term.machine_registry.pages)
+    term.save_loop.leftovers["awaits/req-8/0"] = "req-8"
+    await term.save_loop.clear_leftovers()
     await term.zone_lease_delegations.allow(
         "n1", {"area": "north", "nonce": "x", "token": FENCING_TOKEN}
     )
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -254,7 +254,7 @@
                 self.ledger.add_job(
                     spec(job_id=f"req-{5000 + n}", task_count=BURST_TASKS), now, True
                 )
-            self.term.decide(now)
+            self.term.scheduling_loop.run_pass(now)
 
         return self.of_work(come, BURST_JOBS)
 
@@ -335,8 +335,16 @@
             PROBES_PER_S,
         ),
         ("call to a peer (both nodes)", await bench.of_peer_calls(), CALLS_PER_S),
-        ("pass of placement", bench.of_work(lambda: bench.term.decide(now())), PASSES_PER_S),
-        ("look at each machine", bench.of_work(lambda: bench.term.look(now())), LOOKS_PER_S),
+        (
+            "pass of placement",
+            bench.of_work(lambda: bench.term.scheduling_loop.run_pass(now())),
+            PASSES_PER_S,
+        ),
+        (
+            "look at each machine",
+            bench.of_work(lambda: bench.term.scheduling_loop.sweep(now())),
+            LOOKS_PER_S,
+        ),
         (
             "plan of the fleet",
             bench.of_work(
