--- a/src/salthead/leader/context.py
+++ b/src/salthead/leader/context.py
@@ -2,16 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass
-from typing import Any
 
 from salthead.cluster.ledger import Ledger
 from salthead.failure_detection.preconditions import Action, missing_preconditions
 from salthead.leases.leader_lease import LeaseClock
 from salthead.settings import Limits, State
 from salthead.state_store import records
-from salthead.state_store.client import ConflictError, StateStore
+from salthead.state_store.client import Change, ConflictError, StateStore
 from salthead.transport.client import UnansweredError
 
 # A loop whose rounds take long pauses for this many times as long, so that heartbeats have the
@@ -49,7 +48,7 @@
     async def transaction(
         self,
         conditions: dict[str, int],
-        operations: list[dict[str, Any]],
+        changes: Sequence[Change],
         bulk: bool = False,
         urgent: bool = False,
     ) -> int:
@@ -62,7 +61,7 @@
             raise UnansweredError("lease not certain")
         try:
             return await self.state_store.transaction(
-                {records.LEADER: self.revision} | conditions, operations, bulk=bulk, urgent=urgent
+                {records.LEADER: self.revision} | conditions, changes, bulk=bulk, urgent=urgent
             )
         except ConflictError as error:
             if records.LEADER in error.failed:
--- a/src/salthead/leader/machine_type_records.py
+++ b/src/salthead/leader/machine_type_records.py
@@ -9,7 +9,7 @@
 from salthead.leader.context import TermContext
 from salthead.protocol.messages import MachineType
 from salthead.state_store import records
-from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, delete, put
+from salthead.state_store.client import RETRYABLE_ERRORS, Change, ConflictError, delete, put
 
 
 class MachineTypeRecords:
@@ -41,7 +41,7 @@
         existing, _ = await self.context.state_store.list_prefix(records.MACHINE_TYPE_PARTS)
         max_kb, max_changes = self.context.state_limits.value_kb, self.context.state_limits.txn_ops
         rows = dict(records.machine_type_rows(msgspec.to_builtins(machine_types), max_kb))
-        changes = [put(key, value) for key, value in rows.items()]
+        changes: list[Change] = [put(key, value) for key, value in rows.items()]
         changes += [delete(key) for key in existing if key not in rows]
         for at in range(0, len(changes), max_changes):
             await self.context.transaction({}, changes[at : at + max_changes])
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -13,7 +13,7 @@
 import logging
 import time
 from itertools import islice
-from typing import Any, Protocol
+from typing import Protocol
 
 from salthead.cluster.model import Job
 from salthead.leader.context import TermContext
@@ -24,6 +24,7 @@
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
+    Change,
     ConflictError,
     RequestRefusedError,
     delete,
@@ -153,7 +154,7 @@
         """One transaction with the outcomes of a few jobs."""
         at = time.time()
         phases = {job.job_id: _phase_of(job) for job in jobs}
-        operations = self._operations(jobs, phases, at)
+        changes = self._changes(jobs, phases, at)
         # A try that is refused was not carried out; those before it that had no answer may yet be.
         fresh = [
             job.job_id
@@ -165,7 +166,7 @@
         }
         conditions = {records.outcome_key(job.job_id): 0 for job in jobs}
         try:
-            await self.context.transaction(conditions, operations)
+            await self.context.transaction(conditions, changes)
         except RequestRefusedError:
             for job_id in fresh:
                 del self.indeterminate[job_id]
@@ -176,17 +177,15 @@
         for job in jobs:
             self.ended(job, phases[job.job_id], at)
 
-    def _operations(
-        self, jobs: list[Job], phases: dict[str, str], at: float
-    ) -> list[dict[str, Any]]:
+    def _changes(self, jobs: list[Job], phases: dict[str, str], at: float) -> list[Change]:
         """Each job moves from the active jobs to the outcomes."""
         max_kb = self.context.state_limits.value_kb
-        operations: list[dict[str, Any]] = []
+        changes: list[Change] = []
         for job in jobs:
             outcome = records.outcome_value(job.spec, phases[job.job_id], at, max_kb)
-            operations.append(put(records.outcome_key(job.job_id), outcome))
-            operations.append(delete(records.job_key(job.job_id)))
-        return operations
+            changes.append(put(records.outcome_key(job.job_id), outcome))
+            changes.append(delete(records.job_key(job.job_id)))
+        return changes
 
     async def _read_back(self, jobs: list[Job], fresh: list[str]) -> None:
         """An earlier try took effect without an answer: what it wrote counts."""
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
+import msgspec
+
 from salthead.errors import SaltheadError
 from salthead.protocol import wire_names
 from salthead.protocol.messages import MalformedMessageError
@@ -56,6 +58,47 @@
 )
 
 
+class Put(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A change of a transaction that sets a key, tied to a lease if one is named."""
+
+    key: str = msgspec.field(name="set")
+    value: Any
+    lease_id: int | None = msgspec.field(name="tether", default=None)
+
+
+class Delete(msgspec.Struct, frozen=True):
+    """A change of a transaction that removes a key."""
+
+    key: str = msgspec.field(name="drop")
+
+
+Change = Put | Delete
+
+
+def put(key: str, value: Any, lease_id: int | None = None) -> Put:
+    """A change that sets a key, tied to a lease if one is named."""
+    return Put(key, value, lease_id)
+
+
+def delete(key: str) -> Delete:
+    """A change that removes a key."""
+    return Delete(key)
+
+
+class Condition(msgspec.Struct, frozen=True):
+    """A key has this revision; 0 if there is no such key."""
+
+    key: str = msgspec.field(name="path")
+    revision: int = msgspec.field(name="stamp")
+
+
+class Transaction(msgspec.Struct, frozen=True):
+    """POST /txn: changes that are made if all conditions hold."""
+
+    conditions: list[Condition] = msgspec.field(name="when")
+    changes: list[Change] = msgspec.field(name="apply")
+
+
 def _int(body: dict[str, Any], name: str) -> int:
     value = body.get(name)
     if type(value) is not int:
@@ -138,20 +181,21 @@
     async def transaction(
         self,
         conditions: dict[str, int],
-        operations: list[dict[str, Any]],
+        changes: Sequence[Change],
         timeout: float = 2.0,
         urgent: bool = False,
         bulk: bool = False,
     ) -> int:
-        """Make changes on condition of revisions; the epoch after. Conflict if a condition
-        fails."""
+        """Make changes on condition of revisions; the epoch after that.
+
+        ConflictError if a condition fails, LeaseExpiredError if a lease of a change is over.
+        """
         if not urgent:
-            await (self.bulk_writes if bulk else self.writes).wait(len(operations))
+            await (self.bulk_writes if bulk else self.writes).wait(len(changes))
         caller = self.urgent if urgent else self.bulk
-        body = {
-            "when": [{"path": key, "stamp": revision} for key, revision in conditions.items()],
-            "apply": operations,
-        }
+        body = Transaction(
+            [Condition(key, revision) for key, revision in conditions.items()], list(changes)
+        )
         answer = await caller.call("POST", wire_names.TRANSACTIONS_PATH, body, timeout=timeout)
         if answer.status == 400 and "lease" in str(answer.body.get("error", "")):
             raise LeaseExpiredError("txn")
@@ -198,16 +242,3 @@
             raise CompactedError(prefix)
         self._check(answer, prefix, 200)
         return list(answer.body.get("log") or []), _int(answer.body, "epoch")
-
-
-def put(key: str, value: Any, lease_id: int | None = None) -> dict[str, Any]:
-    """A change that sets a key, tied to a lease if one is named."""
-    change: dict[str, Any] = {"set": key, "value": value}
-    if lease_id is not None:
-        change["tether"] = lease_id
-    return change
-
-
-def delete(key: str) -> dict[str, Any]:
-    """A change that removes a key."""
-    return {"drop": key}
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -17,7 +17,7 @@
 from salthead.controller.handlers import ClientHandlers
 from salthead.protocol.messages import Submission, encode
 from salthead.state_store import records
-from salthead.state_store.client import ConflictError, RequestRefusedError, VersionedValue
+from salthead.state_store.client import ConflictError, Put, RequestRefusedError, VersionedValue
 
 JOB: dict[str, Any] = {
     "uid": "req-7",
@@ -53,16 +53,14 @@
             raise RequestRefusedError(503, key)
         return VersionedValue(self.rows[key], 1) if key in self.rows else None
 
-    async def transaction(
-        self, conditions: dict[str, int], operations: list[dict[str, Any]], **_: Any
-    ) -> int:
+    async def transaction(self, conditions: dict[str, int], operations: list[Put], **_: Any) -> int:
         if self.down:
             raise RequestRefusedError(503, "txn")
         failed = [key for key in conditions if key in self.rows]
         if failed:
             raise ConflictError(failed)
         for change in operations:
-            self.rows[change["set"]] = change["value"]
+            self.rows[change.key] = change.value
         return 1
 
 
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -116,7 +116,7 @@
 
     async def answered_late(conditions: dict[str, int], operations: list[Any], **more: Any) -> int:
         epoch = await write(conditions, operations, **more)
-        if operations[0].get("set") == "job/req-2":
+        if operations[0].key == "job/req-2":
             await arrives.wait()
         return epoch
 
