--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -4,17 +4,16 @@
 
 import asyncio
 import logging
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Mapping
 
 from salthead import metrics
 from salthead.event_log import event
 from salthead.failure_detection.preconditions import Action, Precondition
+from salthead.leader.context import TermContext
 from salthead.leader.peer_calls import ask_connectivity, ask_to_withhold_vote
 from salthead.leases.leader_lease import stickiness_s
 from salthead.state_store.client import RETRYABLE_ERRORS, LeaseExpiredError
-
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
+from salthead.transport.client import Caller
 
 log = logging.getLogger(__name__)
 
@@ -24,22 +23,38 @@
 class Leadership:
     """The loops that renew the lease of a term, and that end the term when it should not lead."""
 
-    def __init__(self, term: Term) -> None:
-        self.term = term
+    def __init__(
+        self,
+        context: TermContext,
+        member: str,
+        peers: Mapping[str, Caller],
+        withhold_vote: Callable[[float], bool],
+        handover_factor: float = 1.0,
+    ) -> None:
+        """``withhold_vote`` keeps this controller from campaigning for a while, from a given time.
+
+        ``handover_factor``: how many times as many workers a peer has to hear to be handed the
+        leadership.
+        """
+        self.context = context
+        self.member = member
+        self.peers = peers
+        self.withhold_vote = withhold_vote
+        self.handover_factor = handover_factor
         self.renewal_failed = False
         self.votes_withheld = False
 
     async def renew_loop(self) -> None:
         """Renew the lease until it has ended or somebody else leads."""
-        ttl = self.term.clock.ttl
+        ttl = self.context.clock.ttl
         while True:
-            if self.term.ledger.newer_fencing_token:
+            if self.context.ledger.newer_fencing_token:
                 self._ending("deposed")
                 return
-            sent = self.term.now()
+            sent = self.context.now()
             try:
-                await self.term.state_store.renew_lease(self.term.lease_id, timeout=ttl / 4)
-                self.term.clock.renewed(sent)
+                await self.context.state_store.renew_lease(self.context.lease_id, timeout=ttl / 4)
+                self.context.clock.renewed(sent)
                 self.renewal_failed = False
                 await asyncio.sleep(ttl / 5)
             except LeaseExpiredError:
@@ -47,41 +62,40 @@
                 return
             except RETRYABLE_ERRORS as error:
                 self.renewal_failed = True
-                self.term.controller.log_throttled("renew", error)
-                await self.term.controller.sleep_with_jitter(ttl / 12)
+                self.context.log_throttled("renew", error)
+                await self.context.sleep_with_jitter(ttl / 12)
 
     def _ending(self, why: str, **facts: int) -> None:
-        ledger = self.term.ledger
+        ledger = self.context.ledger
         event(
             log,
             "lead_ending",
             logging.WARNING,
-            fencing_token=self.term.fencing_token,
+            fencing_token=self.context.fencing_token,
             why=why,
-            certain=self.term.valid(),
+            certain=self.context.valid(),
             fencing_token_seen=ledger.newer_fencing_token,
             **facts,
         )
 
     async def stickiness_loop(self) -> None:
         """While renewals fail, ask all peers for their promise not to stand."""
-        peers = self.term.controller.peers
-        every = stickiness_s(self.term.clock.ttl) / 5
+        peers = self.peers
+        every = stickiness_s(self.context.clock.ttl) / 5
         while True:
             await asyncio.sleep(every)
-            if not peers or len(peers) + 1 < self.term.limits.initial_size:
+            if not peers or len(peers) + 1 < self.context.limits.initial_size:
                 continue  # somebody unknown could stand
-            if not self.renewal_failed or not self.term.valid():
+            if not self.renewal_failed or not self.context.valid():
                 self.votes_withheld = False
                 continue
-            sent = self.term.now()
+            sent = self.context.now()
             given = await asyncio.gather(
-                *(
-                    ask_to_withhold_vote(peer, self.term.controller.settings.member, every * 2)
-                    for peer in peers.values()
-                )
+                *(ask_to_withhold_vote(peer, self.member, every * 2) for peer in peers.values())
+            )
+            counts = all(given) and self.context.clock.votes_withheld_by_all(
+                sent, self.context.now()
             )
-            counts = all(given) and self.term.clock.votes_withheld_by_all(sent, self.term.now())
             if counts != self.votes_withheld:
                 self.votes_withheld = counts
                 log.info(
@@ -98,13 +112,13 @@
         certain = True
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
-            if self.term.valid() == certain:
+            if self.context.valid() == certain:
                 continue
             certain = not certain
             metrics.LEADING.set(certain)
             log.warning(
                 "token %d: the lead is %s",
-                self.term.fencing_token,
+                self.context.fencing_token,
                 "certain again" if certain else "not certain: nothing is judged, nothing ordered",
             )
 
@@ -113,16 +127,14 @@
 
         A leader that is cut off from the workers alone would keep its lease while theirs end.
         """
-        grace_s = 3.0 * self.term.limits.workers.heartbeat_interval_s
+        grace_s = 3.0 * self.context.limits.workers.heartbeat_interval_s
         while True:
-            await self.term.controller.sleep_with_jitter(1.0)
-            now = self.term.now()
-            heard, silent = self.term.ledger.heartbeat_counts(now)
-            if silent <= heard or now - self.term.ledger.term_started_at < grace_s + 1.0:
+            await self.context.sleep_with_jitter(1.0)
+            now = self.context.now()
+            heard, silent = self.context.ledger.heartbeat_counts(now)
+            if silent <= heard or now - self.context.ledger.term_started_at < grace_s + 1.0:
                 continue
-            found = await asyncio.gather(
-                *(ask_connectivity(peer) for peer in self.term.controller.peers.values())
-            )
+            found = await asyncio.gather(*(ask_connectivity(peer) for peer in self.peers.values()))
             elsewhere = max(
                 (connectivity.redirected for connectivity in found if connectivity is not None),
                 default=0,
@@ -132,12 +144,12 @@
                 if self.clearly_more(elsewhere, heard)
                 else Precondition(0)
             )
-            if self.term.permits(Action.RESIGN, held):
+            if self.context.permits(Action.RESIGN, held):
                 self._ending(
                     "resigning", heard=heard, silent=silent, heartbeats_elsewhere=elsewhere
                 )
                 # Longer than an election, so that a controller that hears the workers wins it.
-                self.term.controller.leader_stickiness.withhold_vote(self.term.now())
+                self.withhold_vote(self.context.now())
                 return
 
     def clearly_more(self, elsewhere: int, heard: int) -> bool:
@@ -148,6 +160,4 @@
         between: the peer hears that many times as many as this controller, and can't resign for the
         reverse.
         """
-        policy = self.term.controller.policy.partial_cuts
-        factor = policy.handover_factor if policy is not None and policy.enabled else 1.0
-        return elsewhere > factor * heard
+        return elsewhere > self.handover_factor * heard
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+import random
 
 from salthead import metrics
+from salthead.leader.context import TermContext
+from salthead.leader.declared_networks import network_silence
 from salthead.policy import Network, ZonePolicy
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, put
 from salthead.zones import records
@@ -12,38 +14,30 @@
 from salthead.zones.state import ZonePhase
 from salthead.zones.views import zone_views
 
-if TYPE_CHECKING:
-    from salthead.leader.term import Term
-    from salthead.networks.silence import NetworkSilence
-
 OBSERVE_INTERVAL_S = 1.0
 
 
-def _silence_of(networks: list[Network]) -> NetworkSilence | None:
-    if not networks:
-        return None
-    # Here, so that the library is loaded only where networks are declared.
-    from salthead.networks.directory import NetworkDirectory
-    from salthead.networks.silence import NetworkSilence
-
-    return NetworkSilence(NetworkDirectory(networks))
-
-
 class ZoneLoop:
     """Observes the zones each second; what changed is written behind."""
 
-    def __init__(self, term: Term, policy: ZonePolicy, networks: list[Network]) -> None:
-        self.term = term
-        now = term.now()
+    def __init__(
+        self,
+        context: TermContext,
+        policy: ZonePolicy,
+        networks: list[Network],
+        rng: random.Random,
+    ) -> None:
+        self.context = context
+        now = context.now()
         self.recovery = ZoneRecovery(
-            term.ledger,
+            context.ledger,
             policy,
-            term.controller.rng,
+            rng,
             now,
-            term.ledger.wall_ahead + now,
-            _silence_of(networks),
+            context.ledger.wall_ahead + now,
+            network_silence(networks),
         )
-        term.ledger.zone_hooks = self.recovery
+        context.ledger.zone_hooks = self.recovery
 
     async def loop(self) -> None:
         """Until the term ends; then this controller says nothing of zones any more."""
@@ -55,42 +49,42 @@
 
     async def _follow(self) -> None:
         while True:
-            if self.term.valid():  # else others lead, and what is silent here says nothing
-                self.recovery.observe(self.term.now())
+            if self.context.valid():  # else others lead, and what is silent here says nothing
+                self.recovery.observe(self.context.now())
                 self._show()
             try:
                 await self._write()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.log_throttled("zones", error)
-            await self.term.controller.sleep_with_jitter(OBSERVE_INTERVAL_S)
+                self.context.log_throttled("zones", error)
+            await self.context.sleep_with_jitter(OBSERVE_INTERVAL_S)
 
     async def _load(self) -> None:
         """Go on from the records; without them, the zones are as they are seen."""
-        while not self.term.ledger.ready:
+        while not self.context.ledger.ready:
             try:
-                rows, _ = await self.term.state_store.list_prefix(records.ZONES)
+                rows, _ = await self.context.state_store.list_prefix(records.ZONES)
             except RETRYABLE_ERRORS as error:
-                self.term.controller.log_throttled("zones", error)
-                await self.term.controller.sleep_with_jitter(OBSERVE_INTERVAL_S)
+                self.context.log_throttled("zones", error)
+                await self.context.sleep_with_jitter(OBSERVE_INTERVAL_S)
                 continue
             values = {path: value for path, (value, _) in rows.items()}
-            self.recovery.records.load(values, self.term.now())
+            self.recovery.records.load(values, self.context.now())
             return
 
     async def _write(self) -> None:
-        now = self.term.now()
+        now = self.context.now()
         rows = list(self.recovery.records.unwritten(now).items())
-        most = self.term.state_limits.txn_ops
+        most = self.context.state_limits.txn_ops
         for at in range(0, len(rows), most):
             part = rows[at : at + most]
             covered = self.recovery.records.covered([zone for zone, _ in part], now)
-            await self.term.transaction(
+            await self.context.transaction(
                 {}, [put(key, value) for _, (key, value) in part], bulk=True
             )
             self.recovery.records.mark_written(covered)
 
     def _show(self) -> None:
-        for view in zone_views(self.recovery, self.term.now()):
+        for view in zone_views(self.recovery, self.context.now()):
             for phase in ZonePhase:
                 metrics.ZONES.labels(view.name, phase.value).set(view.phase is phase)
             metrics.ZONE_OPEN.labels(view.name).set(view.open_machines)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -634,7 +634,7 @@
         await world.until_over()
         term = (await leader_of(world)).term
         assert term is not None and not term.ledger.jobs
-        assert not term.outcomes.due and not term.outcomes.indeterminate
+        assert not term.outcomes.pending_writes and not term.outcomes.indeterminate
         assert not [key for key in world.state.keys if key.startswith("job/")]
         return world
 
@@ -670,7 +670,7 @@
         assert await world.cancel("req-1") == "aborted"
         assert leader.term is not None
         again = msgspec.structs.replace(world.specs["req-1"], at=1000.0)
-        leader.term.job_records.add_job(again, leader.term.revision + 1)
+        leader.term.job_records.add_job(again, leader.term.context.revision + 1)
         await asyncio.sleep(10.0)
         assert "req-1" not in leader.term.ledger.jobs
         return world
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -158,7 +158,7 @@
             await asyncio.sleep(0.05)
         term, clock = leader.term, [0.0]
         leader.now = lambda: world.now() + clock[0]
-        term.now = leader.now
+        term.context.now = leader.now
 
         def handle_slowly(*words: Any, **more: Any) -> Any:
             clock[0] += 30.0 if slow else 0.1
@@ -302,7 +302,7 @@
             found.quarantine_reason, found.reclaim_at = "fails its tasks", world.now()
             led.capacity_index.reserve(found, f"req-{n:06d}", world.now() + 60.0)
             job(led, job_id=f"req-{n:06d}", team="blue", job_class="b" * 60, task_count=100_000)
-        return dict(leader.term.views.overview())
+        return dict(msgspec.to_builtins(leader.term.views.overview()))
 
     found = run(day)
     assert found["jobs_total"] == found["machines_total"] == 1000
