--- a/src/salthead/cli.py
+++ b/src/salthead/cli/commands.py
@@ -487,7 +487,3 @@
         found["machines"], ("name", "type", "zone", "kind", "phase", "cpus", "used", "note")
     )
     service.show(found, "\n".join(lines))
-
-
-if __name__ == "__main__":
-    main()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,7 @@
 from tornado.testing import bind_unused_port
 
 from helpers import FLAVORS, settings, spec
-from salthead.cli import JOB_OPTIONS, JobOption, Service, main
+from salthead.cli.commands import JOB_OPTIONS, JobOption, Service, main
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.state_store import records
