--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,9 @@
 from tornado.testing import bind_unused_port
 
 from helpers import FLAVORS, settings, spec
-from salthead.cli.commands import JOB_OPTIONS, JobOption, Service, main
+from salthead.cli import main
+from salthead.cli.client import ServiceClient
+from salthead.cli.job_options import JOB_OPTIONS, JobOption
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.state_store import records
@@ -112,11 +114,11 @@
 ) -> None:
     sent: list[dict[str, Any]] = []
 
-    def ask(service: Service, method: str, path: str, body: Any = None) -> Any:
+    def ask(client: ServiceClient, method: str, path: str, body: Any = None) -> Any:
         sent.append(body)
         return 201, {"uid": "req-7", "phase": "queued"}
 
-    monkeypatch.setattr(Service, "ask", ask)
+    monkeypatch.setattr(ServiceClient, "ask", ask)
     word = {"shape": "gang", "urgency": "prod", "uid": "req-7"}.get(option.field, "7")
     words = [] if option.switch else [word]
     identity = [] if option.field == "uid" else ["--id", "req-7"]
