--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -1,4 +1,4 @@
-"""The listening sockets of a controller, with a bound on the connections that each may hold."""
+"""The listening sockets of a controller, with a limit on the connections that each may hold."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from salthead.transport.connections import Connections
 from salthead.transport.http import Router
 
-SWEEP_S = 30.0
-BACKLOG = 512  # where the platform names no number of sockets
+ABANDONED_CHECK_INTERVAL_S = 30.0
+DEFAULT_BACKLOG = 512  # where the platform names no number of sockets
 
 
-class BoundedServer(HTTPServer):
-    """A server that holds no more connections than its part of the process's sockets."""
+class LimitedServer(HTTPServer):
+    """A server that holds no more connections than its share of the process's sockets."""
 
-    open: Connections
+    connections: Connections
 
     def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Tornado's hook: a connection was accepted."""
-        if self.open.opened(stream):
+        if self.connections.admit(stream):
             super().handle_stream(stream, address)
         else:
             metrics.ERRORS.labels("connections").inc()
@@ -35,28 +35,32 @@
     def on_close(self, server_conn: object) -> None:
         """Tornado's hook: a connection has ended."""
         super().on_close(server_conn)
-        self.open.closed(server_conn.stream)  # type: ignore[attr-defined]
+        self.connections.forget(server_conn.stream)  # type: ignore[attr-defined]
 
 
-def listen(controller: Controller, router: Router, endpoint: str, most: int = 0) -> BoundedServer:
-    """Serve a router's paths on an address, with at most so many connections; 0: no bound."""
+def listen(
+    controller: Controller, router: Router, endpoint: str, max_connections: int = 0
+) -> LimitedServer:
+    """Serve a router's paths on an address; ``max_connections`` 0: no limit."""
     host, port = split_endpoint(endpoint)
     # A body and what follows it: all connections that the sockets allow, with their buffers full,
     # still fit into the memory that the platform gives for that many.
-    server = BoundedServer(router, max_body_size=MAX_BODY, max_buffer_size=2 * MAX_BODY)
-    # Tornado's own time-outs set and drop two timers for each request; one look at all connections
-    # now and then does as well.
+    server = LimitedServer(router, max_body_size=MAX_BODY, max_buffer_size=2 * MAX_BODY)
+    # Tornado's own time-outs set and drop two timers for each request; a check of all connections
+    # every now and then does as well.
     server.conn_params.header_timeout = None
-    server.open = Connections(
-        most,
+    server.connections = Connections(
+        max_connections,
         FRESH_HEARTBEAT_INTERVALS * controller.limits.workers.heartbeat_interval_s,
-        controller.now,
+        controller.context.now,
     )
-    PeriodicCallback(server.open.sweep, SWEEP_S * 1000.0).start()
-    router.connections = server.open
-    # A fleet that comes back at once reports within a second: the queue of the socket has to hold
-    # whoever may come at all, or the rest is refused and comes again later still.
-    server.listen(port, host, backlog=most or BACKLOG)
+    PeriodicCallback(
+        server.connections.close_abandoned, ABANDONED_CHECK_INTERVAL_S * 1000.0
+    ).start()
+    router.connections = server.connections
+    # A fleet that returns at once sends its heartbeats within a second: the socket's queue has to
+    # hold all who may connect, or the rest is refused and connects again later still.
+    server.listen(port, host, backlog=max_connections or DEFAULT_BACKLOG)
     return server
 
 
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -91,7 +91,7 @@
 _SEEN: dict[tuple[str, int], tuple[Counter, Histogram]] = {}
 
 
-def answered(path: str, status: int, seconds: float) -> None:
+def count_answer(path: str, status: int, seconds: float) -> None:
     """Count an answer; the labelled series are looked up once."""
     found = _SEEN.get((path, status))
     if found is None:
--- a/src/salthead/transport/client.py
+++ b/src/salthead/transport/client.py
@@ -1,8 +1,8 @@
-"""HTTP calls to one address. Each address and rank of work has slots of its own.
+"""HTTP calls to one address. Each address and purpose has a pool of connections of its own.
 
-One pool of slots for everything would let one peer that hangs stall every call of the process; a
-separate one for each purpose keeps leases apart from bulk work. Connections stay open from call to
-call: opening one costs more than the call itself, on both sides.
+One pool for everything would let one peer that hangs stall every call of the process; a separate
+one for each purpose keeps leases apart from bulk work. Connections stay open from call to call:
+opening one costs more than the call itself, on both sides.
 """
 
 from __future__ import annotations
@@ -46,11 +46,13 @@
 
 
 class _Response(HTTPMessageDelegate):
+    """Collects one response."""
+
     def __init__(self) -> None:
         self.status = 0
         self.chunks: list[bytes] = []
-        self.whole = False
-        self.stays = False
+        self.complete = False
+        self.keep_alive = False  # whether the other side keeps the connection open
 
     def headers_received(
         self,
@@ -59,19 +61,20 @@
     ) -> None:
         assert isinstance(start_line, ResponseStartLine)
         self.status = start_line.code
-        self.stays = headers.get("Connection", "").lower() != "close"
+        self.keep_alive = headers.get("Connection", "").lower() != "close"
 
     def data_received(self, chunk: bytes) -> None:
         self.chunks.append(chunk)
 
     def finish(self) -> None:
-        self.whole = True
+        self.complete = True
 
 
 class Caller:
-    """Calls to one address through a fixed number of slots; no more connections than these.
+    """Calls to one address, at most ``slots`` at a time, each on a connection of its own.
 
-    Without an address each call names its own, and connections are not kept: there are many.
+    Without an address each call names its own, and connections are not kept open: there are many
+    addresses.
     """
 
     PARAMS = HTTP1ConnectionParameters(max_body_size=MAX_RESPONSE_BYTES)
@@ -96,19 +99,19 @@
         payload = b"" if method in ("GET", "DELETE") else encode({} if body is None else body)
         try:
             async with asyncio.timeout(timeout), self.slots:
-                found = await self._exchange(endpoint or self.endpoint, method, path, payload)
+                response = await self._exchange(endpoint or self.endpoint, method, path, payload)
         except (OSError, ValueError) as error:  # a time-out is an OSError, and a closed stream
             raise UnansweredError(f"{method} {path}: {error or 'timeout'}") from None
-        if not found.whole or found.status < 200:
+        if not response.complete or response.status < 200:
             raise UnansweredError(f"{method} {path}: connection closed")
-        content = b"".join(found.chunks)
+        content = b"".join(response.chunks)
         try:
             answer = decode_map(content) if content else {}
         except (MalformedMessageError, cbor2.CBORDecodeError) as error:
-            if found.status == 200:
+            if response.status == 200:
                 raise UnansweredError(f"{method} {path}: {error}") from None
             answer = {}
-        return Answer(found.status, answer)
+        return Answer(response.status, answer)
 
     async def _exchange(
         self,
@@ -118,7 +121,7 @@
         payload: bytes,
     ) -> _Response:
         stream = await self._stream(endpoint)
-        found = _Response()
+        response = _Response()
         try:
             headers = HTTPHeaders({"Host": endpoint, "Content-Type": "application/cbor"})
             if method == "POST":
@@ -126,17 +129,17 @@
             connection = HTTP1Connection(stream, True, self.PARAMS)
             connection.write_headers(RequestStartLine(method, path, ""), headers, payload or None)
             connection.finish()
-            await connection.read_response(found)
+            await connection.read_response(response)
         finally:
-            if found.whole and found.stays and self.endpoint and not stream.closed():
-                self._keep(stream)
+            if response.complete and response.keep_alive and self.endpoint and not stream.closed():
+                self._add_idle(stream)
             else:
                 stream.close()
-                if not found.whole:
-                    # Behind a cut the others are as dead as this one, and would each cost a
-                    # time-out after it is over.
+                if not response.complete:
+                    # Behind a cut the idle connections are as dead as this one, and would each cost
+                    # a time-out once the cut has ended.
                     self.close()
-        return found
+        return response
 
     async def _stream(self, endpoint: str) -> IOStream:
         now = asyncio.get_running_loop().time()
@@ -157,13 +160,13 @@
             raise
         return stream
 
-    def _keep(self, stream: IOStream) -> None:
+    def _add_idle(self, stream: IOStream) -> None:
         self.idle.append((stream, asyncio.get_running_loop().time()))
-        # Heard of at once, so that a call does not go where nobody listens any more.
-        stream.set_close_callback(lambda: self._forget(stream))
+        # Noticed at once, so that no call goes to a connection that the other side has closed.
+        stream.set_close_callback(lambda: self._remove_idle(stream))
 
-    def _forget(self, stream: IOStream) -> None:
-        self.idle = [(one, since) for one, since in self.idle if one is not stream]
+    def _remove_idle(self, stream: IOStream) -> None:
+        self.idle = [(other, since) for other, since in self.idle if other is not stream]
 
     def close(self) -> None:
         """Close the connections that are idle."""
--- a/src/salthead/transport/http.py
+++ b/src/salthead/transport/http.py
@@ -27,6 +27,7 @@
 from tornado.iostream import IOStream
 
 from salthead import metrics
+from salthead.event_log import error_event
 from salthead.protocol.messages import encode
 from salthead.transport.connections import Connections
 
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a handler is given of one request."""
+    """One request, as its handler gets it."""
 
     parameter: str  # the variable part of the path, such as a job's id
     body: bytes
@@ -108,7 +109,7 @@
         return _RequestDelegate(self, request_conn, stream)
 
     def on_close(self, server_conn: object) -> None:
-        """Tornado's hook: a connection has ended. Nothing is kept for one here."""
+        """Tornado's hook: a connection has ended. The router holds nothing for it."""
 
     def find(self, path: str) -> tuple[Route | None, str]:
         """The route of a path without its query, and the value of its variable segment."""
@@ -168,7 +169,7 @@
         self.path = start_line.path.partition("?")[0]
         self.persistent = start_line.version == "HTTP/1.1" and "Connection" not in headers
         if self.router.connections is not None and self.stream is not None:
-            self.router.connections.used(self.stream)
+            self.router.connections.request_received(self.stream)
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
@@ -197,25 +198,25 @@
         )
         try:
             reply = route.handler(request)
-        except Exception:
-            reply = self._internal_error(route)
+        except Exception as error:
+            reply = self._internal_error(route, error)
         if isinstance(reply, Reply):
             self._write(route.label, reply)
             return
-        task = asyncio.ensure_future(self._write_later(route, reply))
+        task = asyncio.ensure_future(self._write_when_ready(route, reply))
         self.router.in_progress.add(task)
         task.add_done_callback(self.router.in_progress.discard)
 
-    async def _write_later(self, route: Route, pending: Awaitable[Reply]) -> None:
+    async def _write_when_ready(self, route: Route, pending: Awaitable[Reply]) -> None:
         try:
             reply = await pending
-        except Exception:
-            reply = self._internal_error(route)
+        except Exception as error:
+            reply = self._internal_error(route, error)
         self._write(route.label, reply)
 
     @staticmethod
-    def _internal_error(route: Route) -> Reply:
-        log.exception("request failed: %s", route.label)
+    def _internal_error(route: Route, error: Exception) -> Reply:
+        error_event(log, "request_failed", error, path=route.label)
         return Reply(500, {"error": "internal"})
 
     def _write(self, label: str, reply: Reply) -> None:
@@ -232,4 +233,4 @@
         else:
             self.connection.write_headers(*_head(reply, len(payload)), payload)
         self.connection.finish()
-        metrics.answered(label, reply.status, self.router.clock() - self.began)
+        metrics.count_answer(label, reply.status, self.router.clock() - self.began)
--- a/src/salthead/transport/limits.py
+++ b/src/salthead/transport/limits.py
@@ -1,4 +1,4 @@
-"""Budgets of calls per second, with bursts of a set size."""
+"""Rate limits of outgoing calls."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 
 class Budget:
-    """A token bucket. ``now`` is injected, so that tests run on fake time."""
+    """A token bucket: ``rate`` tokens a second, up to ``burst`` of them. It starts full."""
 
     def __init__(self, rate: float, burst: float, now: Callable[[], float]) -> None:
         self.rate = rate
         self.burst = max(1.0, burst)
         self.now = now
-        self.level = self.burst
-        self.at = now()
+        self.tokens = self.burst
+        self.filled_at = now()
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self.now()
-        self.level = min(self.burst, self.level + (now - self.at) * self.rate)
-        self.at = now
+        self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.rate)
+        self.filled_at = now
 
     def take(self, amount: float = 1.0) -> bool:
-        """Take an amount if it is there; whether it was."""
-        self._fill()
-        if self.level + 1e-9 < amount:
+        """Take tokens if there are enough; whether there were."""
+        self._refill()
+        if self.tokens + 1e-9 < amount:
             return False
-        self.level -= amount
+        self.tokens -= amount
         return True
 
     def delay(self, amount: float = 1.0) -> float:
-        """How long until the amount is there."""
-        self._fill()
-        return max(0.0, (amount - self.level) / self.rate)
+        """Seconds until there are enough tokens."""
+        self._refill()
+        return max(0.0, (amount - self.tokens) / self.rate)
 
     async def wait(self, amount: float = 1.0) -> None:
-        """Take an amount as soon as it is there."""
+        """Take tokens as soon as there are enough; no more than a burst of them."""
         amount = min(amount, self.burst)
         while not self.take(amount):
             await asyncio.sleep(self.delay(amount) + 0.002)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -58,17 +58,17 @@
         now[0] = float(at)
         stream = streams[name]
         if what == "open":
-            if not found.opened(stream):
+            if not found.admit(stream):
                 stream.close()
         elif what == "use":
-            found.used(stream)
+            found.request_received(stream)
         elif what == "close":
-            found.closed(stream)
+            found.forget(stream)
         else:
             worker, incarnation, sequence = what.split()
             found.heartbeat_received(worker, (int(incarnation), int(sequence)), stream)
     assert log == ended
-    assert len(found.used_at) <= 2 and set(found.worker_on) <= set(found.used_at)
+    assert len(found.last_used_at) <= 2 and set(found.worker_of) <= set(found.last_used_at)
 
 
 @pytest.mark.parametrize("most", [600, 1500, 1686, 2069])
@@ -178,10 +178,10 @@
     found = Connections(0, 6.0, lambda: now[0])
     for name, at in (("a", 0.0), ("b", 50.0), ("c", 100.0)):
         now[0] = at
-        assert found.opened(Stream(name, log))
+        assert found.admit(Stream(name, log))
     now[0] = 171.0
-    found.sweep()
-    assert log == ["a", "b"] and len(found.used_at) == 1
+    found.close_abandoned()
+    assert log == ["a", "b"] and len(found.last_used_at) == 1
 
 
 class ServerTest(AsyncTestCase):
@@ -190,9 +190,11 @@
     @gen_test
     async def test_at_the_bound_a_server_recovers_by_itself(self) -> None:
         controller = Controller(settings())
-        server = listen(controller, ClientHandlers(controller).router(), "127.0.0.1:0", most=20)
+        server = listen(
+            controller, ClientHandlers(controller).router(), "127.0.0.1:0", max_connections=20
+        )
         ends: list[float] = [0.0]
-        server.open.now = lambda: ends[0]
+        server.connections.now = lambda: ends[0]
         port = next(iter(server._sockets.values())).getsockname()[1]
 
         async def knock() -> socket.socket:
@@ -228,7 +230,7 @@
         silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(20)]
         first = await knock()
         assert await answer(first) == b"", "all are young: the newcomer is refused at once"
-        assert len(server.open.used_at) == 20
+        assert len(server.connections.last_used_at) == 20
         ends[0] = 60.0
         second = await knock()
         found = await answer(second)
@@ -236,7 +238,7 @@
             found.partition(b"\r\n\r\n")[2]
         ) == {"error": "no leader"}
         # The silent one made room, and what was answered on a crowded server gave its place up.
-        assert len(server.open.used_at) == 19
+        assert len(server.connections.last_used_at) == 19
         assert b"\r\nConnection: close\r\n" in found
         for one in (*silent, first, second):
             one.close()
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -247,7 +247,9 @@
     @gen_test
     async def test_all_are_answered_where_there_are_fewer_sockets_than_workers(self) -> None:
         controller = Controller(settings())
-        server = listen(controller, ClientHandlers(controller).router(), "127.0.0.1:0", most=10)
+        server = listen(
+            controller, ClientHandlers(controller).router(), "127.0.0.1:0", max_connections=10
+        )
         port = next(iter(server._sockets.values())).getsockname()[1]
         closing: list[bool] = []
         kept: list[asyncio.StreamWriter] = []
@@ -264,7 +266,7 @@
         answers = [await ask() for _ in range(40)]
         assert all(head.startswith(b"HTTP/1.1 503") for head in answers)
         assert closing[:8] == [False] * 8 and all(closing[8:])
-        assert len(server.open.used_at) <= 9
+        assert len(server.connections.last_used_at) <= 9
         for writer in kept:
             writer.close()
         server.stop()
