--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -125,8 +125,8 @@
         self.type_names = Interner()
         self.machine_types: dict[int, MachineType] = {}
         self.capacities: dict[int, Resources] = {}  # of a machine, by type
-        self.team_limits = [(team.cpus_max, team.gpus_max) for team in limits.teams]
-        self.guarantees = [(team.cpus, team.gpus) for team in limits.teams]
+        self.team_limits = [(team.max_cpus, team.max_gpus) for team in limits.teams]
+        self.guarantees = [(team.guaranteed_cpus, team.guaranteed_gpus) for team in limits.teams]
         self.capacity_index = CapacityIndex()
         # Types that are the only ones for some class of jobs, as seen in this term.
         self.scarce: set[int] = set()
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -140,8 +140,8 @@
         at_once = job.task_count if job.shape == wire_names.GANG else 1
         gpus = job.accelerators * at_once
         if (
-            job.vcpus * at_once > team.cpus_max + CPU_TOLERANCE
-            or gpus > team.gpus_max + CPU_TOLERANCE
+            job.vcpus * at_once > team.max_cpus + CPU_TOLERANCE
+            or gpus > team.max_gpus + CPU_TOLERANCE
         ):
             raise InvalidJobError("more than the team's limit")
 
--- a/src/salthead/networks/directory.py
+++ b/src/salthead/networks/directory.py
@@ -4,12 +4,12 @@
 
 import netaddr
 
-from salthead.policy import Network
-from salthead.toml_file import ConfigFileError as PolicyError
+from salthead.networks.declaration import Network
+from salthead.toml_file import ConfigFileError
 
 
 class NetworkDirectory:
-    """The networks of a policy file, checked; PolicyError names the entry that is wrong.
+    """The networks of a policy file, checked; ConfigFileError names the entry that is wrong.
 
     A network may lie within another one only if it says so: otherwise a mistyped prefix would
     quietly take machines out of the network that they belong to.
@@ -27,16 +27,18 @@
     def _prefix(self, n: int, one: Network) -> netaddr.IPNetwork:
         entry = f"networks[{n}]"
         if not one.name or one.name in self.names[:n]:
-            raise PolicyError(f"{entry}.name: must be there, and only once")
+            raise ConfigFileError(f"{entry}.name: must be there, and only once")
         try:
             prefix = netaddr.IPNetwork(one.prefix)
         except (netaddr.AddrFormatError, ValueError):
-            raise PolicyError(f"{entry}.prefix: no network: {one.prefix!r}") from None
+            raise ConfigFileError(f"{entry}.prefix: no network: {one.prefix!r}") from None
         if prefix.ip != prefix.network or "/" not in one.prefix:
-            raise PolicyError(f"{entry}.prefix: {one.prefix!r} is no network, as {prefix.cidr} is")
+            raise ConfigFileError(
+                f"{entry}.prefix: {one.prefix!r} is no network, as {prefix.cidr} is"
+            )
         if prefix in self.prefixes:
             other = self.names[self.prefixes.index(prefix)]
-            raise PolicyError(f"{entry}.prefix: the same as that of {other!r}")
+            raise ConfigFileError(f"{entry}.prefix: the same as that of {other!r}")
         return prefix
 
     def _check_within(self, n: int, one: Network) -> None:
@@ -46,8 +48,10 @@
         if one.within == found:
             return
         if found is None:
-            raise PolicyError(f"networks[{n}].within: {one.name!r} is not within {one.within!r}")
-        raise PolicyError(f"networks[{n}].within: {one.name!r} lies within {found!r}")
+            raise ConfigFileError(
+                f"networks[{n}].within: {one.name!r} is not within {one.within!r}"
+            )
+        raise ConfigFileError(f"networks[{n}].within: {one.name!r} lies within {found!r}")
 
     def _around(self, n: int, others: list[netaddr.IPNetwork]) -> list[netaddr.IPNetwork]:
         return [prefix for prefix in others if self.prefixes[n] in prefix]
--- a/src/salthead/policy.py
+++ b/src/salthead/policy.py
@@ -1,7 +1,7 @@
-"""The operators' policy file: which further behaviour is enabled, and its numbers.
+"""The operators' policy file: which further behaviour is enabled, and its parameters.
 
-Unlike the platform's settings it is the operators' own, so a field that is not known is a mistake
-and is refused. Nothing has a default: what a file says is all that holds.
+Unlike the platform's settings it is the operators' own, so an unknown entry is a mistake and is
+refused. No parameter has a default: a section that is present names all of them.
 """
 
 from __future__ import annotations
@@ -13,46 +13,42 @@
 import msgspec
 
 from salthead import toml_file
-from salthead.toml_file import ConfigFileError as PolicyError
+from salthead.networks.declaration import Network
+from salthead.toml_file import ConfigFileError
+
+__all__ = ["NO_POLICY", "Network", "PartialCutPolicy", "Policy", "ZonePolicy", "check", "load"]
 
 
 class ZonePolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """When a zone counts as lost, and how fast it gets new work when it is back."""
+    """When a zone counts as lost, and how fast it gets new work when it has recovered."""
 
     enabled: bool
-    min_machines: int  # fewer machines than this are no zone
-    suspect_share: float  # of the machines that are unheard, for the zone to be suspected
-    lost_share: float  # of the machines whose leases have ended, for the zone to be lost
-    return_share: float  # of the machines that are heard, for the zone to be recovering
+    min_machines: int  # fewer silent machines than this never make a zone suspected
+    suspect_share: float  # share of machines with overdue heartbeats: the zone is suspected
+    lost_share: float  # share of machines whose leases have ended: the zone is lost
+    return_share: float  # share of machines with heartbeats again: the zone is recovering
     return_after_s: float  # for which that has to hold, doubled for each earlier loss
-    return_after_most_s: float
-    penalty_half_life_s: float  # in which half of an earlier loss is forgotten
+    max_return_after_s: float = msgspec.field(name="return_after_most_s")
+    penalty_half_life_s: float  # after which an earlier loss counts half
     steps: list[float]  # shares of the zone's machines that may get new work, one after the other
-    step_s: float  # the shortest time for one step
-    hold_most_s: float  # the longest time for which slow machines hold a step back
+    step_s: float  # minimum time of one step
+    max_hold_s: float = msgspec.field(name="hold_most_s")  # for which slow machines delay a step
     slow_factor: float  # a start this many times slower than the zone's usual ones is slow
-    # After which machines are provisioned in a lost zone, to see whether it is back
+    # Time after which machines are provisioned in a lost zone, to see whether it has recovered.
     probe_after_s: float
     probe_machines: int  # of each kind
-    evacuation_most_s: float  # for which displaced work may change the order of the queue
+    # Time for which displaced work may change the order of the queue.
+    max_evacuation_s: float = msgspec.field(name="evacuation_most_s")
 
 
 class PartialCutPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What a leader does while links between it and some machines fail, one way or both."""
 
     enabled: bool
-    min_machines: int  # fewer silent machines than this share nothing but bad luck
-    shared_share: float  # of a group's machines: more than these do not die within one lease
-    wait_boots: float  # for how many boots of its type a machine behind a cut is waited for
-    handover_factor: float  # a peer hears this many times as many workers: it should lead
-
-
-class Network(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An IP network whose machines are counted together."""
-
-    name: str
-    prefix: str  # such as 10.1.2.0/24 or fd00:12::/32
-    within: str | None = None  # the next larger network that it lies in, if that is declared
+    min_machines: int  # fewer silent machines than this are taken for independent failures
+    shared_share: float  # of a group's machines: more do not fail independently within one lease
+    wait_boots: float  # boot times of its type for which a machine behind a cut is waited for
+    handover_factor: float  # a peer that hears this many times as many workers should lead
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -67,6 +63,7 @@
 
 Rule = tuple[Callable[[float], bool], str]
 
+# Rules for the entries by the names that the file gives them.
 SHARE: Rule = (lambda value: 0 < value <= 1, "must be above 0 and at most 1")
 POSITIVE: Rule = (lambda value: value > 0, "must be above 0")
 NOT_NEGATIVE: Rule = (lambda value: value >= 0, "must not be negative")
@@ -97,23 +94,24 @@
 
 
 def _check_numbers(section: str, found: msgspec.Struct, rules: dict[str, Rule]) -> None:
+    entries = msgspec.to_builtins(found)
     for name, (holds, what) in rules.items():
-        value = getattr(found, name)
+        value = entries[name]
         if not math.isfinite(value):
-            raise PolicyError(f"{section}.{name}: must be a number")
+            raise ConfigFileError(f"{section}.{name}: must be a number")
         if not holds(value):
-            raise PolicyError(f"{section}.{name}: {what}")
+            raise ConfigFileError(f"{section}.{name}: {what}")
 
 
 def _check_zone_recovery(found: ZonePolicy) -> None:
     _check_numbers("zone_recovery", found, ZONE_RULES)
     for before, share in zip([0.0, *found.steps], found.steps, strict=False):
         if not before < share < 1:
-            raise PolicyError("zone_recovery.steps: must rise, between 0 and 1")
+            raise ConfigFileError("zone_recovery.steps: must rise, between 0 and 1")
 
 
 def check(found: Policy) -> None:
-    """What types alone do not say; PolicyError names the entry."""
+    """Check what types alone do not say; ConfigFileError names the entry."""
     if found.zone_recovery is not None:
         _check_zone_recovery(found.zone_recovery)
     if found.partial_cuts is not None:
@@ -126,7 +124,7 @@
 
 
 def load(path: str | Path) -> Policy:
-    """Read and check a policy file; PolicyError names the file and the entry.
+    """Read and check a policy file; ConfigFileError names the file and the entry.
 
     A file that is not there enables nothing, so that one command line serves with and without it.
     """
--- a/src/salthead/settings.py
+++ b/src/salthead/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform hands over."""
+"""The settings file that the platform hands over, as typed structures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from salthead import toml_file
-from salthead.toml_file import ConfigFileError as SettingsError
+from salthead.toml_file import ConfigFileError
 
 
 class Seed(msgspec.Struct):
@@ -26,17 +26,17 @@
 
 
 class Team(msgspec.Struct):
-    """A team's guarantee and limit."""
+    """A team's guaranteed share of the cluster, and the limit of its quota."""
 
     name: str
-    cpus: float = 0.0
-    cpus_max: float = 0.0
-    gpus: float = 0.0
-    gpus_max: float = 0.0
+    guaranteed_cpus: float = msgspec.field(name="cpus", default=0.0)
+    max_cpus: float = msgspec.field(name="cpus_max", default=0.0)
+    guaranteed_gpus: float = msgspec.field(name="gpus", default=0.0)
+    max_gpus: float = msgspec.field(name="gpus_max", default=0.0)
 
 
 class Objective(msgspec.Struct):
-    """What users expect of a class of jobs."""
+    """A service-level objective for a class of jobs: the share of them that has to attain it."""
 
     kind: str
     job_class: str = msgspec.field(name="class", default="")
@@ -46,8 +46,8 @@
     times: float = 1.0
 
 
-class Workers(msgspec.Struct):
-    """Periods and leases of workers."""
+class WorkerTimings(msgspec.Struct):
+    """Intervals and leases of workers, and time limits of their tasks."""
 
     heartbeat_interval_s: float = msgspec.field(name="report_s")
     lease_s: float
@@ -56,7 +56,10 @@
     cancel_s: float
 
 
-class NextState(msgspec.Struct):
+STATE_LIMITS = ("rps", "write_rps", "value_kb", "txn_ops")
+
+
+class UpcomingStateLimits(msgspec.Struct):
     """Limits that the state service will have from some moment on; absent ones stay."""
 
     rps: float | None = None
@@ -65,39 +68,40 @@
     txn_ops: int | None = None
 
 
-class State(msgspec.Struct):
-    """Limits of the state service."""
+class StateLimits(msgspec.Struct):
+    """Limits of the state service: rates of calls, and sizes of values and transactions."""
 
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
-    next: NextState | None = None
+    upcoming: UpcomingStateLimits | None = msgspec.field(name="next", default=None)
 
-    def effective(self) -> State:
-        """What every request keeps to: the smaller of the limits that are and those to come.
+    def effective(self) -> StateLimits:
+        """The limits that every request keeps to: the smaller of current and upcoming ones.
 
-        They come without notice, and what is refused then would be refused for ever.
+        The upcoming ones take effect without notice, and a request that is refused then would be
+        refused for ever.
         """
-        if self.next is None:
+        if self.upcoming is None:
             return self
-        both = {
+        smaller = {
             name: min(getattr(self, name), value)
-            for name in ("rps", "write_rps", "value_kb", "txn_ops")
-            if (value := getattr(self.next, name)) is not None
+            for name in STATE_LIMITS
+            if (value := getattr(self.upcoming, name)) is not None
         }
-        return msgspec.structs.replace(self, next=None, **both)
+        return msgspec.structs.replace(self, upcoming=None, **smaller)
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     """Limits of the cloud's interface."""
 
     rps: float
     list_lag_s: float
 
 
-class Quota(msgspec.Struct):
-    """What the platform gives a process."""
+class ProcessQuota(msgspec.Struct):
+    """Resources that the platform gives a process; 0 where it names none."""
 
     cpu_share: float = 1.0
     ram_mb: float = 0.0
@@ -105,21 +109,21 @@
 
 
 class Limits(msgspec.Struct):
-    """What holds for all controllers."""
+    """The settings that all controllers share."""
 
     zones: list[str]
-    workers: Workers
-    state: State
-    cloud: Cloud
+    workers: WorkerTimings
+    state: StateLimits
+    cloud: CloudLimits
     teams: list[Team] = []
     objectives: list[Objective] = []
-    quota: Quota = msgspec.field(default_factory=Quota)
+    quota: ProcessQuota = msgspec.field(default_factory=ProcessQuota)
     initial_size: int = 1
     clock_error_ms: float = 0.0
 
 
 class Settings(msgspec.Struct):
-    """The whole settings file."""
+    """The whole settings file of one controller."""
 
     member: str
     area: str
@@ -130,10 +134,11 @@
     seeds: list[Seed] = []
 
 
+# Entries that have to be in range, by the names that the file gives them.
 NOT_NEGATIVE = ("cpu_share", "ram_mb", "max_connections")  # of the quota; 0: none is named
 POSITIVE = {
     "settings.workers": ("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"),
-    "settings.state": ("rps", "write_rps", "value_kb", "txn_ops"),
+    "settings.state": STATE_LIMITS,
     "settings.cloud": ("rps",),
 }
 
@@ -147,17 +152,17 @@
 
 
 def check(found: Settings) -> None:
-    """What types alone do not say; SettingsError names the field."""
+    """Check what types alone do not say; ConfigFileError names the field."""
     _check_addresses(found)
     if not found.member:
-        raise SettingsError("member: must not be empty")
+        raise ConfigFileError("member: must not be empty")
     limits = found.settings
     if not limits.zones:
-        raise SettingsError("settings.zones: at least one zone is needed")
+        raise ConfigFileError("settings.zones: at least one zone is needed")
     _check_numbers(limits)
-    teams = [team.name for team in limits.teams]
-    if len(set(teams)) != len(teams):
-        raise SettingsError("settings.teams: a name stands twice")
+    team_names = [team.name for team in limits.teams]
+    if len(set(team_names)) != len(team_names):
+        raise ConfigFileError("settings.teams: a name stands twice")
 
 
 def _check_addresses(found: Settings) -> None:
@@ -172,7 +177,7 @@
         try:
             split_endpoint(text)
         except ValueError as error:
-            raise SettingsError(f"{field}: {error}") from None
+            raise ConfigFileError(f"{field}: {error}") from None
 
 
 def _check_numbers(limits: Limits) -> None:
@@ -185,16 +190,16 @@
         values = msgspec.to_builtins(groups[path])
         for name in names:
             if not values[name] > 0:
-                raise SettingsError(f"{path}.{name}: must be above 0")
+                raise ConfigFileError(f"{path}.{name}: must be above 0")
     for name in POSITIVE["settings.state"]:
-        value = getattr(limits.state.next, name, None)
+        value = getattr(limits.state.upcoming, name, None)
         if value is not None and not value > 0:
-            raise SettingsError(f"settings.state.next.{name}: must be above 0")
+            raise ConfigFileError(f"settings.state.next.{name}: must be above 0")
     for name in NOT_NEGATIVE:
         if not getattr(limits.quota, name) >= 0:  # also refuses what is not a number
-            raise SettingsError(f"settings.quota.{name}: must not be negative")
+            raise ConfigFileError(f"settings.quota.{name}: must not be negative")
 
 
 def load(path: str | Path) -> Settings:
-    """Read and check a settings file; SettingsError says what is wrong, naming the file."""
+    """Read and check a settings file; ConfigFileError says what is wrong, naming the file."""
     return toml_file.read(path, Settings, check)
--- a/src/salthead/toml_file.py
+++ b/src/salthead/toml_file.py
@@ -15,7 +15,7 @@
 
 
 class ConfigFileError(SaltheadError):
-    """Why a file can't be used, in one line."""
+    """A settings or policy file can't be used; says why in one line."""
 
 
 def read(path: str | Path, kind: type[Structure], check: Callable[[Structure], None]) -> Structure:
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -252,7 +252,7 @@
         for zone, state in enumerate(self.states):
             oldest = now - lost_before_s
             if state.phase in OUT:
-                oldest = max(state.since - lost_before_s, now - self.policy.evacuation_most_s)
+                oldest = max(state.since - lost_before_s, now - self.policy.max_evacuation_s)
             self.lost_tasks[zone] = {
                 job_id: at
                 for job_id, at in self.lost_tasks[zone].items()
--- a/src/salthead/zones/slow_start.py
+++ b/src/salthead/zones/slow_start.py
@@ -68,7 +68,7 @@
         if now < self.step_until:
             return False
         self.held_back_by = self._reason_to_wait(progress, usual)
-        if self.held_back_by and now - self.step_since < self.policy.hold_most_s:
+        if self.held_back_by and now - self.step_since < self.policy.max_hold_s:
             return False
         self.step += 1
         self._begin_step(now)
--- a/src/salthead/zones/state.py
+++ b/src/salthead/zones/state.py
@@ -59,7 +59,7 @@
         """For how long a lost zone has to be heard: longer the more often it was lost lately."""
         again = max(0.0, self.remembered_losses(now) - 1.0)
         wanted = self.policy.return_after_s * 2.0**again
-        return float(min(self.policy.return_after_most_s, wanted))
+        return float(min(self.policy.max_return_after_s, wanted))
 
     def enter(self, phase: ZonePhase, reason: str, now: float) -> None:
         """Change the phase. A loss is remembered for what it does to later returns."""
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -30,6 +30,7 @@
 )
 from salthead.failure_detection.shared_silence import SharedSilence
 from salthead.heartbeats import handling
+from salthead.toml_file import ConfigFileError
 from standins import run
 from test_scale import calls
 
@@ -79,7 +80,7 @@
     name = change.partition(" =")[0] or "wait_boots"
     path = tmp_path / "policy.toml"
     path.write_text(re.sub(rf"(?m)^{name} = .*\n", "", text) + change + "\n")
-    with pytest.raises(policies.PolicyError, match=re.escape(named)):
+    with pytest.raises(ConfigFileError, match=re.escape(named)):
         policies.load(path)
 
 
--- a/tests/test_networks.py
+++ b/tests/test_networks.py
@@ -9,9 +9,10 @@
 
 from helpers import heartbeat, ledger, machine
 from salthead import policy
+from salthead.networks.declaration import Network
 from salthead.networks.directory import NetworkDirectory
 from salthead.networks.silence import NetworkSilence, NetworkView
-from salthead.policy import Network, PolicyError
+from salthead.toml_file import ConfigFileError
 from salthead.zones.recovery import ZoneRecovery
 from test_zones import zone_policy
 
@@ -47,7 +48,7 @@
     if not named:
         assert len(NetworkDirectory(networks).prefixes) == len(networks)
         return
-    with pytest.raises(PolicyError) as found:
+    with pytest.raises(ConfigFileError) as found:
         NetworkDirectory(networks)
     assert str(found.value).startswith(named)
 
@@ -106,8 +107,8 @@
     path.write_text('[[networks]]\nname = "east"\nprefix = "10.1.0.0/16"\n')
     assert policy.load(path).networks == [EAST]
     path.write_text('[[networks]]\nname = "east"\nprefix = "10.1.0.0/16"\nlink = "x"\n')
-    with pytest.raises(PolicyError, match="link"):
+    with pytest.raises(ConfigFileError, match="link"):
         policy.load(path)
     path.write_text('[[networks]]\nname = "east"\nprefix = "10.1.0.0"\n')
-    with pytest.raises(PolicyError, match=r"policy\.toml: networks\[0\]\.prefix"):
+    with pytest.raises(ConfigFileError, match=r"policy\.toml: networks\[0\]\.prefix"):
         policy.load(path)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,8 @@
 from click.testing import CliRunner
 
 from salthead.cli import main
-from salthead.settings import SettingsError, load
+from salthead.settings import load
+from salthead.toml_file import ConfigFileError
 
 GOOD = """
 member = "n0"
@@ -85,7 +86,7 @@
     path = tmp_path / "s.toml"
     assert old in GOOD
     path.write_text(GOOD.replace(old, new))
-    with pytest.raises(SettingsError) as error:
+    with pytest.raises(ConfigFileError) as error:
         load(path)
     assert named in str(error.value) and str(path) in str(error.value)
     assert "\n" not in str(error.value)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -17,6 +17,7 @@
 from salthead.failure_detection.machine_sets import MachineSets, RecentSet
 from salthead.policy import Policy, ZonePolicy
 from salthead.scheduling import gangs, placement
+from salthead.toml_file import ConfigFileError
 from salthead.zones import evacuation, records
 from salthead.zones.recovery import ZoneRecovery
 from salthead.zones.slow_start import Progress, SlowStart
@@ -358,7 +359,7 @@
     recovery.observe(0.0)
     assert recovery.evacuation_order([low, gang], set(), 0.0) == [gang, low]
     # For a bounded time.
-    recovery.observe(POLICY.evacuation_most_s + 1.0)
+    recovery.observe(POLICY.max_evacuation_s + 1.0)
     assert recovery.evacuation_order([low, gang], set(), 0.0) == [low, gang]
 
 
@@ -557,7 +558,7 @@
     path = tmp_path / "policy.toml"
     assert old in TOML
     path.write_text(TOML.replace(old, new, 1))
-    with pytest.raises(policy.PolicyError) as found:
+    with pytest.raises(ConfigFileError) as found:
         policy.load(path)
     assert named in str(found.value) and str(path) in str(found.value)
     assert "\n" not in str(found.value)
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -52,15 +52,15 @@
     lost_share=0.8,
     return_share=0.5,
     return_after_s=3.0,
-    return_after_most_s=60.0,
+    max_return_after_s=60.0,
     penalty_half_life_s=180.0,
     steps=[0.25, 0.5],
     step_s=4.0,
-    hold_most_s=60.0,
+    max_hold_s=60.0,
     slow_factor=2.0,
     probe_after_s=30.0,
     probe_machines=2,
-    evacuation_most_s=60.0,
+    max_evacuation_s=60.0,
 )
 CUT_POLICY = PartialCutPolicy(
     enabled=True, min_machines=5, shared_share=0.15, wait_boots=1.5, handover_factor=1.5
