--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -394,7 +394,7 @@
             start_sends=binding.start_sends,
             fencing_token=self.fencing_token,
         )
-        metrics.RELEASED.labels(proof).inc()
+        metrics.TASKS_RELEASED.labels(proof).inc()
         machine.bindings.pop((job.job_id, binding.index), None)
         machine.unchanged = False
         job.bindings.pop(binding.index, None)
--- a/src/salthead/cluster/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -47,7 +47,7 @@
         team_known=team >= 0,
         fencing_token=ledger.fencing_token,
     )
-    metrics.ORPHANS_FOUND.inc()
+    metrics.ORPHAN_TASKS.inc()
     ledger.orphan_jobs[job_id] = ledger.orphan_jobs.get(job_id, 0) + 1
     machine.orphans[key] = Binding(job, index, attempt, machine, request, team, orphan=True)
     ledger.book(machine, request, team, 1.0)
--- a/src/salthead/controller/connectivity.py
+++ b/src/salthead/controller/connectivity.py
@@ -14,7 +14,7 @@
 from salthead.protocol.peer_messages import ConnectivityReport, RedirectedHeartbeat
 from salthead.state_store import records
 from salthead.state_store.client import RequestRefusedError
-from salthead.transport.client import Caller, UnansweredError
+from salthead.transport.client import HttpClient, UnansweredError
 
 # A worker whose leader hangs tries the next controller after its time-out of 4 s and 1 s more.
 REDIRECT_WINDOW_S = 6.0
@@ -67,7 +67,7 @@
                     return_exceptions=True,
                 )
 
-    async def _ask(self, peer: Caller) -> None:
+    async def _ask(self, peer: HttpClient) -> None:
         """Ask a peer whether it is there, and whether the state service serves it."""
         answer = await ask_connectivity(peer)
         if answer is None:
--- a/src/salthead/controller/context.py
+++ b/src/salthead/controller/context.py
@@ -14,7 +14,7 @@
 from salthead.protocol.messages import MachineType
 from salthead.settings import Settings
 from salthead.state_store.client import StateStore
-from salthead.transport.client import Caller
+from salthead.transport.client import HttpClient
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
         settings: Settings,
         rng: random.Random,
         now: Callable[[], float],
-        dial: Callable[[str, int], Caller],
+        dial: Callable[[str, int], HttpClient],
         policy: Policy,
         state_store: StateStore | None = None,
     ) -> None:
--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -29,7 +29,7 @@
 from salthead.policy import NO_POLICY, Policy
 from salthead.settings import Settings
 from salthead.state_store.client import StateStore
-from salthead.transport.client import Caller
+from salthead.transport.client import HttpClient
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
         settings: Settings,
         rng: random.Random | None = None,
         now: Callable[[], float] = time.monotonic,
-        dial: Callable[[str, int], Caller] = Caller,
+        dial: Callable[[str, int], HttpClient] = HttpClient,
         policy: Policy = NO_POLICY,
         state_store: StateStore | None = None,
     ) -> None:
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -26,7 +26,7 @@
 )
 from salthead.state_store import records
 from salthead.state_store.client import ConflictError, RequestRefusedError, put
-from salthead.transport.client import Answer, Caller, UnansweredError
+from salthead.transport.client import Answer, HttpClient, UnansweredError
 
 log = logging.getLogger(__name__)
 
@@ -200,7 +200,7 @@
                     return result
         raise UnavailableError("the state service does not answer")
 
-    async def _forward_to(self, peer: Caller, job: Submission) -> SubmissionResult | None:
+    async def _forward_to(self, peer: HttpClient, job: Submission) -> SubmissionResult | None:
         """What a peer answers to a submission; None if it is not accepted there."""
         try:
             answer = await peer.call(
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -210,7 +210,7 @@
             return None
         job.attempt = task.attempt
     binding = ledger.bind(job, index, machine, task.attempt, now)
-    metrics.ADOPTED.inc()
+    metrics.TASKS_ADOPTED.inc()
     event(
         log,
         "task_adopted",
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -31,7 +31,7 @@
     put,
 )
 from salthead.transport.client import UnansweredError
-from salthead.transport.limits import Budget
+from salthead.transport.limits import TokenBucket
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -64,7 +64,9 @@
         self.provisioning: dict[MachineKind, int] = {}
         self.capacity_backoff = CapacityBackoff()
         # A quarter is left for the other controllers' reads of machine types.
-        self.cloud_budget = Budget(term.limits.cloud.rps * 0.7, term.limits.cloud.rps, term.now)
+        self.cloud_budget = TokenBucket(
+            term.limits.cloud.rps * 0.7, term.limits.cloud.rps, term.now
+        )
         self.machine_types_stored: list[MachineType] = []
 
     async def store_machine_types(self) -> None:
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -70,7 +70,7 @@
                     max(PEER_CHECK_INTERVAL_S, PAUSE_FACTOR * (self.term.now() - began))
                 )
         finally:
-            metrics.forget_links()
+            metrics.clear_links()
 
     async def _ask(self, member: str) -> None:
         sent = self.term.now()
@@ -91,7 +91,7 @@
     def _show(self) -> None:
         for view in self.worker_views():
             for state in LinkState:
-                metrics.LINKS.labels(view.group, state.value).set(view.counts.get(state, 0))
+                metrics.LINK_STATES.labels(view.group, state.value).set(view.counts.get(state, 0))
 
     def _group_of(self, machine: Machine) -> str:
         networks = self.silence.networks
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from salthead.protocol import wire_names
-from salthead.transport.client import Caller, UnansweredError
+from salthead.transport.client import HttpClient, UnansweredError
 
 LEADS_FIELD = "leads"
 CONNECTIVITY_TIMEOUT_S = 1.0  # for an answer to a question that is answered from memory
@@ -32,7 +32,7 @@
     seen: list[PeerHeartbeat]  # heartbeats that came to it lately although it does not lead
 
 
-async def ask_connectivity(peer: Caller, leads: bool = False) -> PeerConnectivity | None:
+async def ask_connectivity(peer: HttpClient, leads: bool = False) -> PeerConnectivity | None:
     """Ask a peer what it reaches; None when it does not answer.
 
     ``leads``: by a leader that wants to know which heartbeats came there instead. The version in
@@ -62,7 +62,7 @@
         return []
 
 
-async def ask_to_withhold_vote(peer: Caller, member: str, timeout: float) -> bool:
+async def ask_to_withhold_vote(peer: HttpClient, member: str, timeout: float) -> bool:
     """Whether a peer promises ``member``, which leads, not to stand for a while."""
     try:
         answer = await peer.call(
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -142,7 +142,7 @@
                 what = binding.phase or "starting"
                 self.spent[what] = self.spent.get(what, 0.0) + binding.request.cpus * passed
         for what, amount in self.spent.items():
-            metrics.SPENT.labels(what).set(amount)
+            metrics.CPU_SECONDS.labels(what).set(amount)
 
     def show(self) -> None:
         """Set the metrics, and log a line about the fleet now and then."""
@@ -171,11 +171,11 @@
                 ", ".join(f"{what} {amount:.0f}" for what, amount in self.spent.items()),
             )
         self._show_limits()
-        metrics.ACTIVE.set(len(self.ledger.jobs))
+        metrics.ACTIVE_JOBS.set(len(self.ledger.jobs))
         metrics.BLOCKED_JOBS.set(
             sum(1 for job in self.ledger.jobs.values() if job.blocked_on_dependencies)
         )
-        metrics.WAITING.set(sum(job.waiting() for job in self.ledger.ready_jobs.values()))
+        metrics.WAITING_TASKS.set(sum(job.waiting() for job in self.ledger.ready_jobs.values()))
 
     def _show_limits(self) -> None:
         """How much of each team's limit is booked, and how much is counted for silent machines."""
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -50,7 +50,7 @@
             await self._load()
             await self._follow()
         finally:
-            metrics.forget_zones()
+            metrics.clear_zones()
 
     async def _follow(self) -> None:
         while True:
@@ -91,8 +91,8 @@
     def _show(self) -> None:
         for view in self.recovery.views(self.term.now()):
             for phase in ZonePhase:
-                metrics.ZONES.labels(view.name, phase.value).set(view.phase is phase)
-            metrics.ZONE_OPEN.labels(view.name).set(view.open_machines)
+                metrics.ZONE_STATES.labels(view.name, phase.value).set(view.phase is phase)
+            metrics.ZONE_OPEN_MACHINES.labels(view.name).set(view.open_machines)
         for network in self.recovery.network_views():
-            metrics.NETWORK_UNHEARD.labels(network.name).set(network.unheard)
-        metrics.DISPLACED.set(len(self.recovery.displaced_jobs))
+            metrics.SILENT_NETWORK_MACHINES.labels(network.name).set(network.unheard)
+        metrics.DISPLACED_JOBS.set(len(self.recovery.displaced_jobs))
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -1,11 +1,12 @@
-"""What operators can see: counters, gauges and latencies as histograms."""
+"""The metrics that operators scrape. Their names, labels and help texts are an interface: variables
+have the terms of the code."""
 
 from __future__ import annotations
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 REGISTRY = CollectorRegistry()
-LATENCY = Histogram(
+REQUEST_LATENCY = Histogram(
     "salthead_request_seconds",
     "Time to answer a request",
     ["path"],
@@ -19,27 +20,27 @@
     "salthead_token", "Token of the term led by this controller", registry=REGISTRY
 )
 MACHINES = Gauge("salthead_machines", "Machines by phase", ["phase"], registry=REGISTRY)
-WAITING = Gauge("salthead_waiting_tasks", "Tasks with no machine", registry=REGISTRY)
+WAITING_TASKS = Gauge("salthead_waiting_tasks", "Tasks with no machine", registry=REGISTRY)
 BLOCKED_JOBS = Gauge(
     "salthead_awaiting_jobs", "Jobs that wait for other jobs to be done", registry=REGISTRY
 )
-ACTIVE = Gauge("salthead_active_jobs", "Jobs that are not over", registry=REGISTRY)
-ZONES = Gauge(
+ACTIVE_JOBS = Gauge("salthead_active_jobs", "Jobs that are not over", registry=REGISTRY)
+ZONE_STATES = Gauge(
     "salthead_zone", "1 for the state that a zone is in", ["zone", "state"], registry=REGISTRY
 )
-ZONE_OPEN = Gauge(
+ZONE_OPEN_MACHINES = Gauge(
     "salthead_zone_open_machines",
     "Machines of a returning zone that get new work",
     ["zone"],
     registry=REGISTRY,
 )
-NETWORK_UNHEARD = Gauge(
+SILENT_NETWORK_MACHINES = Gauge(
     "salthead_network_unheard_machines",
     "Machines of a declared network that are not heard",
     ["network"],
     registry=REGISTRY,
 )
-LINKS = Gauge(
+LINK_STATES = Gauge(
     "salthead_links",
     "Machines by group and by what is confirmed of their links",
     ["group", "state"],
@@ -51,7 +52,7 @@
     ["action", "lacking"],
     registry=REGISTRY,
 )
-DISPLACED = Gauge(
+DISPLACED_JOBS = Gauge(
     "salthead_displaced_jobs", "Jobs that lost tasks with a lost zone", registry=REGISTRY
 )
 TEAM_CPUS = Gauge(
@@ -66,7 +67,7 @@
     ["why"],
     registry=REGISTRY,
 )
-RELEASED = Counter(
+TASKS_RELEASED = Counter(
     "salthead_tasks_released_total",
     "Tasks that are certainly not on their machine any more, by the proof",
     ["proof"],
@@ -78,39 +79,40 @@
     ["which"],
     registry=REGISTRY,
 )
-ADOPTED = Counter(
+TASKS_ADOPTED = Counter(
     "salthead_tasks_adopted_total", "Tasks of earlier leaders taken over", registry=REGISTRY
 )
-ORPHANS_FOUND = Counter(
+ORPHAN_TASKS = Counter(
     "salthead_stray_tasks_total", "Tasks found that no binding explains", registry=REGISTRY
 )
-SPENT = Gauge(
+CPU_SECONDS = Gauge(
     "salthead_cpu_seconds", "Rented CPU-seconds of this term by use", ["use"], registry=REGISTRY
 )
 
-_SEEN: dict[tuple[str, int], tuple[Counter, Histogram]] = {}
+_ANSWER_SERIES: dict[tuple[str, int], tuple[Counter, Histogram]] = {}
 
 
 def count_answer(path: str, status: int, seconds: float) -> None:
-    """Count an answer; the labelled series are looked up once."""
-    found = _SEEN.get((path, status))
-    if found is None:
-        found = _SEEN[path, status] = ANSWERS.labels(path, str(status)), LATENCY.labels(path)
-    found[0].inc()
-    found[1].observe(seconds)
+    """Count an answer and its latency; the labelled series are looked up once."""
+    series = _ANSWER_SERIES.get((path, status))
+    if series is None:
+        series = ANSWERS.labels(path, str(status)), REQUEST_LATENCY.labels(path)
+        _ANSWER_SERIES[path, status] = series
+    answers, latency = series
+    answers.inc()
+    latency.observe(seconds)
 
 
-def forget_zones() -> None:
-    """A controller that leads no more knows nothing of zones: what it last saw must not stay on
-    show."""
-    for gauge in (ZONES, ZONE_OPEN, NETWORK_UNHEARD):
+def clear_zones() -> None:
+    """Remove the series on zones: a controller that no longer leads knows nothing of them."""
+    for gauge in (ZONE_STATES, ZONE_OPEN_MACHINES, SILENT_NETWORK_MACHINES):
         gauge.clear()
-    DISPLACED.set(0)
+    DISPLACED_JOBS.set(0)
 
 
-def forget_links() -> None:
-    """A controller that leads no more confirms no worker's links."""
-    LINKS.clear()
+def clear_links() -> None:
+    """Remove the series on links: a controller that no longer leads confirms no worker's links."""
+    LINK_STATES.clear()
 
 
 def exposition() -> bytes:
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -8,8 +8,8 @@
 from salthead.errors import SaltheadError
 from salthead.protocol import wire_names
 from salthead.protocol.messages import MalformedMessageError
-from salthead.transport.client import Answer, Caller, UnansweredError
-from salthead.transport.limits import Budget
+from salthead.transport.client import Answer, HttpClient, UnansweredError
+from salthead.transport.limits import TokenBucket
 
 
 class VersionedValue(NamedTuple):
@@ -75,17 +75,17 @@
         rps: float,
         write_rps: float,
         now: Callable[[], float],
-        dial: Callable[[str, int], Caller] = Caller,
+        dial: Callable[[str, int], HttpClient] = HttpClient,
     ) -> None:
         # Leases have slots and a budget of their own: they never queue behind bulk work.
         self.urgent = dial(endpoint, self.URGENT)
         self.bulk = dial(endpoint, self.BULK)
         self.watches = dial(endpoint, self.WATCHES)
         # Half of what all controllers together may ask is left for the others and for leases.
-        self.reads = Budget(rps * 0.4, rps * 0.3, now)
-        self.writes = Budget(write_rps * 0.5, write_rps * 0.5, now)
+        self.reads = TokenBucket(rps * 0.4, rps * 0.3, now)
+        self.writes = TokenBucket(write_rps * 0.5, write_rps * 0.5, now)
         # The machine registry and done tasks: submissions and outcomes never wait behind them.
-        self.bulk_writes = Budget(write_rps * 0.25, write_rps * 0.5, now)
+        self.bulk_writes = TokenBucket(write_rps * 0.25, write_rps * 0.5, now)
         self.now = now
         self.last_response_at = -1e9  # when the service last did something for this controller
 
--- a/src/salthead/transport/client.py
+++ b/src/salthead/transport/client.py
@@ -70,7 +70,7 @@
         self.complete = True
 
 
-class Caller:
+class HttpClient:
     """Calls to one address, at most ``slots`` at a time, each on a connection of its own.
 
     Without an address each call names its own, and connections are not kept open: there are many
--- a/src/salthead/transport/limits.py
+++ b/src/salthead/transport/limits.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-class Budget:
+class TokenBucket:
     """A token bucket: ``rate`` tokens a second, up to ``burst`` of them. It starts full."""
 
     def __init__(self, rate: float, burst: float, now: Callable[[], float]) -> None:
--- a/tests/local_setup.py
+++ b/tests/local_setup.py
@@ -29,7 +29,7 @@
 
 from helpers import LIMITS  # noqa: E402
 from salthead.protocol.messages import Submission, encode, shape  # noqa: E402
-from salthead.transport.client import Caller  # noqa: E402
+from salthead.transport.client import HttpClient  # noqa: E402
 from standins import Worker, World  # noqa: E402
 
 LOWEST_PORT = 15000
@@ -55,7 +55,7 @@
 
     def __init__(self, addresses: list[str]) -> None:
         super().__init__(controllers=0)
-        self.callers = [Caller(address, 100) for address in addresses]
+        self.callers = [HttpClient(address, 100) for address in addresses]
         self.controllers = {f"n{n}": None for n in range(len(addresses))}
         self.printed = 0  # of the broken rules
 
--- a/tests/soak_world.py
+++ b/tests/soak_world.py
@@ -20,7 +20,7 @@
 from link_setup import LinkSetup, address_of, listen_for
 from local_setup import LocalWorld
 from salthead.protocol.messages import Submission
-from salthead.transport.client import Answer, Caller, UnansweredError
+from salthead.transport.client import Answer, HttpClient, UnansweredError
 from standins import Worker
 from zone_world import ZoneWorld
 
@@ -73,7 +73,7 @@
             for zone in ZONES
             for controller, address in enumerate(addresses)
         }
-        self.links: dict[tuple[str, int], Caller] = {}
+        self.links: dict[tuple[str, int], HttpClient] = {}
         self.commands = dict.fromkeys(ZONES, Mode.PASS)
         self.endpoints: dict[str, str] = {}
         self.listening: list[HTTPServer] = []
@@ -86,7 +86,7 @@
         self.watch_zones(workers // 2)
         self.history.partial_most_s = 1e9  # no rule of the protocol, and faults make it long
         for link, proxy in self.heartbeats.items():
-            self.links[link] = Caller(f"127.0.0.1:{await proxy.start()}", 200)
+            self.links[link] = HttpClient(f"127.0.0.1:{await proxy.start()}", 200)
         self.later(0.0, self.end_leases())
 
     def later(self, seconds: float, work: Any) -> None:
@@ -183,7 +183,7 @@
     async def ask(self, method: str, path: str, body: Any = None) -> Answer | None:
         """Ask one controller once; None when it does not answer."""
         caller = self.rng.choice(self.world.callers)
-        once = Caller(caller.endpoint, 1) if self.rng.random() < 0.2 else None
+        once = HttpClient(caller.endpoint, 1) if self.rng.random() < 0.2 else None
         try:
             return await (once or caller).call(method, path, body, timeout=2.0)
         except UnansweredError:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -16,7 +16,7 @@
 from salthead.controller.server import listen
 from salthead.controller.socket_budget import SocketBudget
 from salthead.protocol.messages import encode
-from salthead.transport.client import Caller, UnansweredError
+from salthead.transport.client import HttpClient, UnansweredError
 from salthead.transport.connections import Connections
 
 
@@ -138,7 +138,7 @@
     async def day() -> tuple[list[int | None], int]:
         peer = Peer()
         server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
-        caller = Caller(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 2)
+        caller = HttpClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 2)
         found: list[int | None] = []
         for peer.how in how:
             try:
@@ -158,7 +158,7 @@
     async def day() -> tuple[int, int, int]:
         peer = Peer()
         server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
-        caller = Caller(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 3)
+        caller = HttpClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 3)
         await asyncio.gather(*(caller.call("GET", "/x") for _ in range(12)))
         idle = len(caller.idle)
         peer.how = "hang"
--- a/tests/test_cut_loopback.py
+++ b/tests/test_cut_loopback.py
@@ -19,7 +19,7 @@
 from history import AnswerHistory
 from link_proxy import LinkProxy, Mode
 from link_setup import LinkSetup, address_of, listen_for
-from salthead.transport.client import Answer, Caller
+from salthead.transport.client import Answer, HttpClient
 from standins import Worker
 from test_zone_loopback import FAST, LocalZones
 
@@ -70,7 +70,7 @@
             zone: [LinkProxy(*address_of(one)) for one in addresses] for zone in ZONES
         }
         self.commands: dict[str, list[LinkProxy]] = {zone: [] for zone in ZONES}
-        self.links: dict[str, Caller] = {}  # by zone and controller
+        self.links: dict[str, HttpClient] = {}  # by zone and controller
         self.endpoints: dict[str, str] = {}
         self.deaf: set[str] = set()  # zones whose workers' heartbeats arrive, and no answer to them
         self.listening: list[HTTPServer] = []
@@ -78,7 +78,9 @@
     async def listen(self) -> None:
         for zone, proxies in self.heartbeats.items():
             for controller, proxy in enumerate(proxies):
-                self.links[f"{zone} {controller}"] = Caller(f"127.0.0.1:{await proxy.start()}", 20)
+                self.links[f"{zone} {controller}"] = HttpClient(
+                    f"127.0.0.1:{await proxy.start()}", 20
+                )
 
     async def endpoint_of(self, worker: Worker) -> str:
         """The worker's own address, behind a proxy: its network tells the zone."""
