--- a/src/salthead/cli/job_options.py
+++ b/src/salthead/cli/job_options.py
@@ -11,7 +11,7 @@
 
 import click
 
-from salthead.protocol.messages import MAX_TASKS
+from salthead.protocol.validation import MAX_TASKS
 
 Command = Callable[..., Any]
 
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -22,8 +22,6 @@
     LeaderRedirect,
     MalformedMessageError,
     ReadyAnswer,
-    decode_heartbeat,
-    decode_submission,
 )
 from salthead.protocol.peer_messages import (
     WithholdVoteAnswer,
@@ -31,6 +29,7 @@
     decode_job_query,
     decode_withhold_vote,
 )
+from salthead.protocol.validation import decode_heartbeat, decode_submission
 from salthead.state_store.client import ConflictError, LeaseExpiredError, RequestRefusedError
 from salthead.transport.client import UnansweredError
 from salthead.transport.http import PrefixRoutes, Reply, Request, Route, Router
--- a/src/salthead/event_log.py
+++ b/src/salthead/event_log.py
@@ -17,7 +17,7 @@
 def error_event(log: logging.Logger, name: str, error: BaseException, **fields: object) -> None:
     """Log an error as an event with its fields, followed by its traceback."""
     text = " ".join(f"{key}={_text(fields[key])}" for key in fields)
-    log.error("%s %s", name, text, exc_info=error)
+    log.log(logging.ERROR, "%s %s", name, text, exc_info=error)
 
 
 def _text(value: object) -> str:
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -1,4 +1,7 @@
-"""Messages as typed structures, and the checks that they pass on arrival."""
+"""Messages as typed structures, and their encoding.
+
+Fields have the code's names, which are mapped to the wire's here.
+"""
 
 from __future__ import annotations
 
@@ -13,9 +16,8 @@
 from salthead.protocol import wire_names
 
 T = TypeVar("T")
-MAX_BODY = 64 * 1024
-MAX_TASKS = 100_000
-# an id in any other form was never accepted, so it needs no look-up
+MAX_BODY = 64 * 1024  # bytes
+# A job with an id in any other form was never accepted, so it needs no look-up.
 JOB_ID = re.compile(r"req-[0-9]{1,40}\Z")
 
 
@@ -50,37 +52,14 @@
     checkpoint_interval_s: float = msgspec.field(name="cairn_s", default=0.0)
     checkpoint_save_s: float = msgspec.field(name="stow_s", default=0.0)
     deadline_s: float | None = msgspec.field(name="due_s", default=None)
-    # jobs that have to be done before any task of this one starts
+    # Jobs that have to be done before any task of this one starts.
     depends_on: list[str] | None = msgspec.field(name="awaits", default=None)
-    # ours: the time of day at which the record was written
+    # Set by controllers: the time of day at which the record was written.
     at: float = 0.0
-    # ours: how many further values hold the rest of a long list of jobs that it depends on
+    # Set by controllers: how many further values hold the rest of a long list of dependencies.
     more: int = 0
 
 
-# What a user has to give, by wire names: all that the protocol's page does not let be null, which
-# alone may be left out. Records and what controllers forward leave out what has its usual value.
-REQUIRED_FIELDS = (
-    "uid",
-    "breed",
-    "crew",
-    "shape",
-    "urgency",
-    "pieces",
-    "vcpus",
-    "accelerators",
-    "ram_gb",
-    "kit",
-    "image_gb",
-    "same_place",
-    "apart",
-    "borrowed",
-    "guess_s",
-    "cairn_s",
-    "stow_s",
-)
-
-
 class TaskStatus(msgspec.Struct):
     """One task on a machine, as its worker reports it."""
 
@@ -243,7 +222,7 @@
 
 
 def decode_map(body: bytes) -> dict[str, Any]:
-    """A body that has to be a map with text keys."""
+    """The map with text keys that a body holds; MalformedMessageError if it is none."""
     try:
         found = cbor2.loads(body)
     except Exception as error:  # the decoder raises several unrelated types
@@ -254,7 +233,7 @@
 
 
 def shape(found: Any, kind: type[T]) -> T:
-    """The map as the structure; MalformedMessageError names the field."""
+    """A decoded value as a structure; MalformedMessageError names the field that does not fit."""
     try:
         return msgspec.convert(found, kind)
     except msgspec.ValidationError as error:
@@ -268,74 +247,9 @@
     return shape(decode_map(body), kind)
 
 
-# Amounts of a submission that must be finite and not negative: attribute and wire name.
-AMOUNTS = (
-    ("vcpus", "vcpus"),
-    ("accelerators", "accelerators"),
-    ("ram_gb", "ram_gb"),
-    ("image_gb", "image_gb"),
-    ("estimated_run_s", "guess_s"),
-    ("checkpoint_interval_s", "cairn_s"),
-    ("checkpoint_save_s", "stow_s"),
-)
-
-
-def finite(value: float, low: float, what: str) -> None:
-    """MalformedMessageError if a number is none, or out of range."""
-    if not low <= value < 1e12:  # also refuses what is not a number
-        raise MalformedMessageError(f"{what}: out of range")
-
-
-def decode_submission(body: bytes, forwarded: bool = False) -> Submission:
-    """POST /work in full, or MalformedMessageError (400) with a short reason.
-
-    ``forwarded``: by another controller, which has checked that no field is missing.
-    """
-    if len(body) > MAX_BODY:
-        raise MalformedMessageError("body over 64 KiB")
-    found = decode_map(body)
-    if not forwarded:
-        for name in REQUIRED_FIELDS:
-            if found.get(name) is None:
-                raise MalformedMessageError(f"{name}: missing")
-    job = shape(found, Submission)
-    _check_values(job)
-    if job.depends_on is not None:
-        job.depends_on = list(dict.fromkeys(job.depends_on)) or None
-    job.at, job.more = 0.0, 0
-    return job
-
-
-def _check_values(job: Submission) -> None:
-    """What the types alone do not say; MalformedMessageError names the field."""
-    if not JOB_ID.match(job.job_id):
-        raise MalformedMessageError("uid: not of the form req-DIGITS")
-    if not 1 <= job.task_count <= MAX_TASKS:
-        raise MalformedMessageError("pieces: out of range")
-    for attribute, wire_name in AMOUNTS:
-        finite(getattr(job, attribute), 0.0, wire_name)
-    if job.deadline_s is not None:
-        finite(job.deadline_s, 0.0, "due_s")
-    if job.vcpus <= 0 and job.accelerators <= 0 and job.ram_gb <= 0:
-        raise MalformedMessageError("vcpus: a task must take something")
-
-
-def decode_heartbeat(body: bytes) -> Heartbeat:
-    """A worker's heartbeat; MalformedMessageError if it is none."""
-    heartbeat = decode(body, Heartbeat)
-    if (
-        not heartbeat.worker
-        or heartbeat.incarnation < 1
-        or heartbeat.sequence < 0
-        or heartbeat.fencing_token < 0
-    ):
-        raise MalformedMessageError("saltlick, tenure, tally or baton: out of range")
-    return heartbeat
-
-
 @functools.lru_cache(maxsize=20_000)
 def split_task_id(text: str) -> tuple[str, int]:
-    """``req-000412/3`` as its job and its number."""
+    """A task's id, such as ``req-000412/3``, as the id of its job and its index in that."""
     job_id, _, number = text.rpartition("/")
     if not JOB_ID.match(job_id) or not number.isascii() or not number.isdigit():
         raise MalformedMessageError(f"piece: {text[:60]!r}")
--- a/src/salthead/serve.py
+++ b/src/salthead/serve.py
@@ -16,16 +16,20 @@
 
 from salthead import policy as policies
 from salthead.errors import SaltheadError
+from salthead.event_log import event
 from salthead.settings import load
 from salthead.toml_file import ConfigFileError
 
-GC_YOUNG = 10_000  # objects
+log = logging.getLogger(__name__)
+
+# Thresholds of the garbage collector's three generations.
+GC_THRESHOLDS = 10_000, 20, 20
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 class StartupError(SaltheadError):
-    """Why a controller can't start, in one line."""
+    """A controller can't start; says why in one line."""
 
 
 def set_up_logging() -> None:
@@ -42,7 +46,7 @@
 
 
 def run_controller(config: Path, policy_file: Path | None = None) -> None:
-    """Until the process is killed; StartupError says why it can't start."""
+    """Run a controller until the process is killed; StartupError if it can't start."""
     set_up_logging()
     try:
         settings = load(config)
@@ -54,25 +58,25 @@
     from salthead.controller.controller import Controller
     from salthead.controller.server import listen_on_all
 
-    # What is there now stays; and a ledger holds many objects that live long, none of them in
-    # cycles, so that collecting as often as usual walks over all of them for nothing.
+    # Objects that exist now live as long as the process; and a ledger holds many that live long,
+    # none of them in cycles, so that collecting as often as usual walks over them for nothing.
     gc.freeze()
-    gc.set_threshold(GC_YOUNG, 20, 20)
+    gc.set_threshold(*GC_THRESHOLDS)
 
-    async def work() -> None:
+    async def run_until_killed() -> None:
         controller = Controller(settings, policy=policy)
         try:
             listen_on_all(controller)
         except OSError as error:
             raise StartupError(f"can't listen: {error}") from None
-        logging.getLogger("salthead").info("%s started", settings.member)
+        event(log, "controller_started", member=settings.member)
         await controller.run()
 
-    # tornado runs on whichever loop there is; this one takes an eighth off a leader's time.
-    uvloop.run(work())
+    # Tornado runs on any event loop; this one saves an eighth of a leader's processor time.
+    uvloop.run(run_until_killed())
 
 
-def main(words: Sequence[str] | None = None) -> None:
+def main(arguments: Sequence[str] | None = None) -> None:
     """``run.py --config FILE``, as the platform calls it; ``salthead serve`` does the same."""
     parser = argparse.ArgumentParser(
         prog="run.py", description="Run one salthead controller until it is killed."
@@ -90,7 +94,7 @@
         metavar="FILE",
         help="the operators' policy file (TOML); without it, or without the file, nothing is added",
     )
-    options = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     try:
         run_controller(options.config, options.policy)
     except StartupError as error:
--- a/tests/production.py
+++ b/tests/production.py
@@ -95,6 +95,11 @@
     def messages(self) -> Any:
         return self.module("protocol.messages")
 
+    @property
+    def validation(self) -> Any:
+        """The module that decodes submissions and heartbeats."""
+        return self.module("protocol.messages" if self.package == NAME else "protocol.validation")
+
     def handle_heartbeat(self, controller: Any, message: bytes) -> tuple[int, dict[str, Any]]:
         """What a process of this version answers to the bytes of a heartbeat."""
         if self.package == NAME:
@@ -102,7 +107,7 @@
                 self.messages.decode_report(message)
             )
         try:
-            answer = controller.heartbeats.handle(self.messages.decode_heartbeat(message))
+            answer = controller.heartbeats.handle(self.validation.decode_heartbeat(message))
         except self.module("errors").UnavailableError as error:
             return 503, {"error": str(error)}
         redirect = isinstance(answer, self.messages.LeaderRedirect)
@@ -112,7 +117,7 @@
         self, controller: Any, submission: bytes, forwarded: bool = False
     ) -> tuple[int, dict[str, Any]]:
         """What a process of this version answers to the bytes of a submission."""
-        job = self.messages.decode_submission(submission)
+        job = self.validation.decode_submission(submission)
         if self.package == NAME:
             return await controller.submit(job, forwarded)  # type: ignore[no-any-return]
         status, created = await controller.submissions.submit(job, forwarded)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -8,7 +8,6 @@
 
 from salthead.protocol.messages import (
     MAX_BODY,
-    REQUIRED_FIELDS,
     Heartbeat,
     ListedMachine,
     MachineList,
@@ -18,10 +17,9 @@
     ProvisionedMachines,
     Submission,
     TaskStatus,
-    decode_heartbeat,
-    decode_submission,
     split_task_id,
 )
+from salthead.protocol.validation import REQUIRED_FIELDS, decode_heartbeat, decode_submission
 
 GOOD: dict[str, Any] = {
     "uid": "req-000412",
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -15,7 +15,8 @@
 from helpers import FLAVORS, given, heartbeat, limits, spec
 from salthead.cluster.ledger import Ledger
 from salthead.failure_detection.shared_silence import SharedSilence
-from salthead.protocol.messages import decode_submission, encode
+from salthead.protocol.messages import encode
+from salthead.protocol.validation import decode_submission
 from salthead.scheduling import placement
 from standins import run
 
