--- a/src/salthead/cluster/allocations.py
+++ b/src/salthead/cluster/allocations.py
@@ -32,7 +32,7 @@
         self.events = jobs.events
         self.attempts = 0  # in this term
         self.usage = [[0.0, 0.0] for _ in teams]  # CPUs and GPUs that are booked, by team
-        self.team_limits = [(team.cpus_max, team.gpus_max) for team in teams]
+        self.team_limits = [(team.max_cpus, team.max_gpus) for team in teams]
         self.bound_by_priority = [0] * len(wire_names.URGENCIES)  # tasks bound, by urgency
         self.stops: list[Binding] = []  # wanted since they were last sent directly
 
@@ -121,7 +121,7 @@
             start_sends=binding.start_sends,
             fencing_token=self.fencing_token,
         )
-        metrics.RELEASED.labels(proof).inc()
+        metrics.TASKS_RELEASED.labels(proof).inc()
 
     def _unbind(self, job: Job, binding: Binding) -> None:
         machine = binding.machine
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -127,7 +127,7 @@
     def _init_scheduling(self) -> None:
         """What scheduling and autoscaling keep from one pass to the next."""
         teams = self.limits.teams
-        self.guarantees = [(team.cpus, team.gpus) for team in teams]
+        self.guarantees = [(team.guaranteed_cpus, team.guaranteed_gpus) for team in teams]
         self.limit_logged_at = [-math.inf for _ in teams]
         self.rest_until = [0.0 for _ in teams]  # until then no quota is kept for gangs
         self.pending = PendingQueue()
--- a/src/salthead/cluster/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -56,7 +56,7 @@
             team_known=team >= 0,
             fencing_token=self.allocations.fencing_token,
         )
-        metrics.ORPHANS_FOUND.inc()
+        metrics.ORPHAN_TASKS.inc()
         self.count_by_job[job_id] = self.count_by_job.get(job_id, 0) + 1
         machine.orphans[key] = Binding(job, index, attempt, machine, request, team, orphan=True)
         self.allocations.book(machine, request, team, 1.0)
--- a/src/salthead/cluster/worker_leases.py
+++ b/src/salthead/cluster/worker_leases.py
@@ -9,7 +9,7 @@
 from salthead.cluster.model import Job, Machine
 from salthead.leases.leader_lease import certainly_expired_at
 from salthead.protocol import wire_names
-from salthead.settings import Workers
+from salthead.settings import WorkerTimings
 
 
 class WorkerLeases:
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        workers: Workers,
+        workers: WorkerTimings,
         registry: MachineRegistry,
         jobs: Mapping[str, Job],
         now: float,
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -181,7 +181,7 @@
             job.attempt = task.attempt
         machine, ledger = self.machine, self.ledger
         binding = ledger.allocations.bind(job, index, machine, task.attempt, self.now)
-        metrics.ADOPTED.inc()
+        metrics.TASKS_ADOPTED.inc()
         event(
             log,
             "task_adopted",
--- a/src/salthead/leader/cloud.py
+++ b/src/salthead/leader/cloud.py
@@ -9,10 +9,10 @@
 
 from salthead.protocol import wire_names
 from salthead.protocol.messages import MachineList, ProvisionedMachines, shape
-from salthead.settings import Cloud
+from salthead.settings import CloudLimits
 from salthead.state_store.client import RequestRefusedError
-from salthead.transport.client import Caller
-from salthead.transport.limits import Budget
+from salthead.transport.client import HttpClient
+from salthead.transport.limits import TokenBucket
 
 # A quarter is left for the other controllers' reads of machine types.
 RATE_SHARE = 0.7
@@ -40,9 +40,9 @@
 class CloudClient:
     """The cloud's machines: list, provision, terminate."""
 
-    def __init__(self, caller: Caller, limits: Cloud, now: Callable[[], float]) -> None:
+    def __init__(self, caller: HttpClient, limits: CloudLimits, now: Callable[[], float]) -> None:
         self.caller = caller
-        self.budget = Budget(limits.rps * RATE_SHARE, limits.rps, now)
+        self.budget = TokenBucket(limits.rps * RATE_SHARE, limits.rps, now)
 
     async def wait_for_turn(self) -> None:
         """Returns once the rate permits a call."""
--- a/src/salthead/leader/context.py
+++ b/src/salthead/leader/context.py
@@ -8,7 +8,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.failure_detection.preconditions import Action, missing_preconditions
 from salthead.leases.leader_lease import LeaseClock
-from salthead.settings import Limits, State
+from salthead.settings import Limits, StateLimits
 from salthead.state_store import records
 from salthead.state_store.client import Change, ConflictError, StateStore
 from salthead.transport.client import UnansweredError
@@ -29,7 +29,7 @@
     ledger: Ledger
     state_store: StateStore
     limits: Limits
-    state_limits: State  # of the state service, as all requests keep to them
+    state_limits: StateLimits  # of the state service, as all requests keep to them
     now: Callable[[], float]  # steady time in seconds
     sleep_with_jitter: Callable[[float], Awaitable[None]]
     log_throttled: Callable[[str, object], None]  # an error by its kind, counted and logged
--- a/src/salthead/leader/controller_interface.py
+++ b/src/salthead/leader/controller_interface.py
@@ -9,9 +9,9 @@
 from salthead.leases.leader_lease import LeaderStickiness
 from salthead.policy import Policy
 from salthead.protocol.messages import JobStatus, MachineType, Submission
-from salthead.settings import Limits, Settings, State
+from salthead.settings import Limits, Settings, StateLimits
 from salthead.state_store.client import StateStore
-from salthead.transport.client import Caller
+from salthead.transport.client import HttpClient
 
 # Phase, number of tasks, and the time of day of the end if it is known.
 TerminalOutcome = tuple[str, int, float | None]
@@ -42,12 +42,12 @@
     settings: Settings
     policy: Policy
     limits: Limits
-    state_limits: State
+    state_limits: StateLimits
     state_store: StateStore
     rng: random.Random
-    cloud: Caller
-    workers: Caller
-    peers: dict[str, Caller]
+    cloud: HttpClient
+    workers: HttpClient
+    peers: dict[str, HttpClient]
     machine_types: dict[str, MachineType]
     leader_stickiness: LeaderStickiness
 
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -13,7 +13,7 @@
 from salthead.leader.peer_calls import ask_connectivity, ask_to_withhold_vote
 from salthead.leases.leader_lease import stickiness_s
 from salthead.state_store.client import RETRYABLE_ERRORS, LeaseExpiredError
-from salthead.transport.client import Caller
+from salthead.transport.client import HttpClient
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
         self,
         context: TermContext,
         member: str,
-        peers: Mapping[str, Caller],
+        peers: Mapping[str, HttpClient],
         withhold_vote: Callable[[float], bool],
         handover_factor: float = 1.0,
     ) -> None:
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -18,7 +18,7 @@
 from salthead.leader.peer_calls import PeerConnectivity, ask_connectivity
 from salthead.policy import Network, PartialCutPolicy
 from salthead.scheduling.eligibility import FRESH_HEARTBEAT_INTERVALS
-from salthead.transport.client import Caller
+from salthead.transport.client import HttpClient
 
 PEER_CHECK_INTERVAL_S = 2.0
 BLOCKED_SHOWN_S = 60.0
@@ -55,7 +55,7 @@
     def __init__(
         self,
         context: TermContext,
-        peers: Mapping[str, Caller],
+        peers: Mapping[str, HttpClient],
         policy: PartialCutPolicy,
         networks: list[Network],
     ) -> None:
@@ -80,7 +80,7 @@
                     max(PEER_CHECK_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - began))
                 )
         finally:
-            metrics.forget_links()
+            metrics.clear_links()
 
     async def _ask(self, member: str) -> None:
         sent = self.context.now()
@@ -101,7 +101,7 @@
     def _show(self) -> None:
         for view in self.worker_views():
             for state in LinkState:
-                metrics.LINKS.labels(view.group, state.value).set(view.counts.get(state, 0))
+                metrics.LINK_STATES.labels(view.group, state.value).set(view.counts.get(state, 0))
 
     def _group_of(self, machine: Machine) -> str:
         networks = self.silence.networks
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -17,7 +17,7 @@
 from salthead.protocol.messages import Command, CommandRequest, Heartbeat, StopCommand, shape
 from salthead.scheduling import eligibility
 from salthead.state_store.client import RETRYABLE_ERRORS
-from salthead.transport.client import Answer, Caller, UnansweredError
+from salthead.transport.client import Answer, HttpClient, UnansweredError
 
 # A machine that is well answers a direct call in milliseconds; a silent one is asked again, for
 # longer, when all others have been.
@@ -47,7 +47,7 @@
     def __init__(
         self,
         context: TermContext,
-        workers: Caller,
+        workers: HttpClient,
         reconcile_slots: int,
         background: BackgroundTasks,
     ) -> None:
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -45,7 +45,7 @@
             await self._load()
             await self._follow()
         finally:
-            metrics.forget_zones()
+            metrics.clear_zones()
 
     async def _follow(self) -> None:
         while True:
@@ -86,8 +86,8 @@
     def _show(self) -> None:
         for view in zone_views(self.recovery, self.context.now()):
             for phase in ZonePhase:
-                metrics.ZONES.labels(view.name, phase.value).set(view.phase is phase)
-            metrics.ZONE_OPEN.labels(view.name).set(view.open_machines)
+                metrics.ZONE_STATES.labels(view.name, phase.value).set(view.phase is phase)
+            metrics.ZONE_OPEN_MACHINES.labels(view.name).set(view.open_machines)
         for network in self.recovery.evidence.network_views():
-            metrics.NETWORK_UNHEARD.labels(network.name).set(network.silent)
-        metrics.DISPLACED.set(len(self.recovery.displaced_jobs.displaced_at))
+            metrics.SILENT_NETWORK_MACHINES.labels(network.name).set(network.silent)
+        metrics.DISPLACED_JOBS.set(len(self.recovery.displaced_jobs.displaced_at))
--- a/src/salthead/networks/directory.py
+++ b/src/salthead/networks/directory.py
@@ -3,37 +3,21 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Protocol
 
 import netaddr
 
-from salthead.toml_file import ConfigFileError as PolicyError
-
-
-class DeclaredNetwork(Protocol):
-    """The fields of a network in the policy file, as ``salthead.policy.Network`` has them."""
-
-    @property
-    def name(self) -> str:
-        """The network's name."""
-
-    @property
-    def prefix(self) -> str:
-        """Its address and prefix length."""
-
-    @property
-    def within(self) -> str | None:
-        """The next larger network that it lies in, if that is declared."""
+from salthead.networks.declaration import Network
+from salthead.toml_file import ConfigFileError
 
 
 class NetworkDirectory:
-    """The networks of a policy file, checked; PolicyError names the entry that is wrong.
+    """The networks of a policy file, checked; ConfigFileError names the entry that is wrong.
 
     A network may lie within another one only if it says so: otherwise a mistyped prefix would
     quietly take machines out of the network that they belong to.
     """
 
-    def __init__(self, declared: Sequence[DeclaredNetwork]) -> None:
+    def __init__(self, declared: Sequence[Network]) -> None:
         self.names = [network.name for network in declared]
         self.prefixes: list[netaddr.IPNetwork] = []
         for n, network in enumerate(declared):
@@ -42,24 +26,24 @@
         for n, network in enumerate(declared):
             self._check_within(n, network)
 
-    def _checked_prefix(self, n: int, network: DeclaredNetwork) -> netaddr.IPNetwork:
+    def _checked_prefix(self, n: int, network: Network) -> netaddr.IPNetwork:
         entry = f"networks[{n}]"
         if not network.name or network.name in self.names[:n]:
-            raise PolicyError(f"{entry}.name: must be there, and only once")
+            raise ConfigFileError(f"{entry}.name: must be there, and only once")
         try:
             prefix = netaddr.IPNetwork(network.prefix)
         except (netaddr.AddrFormatError, ValueError):
-            raise PolicyError(f"{entry}.prefix: no network: {network.prefix!r}") from None
+            raise ConfigFileError(f"{entry}.prefix: no network: {network.prefix!r}") from None
         if prefix.ip != prefix.network or "/" not in network.prefix:
-            raise PolicyError(
+            raise ConfigFileError(
                 f"{entry}.prefix: {network.prefix!r} is no network, as {prefix.cidr} is"
             )
         if prefix in self.prefixes:
             same = self.names[self.prefixes.index(prefix)]
-            raise PolicyError(f"{entry}.prefix: the same as that of {same!r}")
+            raise ConfigFileError(f"{entry}.prefix: the same as that of {same!r}")
         return prefix
 
-    def _check_within(self, n: int, network: DeclaredNetwork) -> None:
+    def _check_within(self, n: int, network: Network) -> None:
         own = self.prefixes[n]
         larger = [prefix for prefix in self.prefixes if prefix != own and own in prefix]
         nearest = netaddr.smallest_matching_cidr(own.ip, larger)
@@ -68,8 +52,8 @@
             return
         entry, name = f"networks[{n}].within", network.name
         if found is None:
-            raise PolicyError(f"{entry}: {name!r} is not within {network.within!r}")
-        raise PolicyError(f"{entry}: {name!r} lies within {found!r}")
+            raise ConfigFileError(f"{entry}: {name!r} is not within {network.within!r}")
+        raise ConfigFileError(f"{entry}: {name!r} lies within {found!r}")
 
     def of(self, address: str) -> int | None:
         """The index of the network that an address (``host:port`` or bare) is in; None if none."""
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -191,12 +191,12 @@
 
 def test_workers_sent_to_the_leader_are_not_counted_anew_at_each_report() -> None:
     controller = Controller(settings("n1", ("n0",)), now=lambda: 50.0)
-    controller.leader = "n0"
+    controller.leader_view.member = "n0"
     for n in range(LARGE):
-        controller.redirect_heartbeat(f"m{n}")
+        controller.heartbeats.redirect(f"m{n}")
     assert controller.connectivity.redirected_count() == LARGE
     assert calls(controller.connectivity.redirected_count) < 10
-    controller.now = lambda: 60.0
+    controller.context.now = lambda: 60.0
     assert controller.connectivity.redirected_count() == 0
 
 
@@ -255,7 +255,9 @@
     @gen_test
     async def test_all_are_answered_where_there_are_fewer_sockets_than_workers(self) -> None:
         controller = Controller(settings())
-        server = listen(controller, ClientHandlers(controller).router(), "127.0.0.1:0", most=10)
+        server = listen(
+            controller, ClientHandlers(controller).router(), "127.0.0.1:0", max_connections=10
+        )
         port = next(iter(server._sockets.values())).getsockname()[1]
         closing: list[bool] = []
         kept: list[asyncio.StreamWriter] = []
@@ -272,7 +274,7 @@
         answers = [await ask() for _ in range(40)]
         assert all(head.startswith(b"HTTP/1.1 503") for head in answers)
         assert closing[:8] == [False] * 8 and all(closing[8:])
-        assert len(server.open.used_at) <= 9
+        assert len(server.connections.last_used_at) <= 9
         for writer in kept:
             writer.close()
         server.stop()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,6 +17,7 @@
 import msgspec
 import pytest
 
+import production
 import profile_costs
 from helpers import LIMITS, heartbeat, job, machine, ready, spec
 from salthead.autoscaling import fleet_plan
@@ -25,7 +26,7 @@
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader import term as terms
 from salthead.leader.views import OVERVIEW_ROWS
-from salthead.protocol.messages import StopCommand
+from salthead.protocol.messages import StopCommand, encode
 from salthead.scheduling import candidate_pools, eligibility, placement, scheduling_pass
 from salthead.state_store import records
 from standins import World, run
@@ -157,15 +158,16 @@
         while (leader := world.leader()) is None or not leader.term.ledger.loaded:
             await asyncio.sleep(0.05)
         term, clock = leader.term, [0.0]
-        leader.now = lambda: world.now() + clock[0]
-        term.context.now = leader.now
+        leader.context.now = lambda: world.now() + clock[0]
+        term.context.now = leader.context.now
 
         def handle_slowly(*words: Any, **more: Any) -> Any:
             clock[0] += 30.0 if slow else 0.1
             return handle_heartbeat(*words, **more)
 
         monkeypatch.setattr(terms, "handle_heartbeat", handle_slowly)
-        status, _ = leader.handle_heartbeat(heartbeat("host-000001", 1, fencing_token=0))
+        message = encode(heartbeat("host-000001", 1, fencing_token=0))
+        status, _ = production.THIS.handle_heartbeat(leader, message)
         return status, clock[0]
 
     status, _ = run(day)
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -17,7 +17,8 @@
 from salthead.cluster.sweep import sweep
 from salthead.failure_detection.shared_silence import SharedSilence
 from salthead.heartbeats.handling import handle_heartbeat
-from salthead.protocol.messages import decode_submission, encode
+from salthead.protocol.messages import encode
+from salthead.protocol.validation import decode_submission
 from salthead.scheduling import scheduling_pass
 from standins import run
 
@@ -125,7 +126,9 @@
     controller.state_store.transaction = answered_late  # type: ignore[method-assign]
     late = spec("req-2", task_count=1, estimated_run_s=1.0)
     world.specs["req-2"] = late
-    submitting = asyncio.create_task(controller.submit(decode_submission(encode(given(late)))))
+    submitting = asyncio.create_task(
+        controller.submissions.submit(decode_submission(encode(given(late))))
+    )
     while "over/req-2" not in world.state.keys:
         await asyncio.sleep(0.2)
     await world.crash(leader.settings.member)
