--- a/src/salthead/cluster/allocations.py
+++ b/src/salthead/cluster/allocations.py
@@ -132,7 +132,7 @@
         self.book(machine, binding.request, binding.team, -1.0)
 
     def move(self, binding: Binding, machine: Machine, now: float) -> None:
-        """Bind a gang's member, of which nobody has been told, to another machine."""
+        """Bind a gang's member, whose start no answer has carried, to another machine."""
         job = binding.job
         assert job is not None and binding.start_unsent()
         self._unbind(job, binding)
@@ -153,7 +153,7 @@
                 self.request_stop(other, 0.0)
 
     def stop_gang(self, job: Job, grace_s: float, why: str) -> None:
-        """Stop a whole gang in order: every member is told, and what it saved is kept."""
+        """Stop a whole gang in order: each member may save its progress within the grace."""
         event(log, "gang_stopped", job=job.job_id, why=why)
         job.failed = True
         for binding in job.bindings.values():
--- a/src/salthead/cluster/dependency_graph.py
+++ b/src/salthead/cluster/dependency_graph.py
@@ -1,11 +1,11 @@
 """Jobs that wait for others: who waits for whom, and what a job inherits from those after it.
 
-Pure, and an index: a job's end wakes what waits for it, and nothing here costs anything per report
-or per pass. A job is *ready* when the outcome of every job that it awaits is durable and ``done``.
-An awaited job is *unsure* when neither the ledger nor a record read in this term says what became
-of it; what needs an unsure job waits. An outcome ``aborted`` is the one fact from which the end of
-all that needs the job follows, so those are *cancelled by dependency* from then on, whatever is
-written of them. Nothing recurses: a chain may be as long as users like.
+Pure, and an index: a job's end wakes what waits for it, and nothing here costs anything per
+heartbeat or per pass. A job is *ready* when the outcome of every job that it awaits is durable and
+``done``. An awaited job is *unsure* when neither the ledger nor a record read in this term says
+what became of it; what needs an unsure job waits. An outcome ``aborted`` is the one fact from which
+the end of all that needs the job follows, so those are *cancelled by dependency* from then on,
+whatever is written of them. Nothing recurses: a chain may be as long as users like.
 """
 
 from __future__ import annotations
@@ -102,12 +102,12 @@
     def aborted(self, job_id: str) -> list[str]:
         """A job's ``aborted`` is durable; what is cancelled by that, directly or through others."""
         cancelled: dict[str, None] = {}
-        line = deque(self._leave(job_id))
-        while line:
-            other = line.popleft()
+        queue = deque(self._leave(job_id))
+        while queue:
+            other = queue.popleft()
             if other not in cancelled and other in self.nodes:
                 cancelled[other] = None
-                line.extend(self.nodes[other].dependents)
+                queue.extend(self.nodes[other].dependents)
         before = {p: None for other in cancelled for p in self.nodes[other].unfinished}
         for other in cancelled:
             for p in self.nodes[other].unfinished:
@@ -152,15 +152,15 @@
         if not among:
             return False
         seen = {job_id}
-        line = deque([job_id])
-        while line:
-            node = self.nodes.get(line.popleft())
+        queue = deque([job_id])
+        while queue:
+            node = self.nodes.get(queue.popleft())
             for before in node.unfinished if node is not None else ():
                 if before in among:
                     return True
                 if before not in seen:
                     seen.add(before)
-                    line.append(before)
+                    queue.append(before)
         return False
 
     def revise(self, runs: Iterable[tuple[str, float]]) -> None:
@@ -175,10 +175,10 @@
 
     def _update(self, job_ids: Iterable[str]) -> None:
         """The backward pass: work out anew what these inherit, and whatever hangs on it."""
-        line = deque(job_ids)
-        waiting = set(line)
-        while line:
-            job_id = line.popleft()
+        queue = deque(job_ids)
+        waiting = set(queue)
+        while queue:
+            job_id = queue.popleft()
             waiting.discard(job_id)
             node = self.nodes[job_id]
             priority, due, last = node.priority, *node.due
@@ -194,7 +194,7 @@
             for before in node.unfinished:
                 if before in self.nodes and before not in waiting:
                     waiting.add(before)
-                    line.append(before)
+                    queue.append(before)
 
     def take_moved(self) -> Iterator[tuple[str, DependencyNode]]:
         """Jobs whose inherited urgency or due time has changed since the last call."""
--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -1,8 +1,8 @@
 """What a new leader can't know until each machine of the machine registry is accounted for.
 
-A machine that an earlier leader had in the machine registry may run anything until it has reported
-under this term's token, or its worker's lease must be over. Until then it counts against every
-team, and no job that it could be running is started anywhere else.
+A machine that an earlier leader had in the machine registry may run anything until it sends a
+heartbeat under this term's token, or its worker's lease must be over. Until then it counts against
+every team, and no job that it could be running is started anywhere else.
 
 What is not known counts as the unfavourable case: a machine of a type that is not known, not yet or
 not any more, has room for anything.
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -127,7 +127,7 @@
     def may_send_start(self, binding: Binding) -> bool:
         """Before an answer carries a start."""
         if binding.rejected:
-            return False  # said when it was bound, or was to be told
+            return False  # logged when it was bound, or when its start was refused before
         job = binding.job
         if job is not None and job.bindings.get(binding.index) is binding:
             return True
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -49,8 +49,8 @@
 LEADER_LEASE, TOKEN_CURRENT = int(Precondition.LEADER_LEASE), int(Precondition.TOKEN_CURRENT)
 JOBS_KNOWN, FLEET_RECONCILED = int(Precondition.JOBS_KNOWN), int(Precondition.FLEET_RECONCILED)
 
-# A machine that is up is heard when its last heartbeat is no older than this many periods.
-HEARD_HEARTBEAT_INTERVALS = 3.0
+# A heartbeat is overdue when the last one is older than this many intervals.
+OVERDUE_HEARTBEAT_INTERVALS = 3.0
 # How long after the start of a term workers may take to find the leader, beyond one period.
 DISCOVERY_S = 1.0
 
@@ -78,7 +78,7 @@
         self.blocked_actions = BlockedActions()
         self.zone_hooks: ZoneHooks | None = None  # where the policy enables them
         self.shared_silence: SilenceHooks | None = None  # where the policy enables it
-        # A worker whose report is not answered turns to one of them.
+        # A worker whose heartbeat is not answered turns to one of them.
         self.other_controllers = limits.initial_size > 1
         # Whether the lease on the lead is certain now; the term knows.
         self.leader_lease_valid: Callable[[], bool] = lambda: True
@@ -176,11 +176,11 @@
         return now - self.term_started_at > DISCOVERY_S + interval_s
 
     def heartbeat_counts(self, now: float) -> tuple[int, int]:
-        """How many machines that are up were heard lately, and how many were not."""
+        """How many machines that are up have sent a heartbeat lately, and how many have not."""
         up = [m for m in self.machines.values() if m.phase == UP]
-        late = now - HEARD_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
-        heard = sum(1 for m in up if m.last_heartbeat_at >= late)
-        return heard, len(up) - heard
+        late = now - OVERDUE_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
+        on_time = sum(1 for m in up if m.last_heartbeat_at >= late)
+        return on_time, len(up) - on_time
 
     # -- jobs -----------------------------------------------------------------------------
 
@@ -211,9 +211,8 @@
     def request_cancel(self, job: Job) -> None:
         """A user has asked to cancel the job: nothing of it starts any more, and what runs stops.
 
-        That is no outcome, and is not told; but whatever a job does after its user has asked is of
-        no use to anybody, and the outcome may be told by another controller before this one knows
-        of it.
+        That is no outcome yet, and no status shows it; but whatever a job does after its user has
+        asked is of no use, and another controller may confirm the outcome before this one knows.
         """
         if job.cancel_requested:
             return
@@ -245,13 +244,13 @@
         return self.dependencies.unfinished(job_id, most)
 
     def phase_of(self, job: Job) -> tuple[str, int, int]:
-        """Phase, tasks done and tasks running, as users are told."""
+        """Phase, tasks done and tasks running, as a job's status shows them."""
         running = sum(
             1
             for b in job.bindings.values()
             if b.phase in (wire_names.RUNNING, wire_names.GATHERING, wire_names.FLUSHING)
         )
-        # Before the outcome is durable nobody is told of it.
+        # An outcome is shown only once it is durable.
         phase = job.terminal_phase or (
             wire_names.ABORTED
             if job.dependency_cancelled
@@ -285,11 +284,11 @@
         self.allocations.release(binding, now, proof, detail)
 
     def move(self, binding: Binding, machine: Machine, now: float) -> None:
-        """Bind a gang's member, of which nobody has been told, to another machine."""
+        """Bind a gang's member, whose start no answer has carried, to another machine."""
         self.allocations.move(binding, machine, now)
 
     def stop_gang(self, job: Job, grace_s: float, why: str) -> None:
-        """Stop a whole gang in order: every member is told, and what it saved is kept."""
+        """Stop a whole gang in order: each member may save its progress within the grace."""
         self.allocations.stop_gang(job, grace_s, why)
 
     def request_stop(self, binding: Binding, grace_s: float) -> None:
@@ -320,7 +319,8 @@
         now: float,
         registered: bool = False,
     ) -> Machine:
-        """A machine heard of: provisioned, listed, reporting, or in the machine registry of an
+        """A machine that was provisioned, listed, seen by heartbeat, or in the machine registry of
+        an
         earlier term.
 
         A machine enters the machine registry with its first heartbeat. One that a new leader finds
@@ -357,7 +357,7 @@
             self.orphans.drop(machine, key)
 
     def machine_gone(self, machine: Machine, now: float) -> None:
-        """The cloud confirmed the return: the machine and all on it are gone."""
+        """The cloud confirmed the termination: the machine and all on it are gone."""
         self.lose_tasks(machine, now, ReleaseReason.TERMINATED)
         self.set_phase(machine, GONE)
         self.machine_registry.remove(machine, now)
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -46,7 +46,7 @@
 class MachinePhase(StrEnum):
     """How far a machine is, as the leader knows."""
 
-    BOOTING = "booting"  # provisioned, and not yet heard
+    BOOTING = "booting"  # provisioned; no heartbeat yet
     UP = "up"
     LOST = "lost"  # its worker's lease must be over; the cloud still has it
     GONE = "gone"  # the cloud confirmed that it is terminated
@@ -90,7 +90,7 @@
 
     @property
     def task_id(self) -> str:
-        """The task's name, as workers are told it."""
+        """The task's name, as commands to workers carry it."""
         return f"{self.job.job_id if self.job else '?'}/{self.index}"
 
     def start_unsent(self) -> bool:
@@ -121,8 +121,8 @@
 
     # What the leader knows of its worker.
     registered: bool = False  # set once the state service knows the machine
-    reconciled: bool = False  # reported under this term's token
-    seen_in_earlier_term: bool = False  # reported, though not under this term's token
+    reconciled: bool = False  # has sent a heartbeat under this term's token
+    seen_in_earlier_term: bool = False  # has sent one, though not under this term's token
     incarnation: int = 0
     sequence: int = -1
     min_incarnation: int = 0  # those before must have ended with their lease
@@ -130,8 +130,8 @@
     acknowledged_at: float = -math.inf
     first_acknowledged_at: float = math.inf  # when it was first answered
     links: WorkerLinks = field(default_factory=WorkerLinks)
-    # What its last heartbeat showed, and whether that left nothing to do: the same again is no
-    # news.
+    # What its last heartbeat showed, and whether that left nothing to do: then the next one with
+    # the same tasks changes nothing.
     last_tasks: list[TaskStatus] = field(default_factory=list)
     unchanged: bool = False
 
@@ -222,7 +222,7 @@
         return bool(self.bindings or self.orphans)
 
     def responsive(self, now: float) -> bool:
-        """Whether it hears what it is told, as far as is known."""
+        """Whether answers and commands reach its worker, as far as is known."""
         return self.unresponsive_since is None and now >= self.trusted_again_at
 
 
@@ -252,7 +252,8 @@
     wait_until: float = 0.0  # after errors and refusals
     pause_until: float = 0.0  # after a draw without candidates
     pause: float = 0.0
-    quota_reserved_ahead: tuple[float, float] = (0.0, 0.0)  # quota kept for gangs before it in line
+    # Quota reserved for gangs ahead of it in the queue
+    quota_reserved_ahead: tuple[float, float] = (0.0, 0.0)
     room_until: float = 0.0  # until then room that was made for it by stops is awaited
     reserved_at: float | None = None  # since when its team's quota is kept for it
     held_back_since: float | None = None  # since when only what is kept for others keeps it waiting
--- a/src/salthead/cluster/pending_queue.py
+++ b/src/salthead/cluster/pending_queue.py
@@ -12,6 +12,6 @@
     """Jobs with tasks that wait, in the order of the last pass: who is offered freed room."""
 
     jobs: list[Job] = field(default_factory=list)
-    min_cpus: float = 0.0  # of the smallest task in line
-    constrained: bool = False  # whether a job was in line that fits on scarce types alone
+    min_cpus: float = 0.0  # of the smallest task in the queue
+    constrained: bool = False  # whether a job is queued that fits on scarce types alone
     long_since: float | None = None  # since when the fleet can't keep up with it
--- a/src/salthead/cluster/silence_hooks.py
+++ b/src/salthead/cluster/silence_hooks.py
@@ -1,4 +1,4 @@
-"""What the ledger and scale-in tell, and ask, whoever looks for silence that machines share."""
+"""What the ledger and autoscaling call of whoever looks for silence that machines share."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SilenceHooks(Protocol):
-    """Told of heartbeats and phases; asked which machines are taken to be behind a cut."""
+    """Receives heartbeats and phases; answers which machines are taken to be behind a cut."""
 
     @property
     def policy(self) -> PartialCutPolicy:
@@ -18,10 +18,10 @@
 
     @property
     def unheard_zones(self) -> Set[int]:
-        """Zones of whose machines none is heard, while others are."""
+        """Zones none of whose machines sends heartbeats, while those of others do."""
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """A heartbeat of the machine was news."""
+        """The machine has sent a new heartbeat."""
 
     def phase_changed(self, machine: Machine) -> None:
         """A machine is up, its lease has ended, or it is gone."""
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -1,7 +1,7 @@
 """Which tasks may start now, and how much of a team's limit is left: every path asks here.
 
-Passes of placement, room offered by a heartbeat, draws made again, room made by stopping others,
-and the answers that carry starts each had a part of these conditions of their own.
+Scheduling passes, backfill, rescheduling, preemption and the answers that carry starts share these
+conditions.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 def quota_left(ledger: Ledger, job: Job, heed: bool = True) -> int:
     """How many more tasks of the job its team's limit allows; ``heed`` what is kept of it."""
     if ledger.unknown_jobs:
-        return 0  # a orphan task's team is not known yet
+        return 0  # an orphan task's team is not known yet
     usage, most = ledger.usage[job.team], ledger.team_limits[job.team]
     left = float(job.spec.task_count)
     for n in range(2):
         if job.request[n] > 0:
-            # Any team may be using all of the machines that have not been heard from.
+            # Any team may be using all of the machines that are not reconciled.
             silent = 0.0 if ledger.ready else ledger.failover.unreconciled_capacity()[n]
             free = most[n] - usage[n] - silent - (job.quota_reserved_ahead[n] if heed else 0.0)
             if free + EPSILON < job.request[n]:
--- a/src/salthead/cluster/sweep.py
+++ b/src/salthead/cluster/sweep.py
@@ -1,4 +1,4 @@
-"""What time alone decides: leases that are surely over, and the end of a failover."""
+"""What time alone decides: leases that have certainly expired, and the end of a failover."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     """Bring the ledger in line with the time; called about twice a second."""
     ledger.dependencies.revise_runs()
     ledger.invariants.audit(now)
-    # Of a leader without its lease workers may be another one's by now: what it last heard says
-    # nothing of them. It had judged 135 machines lost that sent heartbeats to the next leader.
+    # Workers of a leader without its lease may send their heartbeats to the next one by now: such a
+    # leader had declared 135 machines lost that the next one heard from.
     if permits(Action.DECLARE_LOST, ledger.confirmed_preconditions() | WORKER_LEASE_OVER):
         for machine in ledger.machines.values():
             if machine.phase == UP and now > ledger.leases.expires_at(machine):
@@ -30,7 +30,7 @@
 
 
 def _declare_lost(ledger: Ledger, machine: Machine, now: float) -> None:
-    # Whatever it still reports of this incarnation is late news: a worker that goes on does so with
+    # Heartbeats of this incarnation that still come are late: a worker that goes on does so with
     # the next incarnation and no tasks.
     event(
         log,
@@ -70,4 +70,4 @@
     """
     for job in list(ledger.jobs.values()):
         if job.gang and 0 < len(job.bindings) < job.spec.task_count and not job.complete:
-            ledger.allocations.fail_gang(job, now, "incomplete after a takeover")
+            ledger.allocations.fail_gang(job, now, "incomplete after a failover")
--- a/src/salthead/cluster/zone_hooks.py
+++ b/src/salthead/cluster/zone_hooks.py
@@ -1,4 +1,4 @@
-"""What the ledger and placement tell, and ask, whoever follows the state of zones."""
+"""What the ledger and scheduling call of whoever follows the state of zones."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class ZoneHooks(Protocol):
-    """Told of what happens on machines; asked what may be admitted, and in which order."""
+    """Receives what happens on machines; answers what may be admitted, and in which order."""
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """A heartbeat of the machine was news."""
+        """The machine has sent a new heartbeat."""
 
     def phase_changed(self, machine: Machine) -> None:
         """A machine is up, its lease has ended, or it is gone."""
--- a/src/salthead/controller/zone_lease_delegate.py
+++ b/src/salthead/controller/zone_lease_delegate.py
@@ -86,7 +86,7 @@
     def may_acknowledge(self, heartbeat: Heartbeat) -> bool:
         """Whether to answer a worker in the name of a leader that it can't reach."""
         now = self.controller.now()
-        back = self.lease.came_back(heartbeat.worker, now)
+        back = self.lease.redirects.record(heartbeat.worker, now)
         return (
             self.controller.leader not in (None, self.controller.settings.member)
             and self.lease.valid(self.controller.leader_fencing_token, now)
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -62,12 +62,13 @@
         self.seen_at = now
         self.cut = BitMap()  # machines whose silence is shared, as of the last look
         self.cut_since: dict[str, float] = {}  # groups behind a cut
-        self.unheard_zones: set[int] = set()  # of whose machines none is heard, while others are
+        # None of whose machines sends heartbeats, while others do
+        self.unheard_zones: set[int] = set()
 
-    # -- what happens: called by the ledger -------------------------------------------------
+    # -- called by the ledger -------------------------------------------------
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """A heartbeat of the machine was news."""
+        """The machine has sent a new heartbeat."""
         self.sets.recently_heard.add(machine.index)
         if self.networks is not None:
             self.networks.note(machine.index, machine.endpoint)
@@ -82,7 +83,7 @@
         elif machine.phase == GONE:
             self.sets.gone(machine.zone, machine.index)
 
-    # -- what follows -----------------------------------------------------------------------
+    # -- conclusions -----------------------------------------------------------------------
 
     def look(self, now: float) -> None:
         """Find the cuts that there are now."""
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -88,8 +88,8 @@
         return None
     if machine is None:
         if not current or not ledger.loaded:
-            # The worker is told the token and reports again under it. Nothing is noted: a
-            # machine that an earlier leader returned looks just like this in a late copy, and
+            # The answer carries the token, and the next heartbeat is under it. Nothing is recorded:
+            # a machine that an earlier leader terminated looks like this in a late copy, and
             # one that is not in the machine registry was never started anything.
             return []
         machine = _add_unexpected(ledger, heartbeat, now)
@@ -105,11 +105,12 @@
         machine.seen_in_earlier_term = True
         machine.endpoint = machine.endpoint or heartbeat.endpoint
         return []
-    return _news(ledger, machine, heartbeat, now, direct)
+    return _take_new_heartbeat(ledger, machine, heartbeat, now, direct)
 
 
 def _add_unexpected(ledger: Ledger, heartbeat: Heartbeat, now: float) -> Machine:
-    """A machine that shows this term's token, though neither registry nor cloud told of it."""
+    """A machine that shows this term's token, though neither the registry nor the cloud lists
+    it."""
     machine = ledger.add_machine(
         heartbeat.worker, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now
     )
@@ -117,10 +118,10 @@
     return machine
 
 
-def _news(
+def _take_new_heartbeat(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[Command]:
-    """Take a heartbeat in that is news under this term's token; the commands that follow."""
+    """Take in a new heartbeat under this term's token; the commands that follow."""
     _take_in(ledger, machine, heartbeat, now)
     if (
         machine.unchanged
@@ -174,7 +175,7 @@
 def _answer_facts(
     ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, heeds: bool, now: float
 ) -> int:
-    """What is confirmed about a worker whose report asks for an answer.
+    """What is confirmed about a worker whose heartbeat asks for an answer.
 
     ``heeds``: it has shown this term's token, or it answers a call of ours.
     """
@@ -189,13 +190,13 @@
         return held | INCARNATION_CURRENT | RESPONSES_DELIVERED
     if heartbeat.incarnation >= machine.min_incarnation:
         held |= INCARNATION_CURRENT
-    if heeds or machine.reconciled or _may_hear(ledger, machine, now):
+    if heeds or machine.reconciled or _may_receive(ledger, machine, now):
         held |= RESPONSES_DELIVERED
     return held
 
 
-def _may_hear(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether a worker that has not shown the token may hear the answer to this heartbeat.
+def _may_receive(ledger: Ledger, machine: Machine, now: float) -> bool:
+    """Whether a worker that has not shown the token may receive the answer to this heartbeat.
 
     Its lease has to be counted from some last answer, or it would hold up a failover: one that
     still does not know the token after a whole lease gets no more, nor one that neither answers
@@ -208,11 +209,11 @@
 
 
 def _take_in(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-    """News of a machine, its tasks aside."""
+    """What a new heartbeat says of its machine, its tasks aside."""
     if heartbeat.incarnation > machine.incarnation and machine.incarnation > 0:
         _new_incarnation(ledger, machine, heartbeat, now)
     if machine.phase in (BOOTING, LOST):
-        _came_up(ledger, machine, now)
+        _mark_up(ledger, machine, now)
     machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
     machine.last_heartbeat_at = now
     if ledger.zone_hooks is not None:
@@ -241,7 +242,7 @@
     ledger.lose_tasks(machine, now, ReleaseReason.NEW_INCARNATION)
 
 
-def _came_up(ledger: Ledger, machine: Machine, now: float) -> None:
+def _mark_up(ledger: Ledger, machine: Machine, now: float) -> None:
     event(log, "machine_up", machine=machine.name, after_s=now - machine.provisioned_at)
     if machine.phase == LOST:
         # That it was not needed was found while others did its work: seen on one-way-machines,
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -109,7 +109,7 @@
         if binding.stop_grace_s is None:
             if binding.start_sends < MAX_UNEXECUTED_STARTS:
                 return
-            why = f"{binding.start_sends} starts of {binding.task_id} unheard"
+            why = f"{binding.start_sends} starts of {binding.task_id} not executed"
             mark_unresponsive(self.ledger, self.machine, self.now, why)
         self.ledger.allocations.release(binding, self.now, ReleaseReason.NEVER_STARTED)
 
--- a/src/salthead/leases/leader_lease.py
+++ b/src/salthead/leases/leader_lease.py
@@ -32,11 +32,11 @@
 
 
 def unloaded_grace_s(lease_s: float, cancel_s: float) -> float:
-    """For how long a new leader that has not read the jobs yet may answer reports.
+    """For how long a new leader that has not read the jobs yet may answer heartbeats.
 
-    A cancellation may have been confirmed just before the last leader ended, its tasks untold. A
-    worker that is still alive was answered by that leader no longer than one lease before this one
-    began; what it is answered here keeps its tasks for one more lease.
+    A cancellation may have been confirmed just before the last leader ended, its tasks not yet
+    stopped. A worker that is still alive was answered by that leader no longer than one lease
+    before this one began; what it is answered here keeps its tasks for one more lease.
     """
     return cancel_s - certainly_expired_at(0.0, lease_s) * 2.0
 
--- a/src/salthead/leases/zone_leases.py
+++ b/src/salthead/leases/zone_leases.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from salthead.leases.leader_lease import DRIFT, valid_until
+from salthead.leases.redirects import RedirectHistory
 
 
 def counted_until(seen: float, ttl: float) -> float:
@@ -23,23 +24,16 @@
     return seen + ttl * (1.0 + DRIFT) + 0.1
 
 
-MIN_REMEMBERED_REDIRECTS = 5000  # workers, at the least, before those of long ago are looked for
-
-
 class ZoneLease:
     """The controller's side: when it may answer in the leader's name."""
 
-    # A worker that comes back within this long after it was sent to the leader can't reach it.
-    RETURN_WINDOW_S = 15.0
-
     def __init__(self, ttl: float) -> None:
         self.ttl = ttl
         self.fencing_token = 0
         self.nonce = ""
         self.asked = -math.inf
         self.until = -math.inf
-        self.sent_on: dict[str, float] = {}  # workers, and when they were sent to the leader
-        self.sent_on_most = MIN_REMEMBERED_REDIRECTS
+        self.redirects = RedirectHistory()
 
     def ask(self, fencing_token: int, nonce: str, area: str, now: float) -> dict[str, Any]:
         """What to write, before it is written."""
@@ -67,15 +61,3 @@
         """Answer in nobody's name any more."""
         self.nonce = ""
         self.until = -math.inf
-
-    def came_back(self, worker: str, now: float) -> bool:
-        """Note that a worker is here; whether it had been sent to the leader shortly before."""
-        before = self.sent_on.get(worker, -math.inf)
-        if len(self.sent_on) > self.sent_on_most:
-            self.sent_on = {
-                w: at for w, at in self.sent_on.items() if now - at < self.RETURN_WINDOW_S
-            }
-            # Twice as many as there are now: a larger fleet must not be walked at each heartbeat.
-            self.sent_on_most = max(MIN_REMEMBERED_REDIRECTS, 2 * len(self.sent_on))
-        self.sent_on[worker] = now
-        return now - before < self.RETURN_WINDOW_S
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -21,7 +21,7 @@
 from salthead.controller.server import listen
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader.autoscaler import LIST_INTERVAL_S, Autoscaler
-from salthead.leases import zone_leases
+from salthead.leases import redirects
 from salthead.scheduling import placement
 from salthead.state_store import records
 from salthead.state_store.pages import Pages
@@ -200,12 +200,12 @@
 
 
 def test_a_node_behind_a_cut_does_not_walk_over_all_workers_at_each_report() -> None:
-    lease = zone_leases.ZoneLease(5.0)
-    for n in range(3 * zone_leases.MIN_REMEMBERED_REDIRECTS):
-        lease.came_back(f"m{n}", 1.0)
-    before = lease.sent_on
-    lease.came_back("m-new", 1.0)
-    assert lease.sent_on is before, "none is old enough to go, so there is no walk"
+    history = redirects.RedirectHistory()
+    for n in range(3 * redirects.MIN_REMEMBERED_REDIRECTS):
+        history.record(f"m{n}", 1.0)
+    before = history.redirected_at
+    history.record("m-new", 1.0)
+    assert history.redirected_at is before, "none is old enough to go, so there is no walk"
 
 
 @pytest.mark.parametrize(("rps", "calls_made"), [(4.0, 1), (4.0, 8), (8.0, 8), (8.0, 80)])
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -12,7 +12,7 @@
 from salthead.cluster import job_table, machine_registry
 from salthead.cluster.dependency_graph import DependencyGraph
 from salthead.controller import controller as controller_module
-from salthead.leases import zone_leases
+from salthead.leases import redirects
 from standins import World, run
 
 PERIODS = 3
@@ -27,6 +27,7 @@
     parts = {
         "controller": controller,
         "zone lease": controller.zone_lease_delegate.lease,
+        "redirects": controller.zone_lease_delegate.lease.redirects,
         "connectivity": controller.connectivity,
         "store": controller.state_store,
     }
@@ -81,7 +82,7 @@
     monkeypatch.setattr(DependencyGraph, "MAX_REMEMBERED_ENDED", CACHE)
     monkeypatch.setattr(job_table, "MIN_REMEMBERED_JOBS", CACHE)
     monkeypatch.setattr(machine_registry, "MIN_REMEMBERED_MACHINES", CACHE)
-    monkeypatch.setattr(zone_leases, "MIN_REMEMBERED_REDIRECTS", CACHE)
+    monkeypatch.setattr(redirects, "MIN_REMEMBERED_REDIRECTS", CACHE)
 
     async def day() -> tuple[World, list[dict[str, int]]]:
         world = World(seed=3)
