--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -24,6 +24,7 @@
 from salthead.controller.submissions import Submissions
 from salthead.controller.zone_lease_delegate import ZoneLeaseDelegate
 from salthead.event_log import event
+from salthead.leader.overview import Overview
 from salthead.leader.term import Term
 from salthead.leases import leader_lease
 from salthead.policy import NO_POLICY, Policy
@@ -156,7 +157,7 @@
                 after_s=self.now() - elected.lease_sent_at,
             )
 
-    async def overview(self) -> dict[str, Any]:
+    async def overview(self) -> Overview | dict[str, Any]:
         """Queue and fleet, from the leader wherever it is; UnavailableError if there is none."""
         term = self.leading()
         if term is not None:
--- a/src/salthead/controller/zone_lease_delegate.py
+++ b/src/salthead/controller/zone_lease_delegate.py
@@ -92,7 +92,7 @@
     def may_acknowledge(self, heartbeat: Heartbeat) -> bool:
         """Whether to answer a worker in the name of a leader that it can't reach."""
         now = self.context.now()
-        returned = self.lease.came_back(heartbeat.worker, now)
+        returned = self.lease.redirects.record(heartbeat.worker, now)
         return (
             self.leader_view.member not in (None, self.member)
             and self.lease.valid(self.leader_view.fencing_token, now)
