--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -37,13 +37,12 @@
         return unschedulable
     ledger.capacity_index.expire_reservations(now)
     guaranteed_ids = guaranteed_job_ids(ledger)
-    ledger.pending.jobs = pending_jobs(ledger, guaranteed_ids, now)
-    ledger.pending.min_cpus = min(
-        (job.request.cpus for job in ledger.pending.jobs), default=math.inf
-    )
-    ledger.pending.constrained = any(job.constrained for job in ledger.pending.jobs)
+    queue = pending_jobs(ledger, guaranteed_ids, now)
+    ledger.pending.jobs = queue
+    ledger.pending.min_cpus = min((job.request.cpus for job in queue), default=math.inf)
+    ledger.pending.constrained = any(job.constrained for job in queue)
     reserving_gangs: list[Job | None] = [None for _ in ledger.team_limits]
-    for job in ledger.pending.jobs:
+    for job in queue:
         job.within_guarantee = job.within_guarantee or job.job_id in guaranteed_ids
         record_attainment(ledger, job, now)
         gang_ahead = reserving_gangs[job.team]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -18,7 +18,13 @@
 from salthead.controller.controller import Controller
 from salthead.protocol import wire_names
 from salthead.protocol.messages import JobStatus, StopCommand
-from salthead.scheduling import guarantees, pending_queue, preemption, queue_order, scheduling_pass
+from salthead.scheduling import (
+    guarantees,
+    pending_queue,
+    preemption_rules,
+    queue_order,
+    scheduling_pass,
+)
 from salthead.state_store import records
 from standins import World, run
 
@@ -287,8 +293,8 @@
     low = job(led, job_id="req-6", urgency="urgent", team="blue")
     binding = led.bind(low, 0, led.machines["m1"], 99, 0.0)
     for now, may in ((5.0, False), (15.0, True)):  # at first there is time yet
-        priority = preemption.preempting_priority(led, first, now)
-        assert preemption.may_preempt(led, first, priority, binding, set(), now) == may
+        priority = preemption_rules.preempting_priority(led, first, now)
+        assert preemption_rules.may_preempt(led, first, priority, binding, set(), now) == may
     led.end_job(led.jobs["req-7"], wire_names.ABORTED, 5.0)
     assert first.priority == 2 and first.due == NEVER and led.bound_by_priority == [0, 1, 4, 0]
 
