--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -57,7 +57,8 @@
                     await self._campaign(row)
             except ConflictError:
                 await self.controller.sleep_with_jitter(CONFLICT_RETRY_S)
-            except RETRYABLE_ERRORS as error:
+            # The leader's key is read field by field above: what it lacks is retried as well.
+            except (*RETRYABLE_ERRORS, KeyError, TypeError, ValueError) as error:
                 self.controller.log_throttled("election", error)
                 await self.controller.sleep_with_jitter(TROUBLE_RETRY_S)
 
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -14,7 +14,7 @@
 from salthead.protocol import wire_names
 from salthead.protocol.messages import MalformedMessageError, Submission
 from salthead.state_store import records
-from salthead.state_store.client import RETRYABLE_ERRORS, CompactedError
+from salthead.state_store.client import RETRYABLE_ERRORS, CompactedError, logged_change
 from salthead.transport.client import UnansweredError
 
 # Between looks at what became of awaited jobs.
@@ -120,12 +120,13 @@
         """Jobs that any controller accepted."""
         while True:
             try:
-                events, self.since = await self.context.state_store.watch(
+                entries, self.since = await self.context.state_store.watch(
                     records.JOBS, self.since, 10.0
                 )
-                for event in events:
-                    if "set" in event:
-                        self.take_row(event["set"], event.get("value"), event.get("stamp", 0))
+                for entry in entries:
+                    change = logged_change(entry)
+                    if change.key is not None:
+                        self.take_row(change.key, change.value, change.revision)
             except CompactedError:
                 try:
                     rows, self.since = await self.context.state_store.list_prefix(records.JOBS)
--- a/src/salthead/leader/machine_registry.py
+++ b/src/salthead/leader/machine_registry.py
@@ -3,10 +3,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Any
+
+import msgspec
 
 from salthead.cluster.model import UP
 from salthead.leader.context import TermContext
 from salthead.leader.page_writer import write_pages
+from salthead.protocol.messages import shape
 from salthead.state_store import records
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, VersionedValue
 from salthead.state_store.pages import PageBatch, Pages
@@ -16,6 +20,15 @@
 REMOVAL_INTERVAL_S = 2.0
 
 
+class RegisteredMachine(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """An item of the registry's pages, whose name is the machine's."""
+
+    machine_type: str
+    zone: str
+    spot: Any  # true or false; truth is what counts
+    endpoint: Any  # text, or nothing where it is not known
+
+
 class MachineRegistry:
     """The pages of the machine registry, and the loop that writes them."""
 
@@ -38,11 +51,11 @@
         """Take in the machines that earlier leaders registered."""
         for key, (value, revision) in rows.items():
             self.pages.load(key, value, revision)
-            for name, (machine_type, zone, spot, endpoint) in value.items():
+            for name, found in shape(value, dict[str, RegisteredMachine]).items():
                 machine = self.ledger.add_machine(
-                    name, machine_type, zone, bool(spot), now, registered=True
+                    name, found.machine_type, found.zone, bool(found.spot), now, registered=True
                 )
-                machine.endpoint = machine.endpoint or str(endpoint or "")
+                machine.endpoint = machine.endpoint or str(found.endpoint or "")
 
     def remove(self, name: str) -> None:
         """Remove a machine that was terminated, when there is time for it."""
@@ -70,12 +83,14 @@
             if machine.phase == UP or machine.seen_in_earlier_term:
                 self.pages.set(
                     machine.name,
-                    [
-                        ledger.type_names[machine.machine_type],
-                        ledger.zones[machine.zone],
-                        machine.spot,
-                        machine.endpoint,
-                    ],
+                    msgspec.to_builtins(
+                        RegisteredMachine(
+                            ledger.type_names[machine.machine_type],
+                            ledger.zones[machine.zone],
+                            machine.spot,
+                            machine.endpoint,
+                        )
+                    ),
                 )
 
     def _has_new_machines(self) -> bool:
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -18,6 +18,7 @@
     ConflictError,
     VersionedValue,
     delete,
+    logged_change,
     put,
 )
 
@@ -69,17 +70,17 @@
         since = self.known_epoch()
         while True:
             try:
-                events, since = await self.context.state_store.watch(
+                entries, since = await self.context.state_store.watch(
                     records.DELEGATION_REQUESTS, since, WATCH_S
                 )
-                for event in events:
-                    value = event.get("value")
+                for entry in entries:
+                    change = logged_change(entry)
+                    value = change.value
                     if type(value) is not dict or value.get("token") != self.context.fencing_token:
                         continue
-                    if "set" in event:
-                        await self.allow(
-                            event["set"].removeprefix(records.DELEGATION_REQUESTS), value
-                        )
+                    if change.key is not None:
+                        member = change.key.removeprefix(records.DELEGATION_REQUESTS)
+                        await self.allow(member, value)
             except CompactedError:
                 since = self.known_epoch()
                 await self.context.sleep_with_jitter(RETRY_S)
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -9,7 +9,7 @@
 
 from salthead.errors import SaltheadError
 from salthead.protocol import wire_names
-from salthead.protocol.messages import MalformedMessageError
+from salthead.protocol.messages import MalformedMessageError, shape
 from salthead.transport.client import Answer, Caller, UnansweredError
 from salthead.transport.limits import Budget
 
@@ -52,9 +52,6 @@
     MalformedMessageError,
     LeaseExpiredError,
     CompactedError,
-    KeyError,
-    TypeError,
-    ValueError,
 )
 
 
@@ -99,6 +96,27 @@
     changes: list[Change] = msgspec.field(name="apply")
 
 
+class ListedRow(msgspec.Struct):
+    """A row of a list of keys."""
+
+    key: str = msgspec.field(name="path")
+    revision: int = msgspec.field(name="stamp")
+    value: Any = None
+
+
+class LoggedChange(msgspec.Struct):
+    """An entry of the change log; ``key`` is None for one that removes a key."""
+
+    key: str | None = msgspec.field(name="set", default=None)
+    value: Any = None
+    revision: int = msgspec.field(name="stamp", default=0)
+
+
+def logged_change(entry: Any) -> LoggedChange:
+    """An entry of the change log; MalformedMessageError if it is none."""
+    return shape(entry, LoggedChange)
+
+
 def _int(body: dict[str, Any], name: str) -> int:
     value = body.get(name)
     if type(value) is not int:
@@ -172,9 +190,9 @@
             )
             if first is None:
                 first = _int(answer.body, "epoch")
-            for row in answer.body.get("rows") or []:
-                rows[row["path"]] = VersionedValue(row.get("value"), row["stamp"])
-                start = row["path"]
+            for row in shape(answer.body.get("rows") or [], list[ListedRow]):
+                rows[row.key] = VersionedValue(row.value, row.revision)
+                start = row.key
             if not answer.body.get("truncated"):
                 return rows, first
 
@@ -228,10 +246,11 @@
         )
         self._check(answer, "end", 200, 404)
 
-    async def watch(
-        self, prefix: str, since: int, wait_s: float
-    ) -> tuple[list[dict[str, Any]], int]:
-        """Changes below a prefix since an epoch, and the epoch up to which they are known."""
+    async def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Any], int]:
+        """Changes below a prefix since an epoch, and the epoch up to which they are known.
+
+        The changes are as they came: ``logged_change`` decodes one.
+        """
         answer = await self.watches.call(
             "GET",
             wire_names.CHANGES_PATH,
@@ -241,4 +260,4 @@
         if answer.status == 410:
             raise CompactedError(prefix)
         self._check(answer, prefix, 200)
-        return list(answer.body.get("log") or []), _int(answer.body, "epoch")
+        return shape(answer.body.get("log") or [], list[Any]), _int(answer.body, "epoch")
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -13,6 +13,8 @@
 
 import msgspec
 
+from salthead.protocol.messages import MalformedMessageError
+
 # Of a value's permitted size, what is used: the rest is for separators and for growth in place.
 FILL_SHARE = 0.8
 
@@ -52,7 +54,10 @@
 
     @staticmethod
     def _size(name: str, item: Any) -> int:
-        return len(msgspec.json.encode(item)) + len(name) + 6
+        try:
+            return len(msgspec.json.encode(item)) + len(name) + 6
+        except TypeError as error:
+            raise MalformedMessageError(f"item {name[:60]!r}") from error
 
     def load(self, key: str, value: Any, revision: int) -> None:
         """A page as it stands in the service."""
--- a/src/salthead/state_store/records.py
+++ b/src/salthead/state_store/records.py
@@ -47,9 +47,12 @@
 
 
 def done_item_from(name: str) -> tuple[str, int]:
-    """Job and number of an item of done tasks, by its name."""
+    """Job and number of an item of done tasks, by its name; MalformedMessageError if it is none."""
     job_id, _, part = name.rpartition("/")
-    return job_id, int(part)
+    try:
+        return job_id, int(part)
+    except ValueError as error:
+        raise MalformedMessageError(f"name of done tasks: {name[:60]!r}") from error
 
 
 def job_value(spec: Submission) -> dict[str, Any]:
@@ -259,9 +262,14 @@
 
 
 def machine_types_from(rows: dict[str, Any]) -> dict[str, Any] | None:
-    """The types as continued in several values; None while one of them is missing."""
+    """The types as continued in several values; None while one of them is missing.
+
+    MalformedMessageError if one of them holds no list.
+    """
     values = [rows[key] for key in sorted(rows)]
     if not values or any(type(v) is not dict or v.get("of") != len(values) for v in values):
         return None
     lists = [value.get("builds") or [] for value in values]
+    if not all(type(one) is list for one in lists):
+        raise MalformedMessageError("continued machine types")
     return {"builds": [machine_type for one in lists for machine_type in one]}
