--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -11,12 +11,13 @@
 from salthead.autoscaling.capacity_backoff import CapacityBackoff
 from salthead.autoscaling.scale_in import TerminationDecision
 from salthead.cluster.model import MachineKind
+from salthead.event_log import event
 from salthead.failure_detection.preconditions import Action, Precondition
 from salthead.leader.background import BackgroundTasks
 from salthead.leader.cloud import CloudClient, ProvisionRequest
 from salthead.leader.context import PAUSE_FACTOR, TermContext
+from salthead.leader.fleet_metrics import FleetMetrics
 from salthead.leader.machine_registry import MachineRegistry
-from salthead.leader.views import Views
 from salthead.protocol.messages import MalformedMessageError
 from salthead.state_store.client import RETRYABLE_ERRORS, RequestRefusedError
 from salthead.transport.client import UnansweredError
@@ -39,7 +40,7 @@
         cloud: CloudClient,
         machine_registry: MachineRegistry,
         background: BackgroundTasks,
-        views: Views,
+        fleet_metrics: FleetMetrics,
         plan_requested: asyncio.Event,
         changed: Callable[[], None],
     ) -> None:
@@ -52,7 +53,7 @@
         self.cloud = cloud
         self.machine_registry = machine_registry
         self.background = background
-        self.views = views
+        self.fleet_metrics = fleet_metrics
         self.plan_requested = plan_requested
         self.changed = changed
         self.provision_request_count = 0
@@ -74,7 +75,7 @@
                 self.ledger, self.context.now(), self.capacity_backoff, self.provisioning
             )
             self._start(plan)
-            self.views.show()
+            self.fleet_metrics.update()
             await self.context.sleep_with_jitter(
                 max(MIN_PLAN_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - began))
             )
@@ -113,14 +114,15 @@
             self.context.log_throttled("hire", error)
         finally:
             self.provisioning[kind] -= count
-        log.info(
-            "hire %s: %d of %d %s in %s%s",
-            request.name,
-            provisioned,
-            count,
-            request.machine_type,
-            request.zone,
-            " spot" if spot else "",
+        event(
+            log,
+            "machines_provisioned",
+            request=request.name,
+            provisioned=provisioned,
+            count=count,
+            machine_type=request.machine_type,
+            zone=request.zone,
+            spot=spot,
         )
         if provisioned < count:
             self.capacity_backoff.record_shortage(kind, self.context.now())
@@ -169,11 +171,12 @@
         now = self.context.now()
         for decision in sent:
             machine = decision.machine
-            log.info(
-                "returned %s after %.0f s: %s",
-                machine.name,
-                now - machine.provisioned_at,
-                decision.reason,
+            event(
+                log,
+                "machine_terminated",
+                machine=machine.name,
+                after_s=now - machine.provisioned_at,
+                reason=decision.reason,
             )
             self.ledger.machine_gone(machine, now)
             self.machine_registry.remove(machine.name)
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -98,9 +98,11 @@
             )
             if counts != self.votes_withheld:
                 self.votes_withheld = counts
-                log.info(
-                    "state service lost; %s by all peers",
-                    "promised the lead" if counts else "not promised the lead",
+                event(
+                    log,
+                    "votes_withheld",
+                    fencing_token=self.context.fencing_token,
+                    by_all_peers=counts,
                 )
 
     async def show_loop(self) -> None:
@@ -116,10 +118,11 @@
                 continue
             certain = not certain
             metrics.LEADING.set(certain)
-            log.warning(
-                "token %d: the lead is %s",
-                self.context.fencing_token,
-                "certain again" if certain else "not certain: nothing is judged, nothing ordered",
+            event(
+                log,
+                "lead_certain" if certain else "lead_uncertain",
+                logging.WARNING,
+                fencing_token=self.context.fencing_token,
             )
 
     async def resign_loop(self) -> None:
--- a/src/salthead/leader/machine_list.py
+++ b/src/salthead/leader/machine_list.py
@@ -5,6 +5,7 @@
 import logging
 
 from salthead.cluster.model import BOOTING
+from salthead.event_log import event
 from salthead.leader.cloud import CloudClient
 from salthead.leader.context import TermContext
 from salthead.leader.machine_type_records import MachineTypeRecords
@@ -73,10 +74,10 @@
             listed.name, listed.machine_type, listed.zone, listed.spot, now
         )
         if not known:
-            log.info("machine %s found in the list (%s)", listed.name, listed.phase)
+            event(log, "machine_listed", machine=listed.name, phase=listed.phase)
             machine.provisioned_at = now - listed.age_s
         elif machine.phase == BOOTING:
             machine.provisioned_at = min(machine.provisioned_at, now - listed.age_s)
         if listed.phase == wire_names.FAILED and not machine.quarantine_reason:
             machine.quarantine_reason = "failed"
-            log.info("machine %s failed", listed.name)
+            event(log, "machine_failed", machine=listed.name)
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -16,6 +16,7 @@
 from typing import Protocol
 
 from salthead.cluster.model import Job
+from salthead.event_log import event
 from salthead.leader.context import TermContext
 from salthead.leader.controller_interface import JobLookup
 from salthead.leader.save_loop import SaveLoop
@@ -211,4 +212,4 @@
         waiter = self.waiters.pop(job_id, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
-        log.info("job %s %s", job_id, phase)
+        event(log, "job_ended", job=job_id, phase=phase)
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -18,6 +18,7 @@
 from salthead.leader.context import TermContext
 from salthead.leader.controller_interface import ControllerInterface
 from salthead.leader.done_task_pages import DoneTaskPages
+from salthead.leader.fleet_metrics import FleetMetrics
 from salthead.leader.job_records import JobRecords
 from salthead.leader.leadership import Leadership
 from salthead.leader.machine_list import MachineListLoop
@@ -156,6 +157,7 @@
     def _build_views(self, controller: ControllerInterface) -> None:
         self.zone_loop = _zone_loop(self.context, controller)
         self.link_loop = _link_loop(self.context, controller)
+        self.fleet_metrics = FleetMetrics(self.context)
         self.views = Views(self.context, controller.settings.member, self.zone_loop, self.link_loop)
 
     def _build_autoscaling(self, controller: ControllerInterface) -> None:
@@ -169,7 +171,7 @@
             cloud,
             self.machine_registry,
             self.background,
-            self.views,
+            self.fleet_metrics,
             self.plan_requested,
             self.wake,
         )
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -1,17 +1,14 @@
-"""What operators see of a term: the overview, the metrics, and what the rent is spent on."""
+"""What operators see of a term: queue and fleet, as the rows of the overview."""
 
 from __future__ import annotations
 
-import logging
 from typing import TYPE_CHECKING
 
 import msgspec
 
-from salthead import metrics
-from salthead.cluster.model import UP, Job, Machine
+from salthead.cluster.model import Job, Machine
 from salthead.leader.context import TermContext
 from salthead.leader.overview import JobRow, MachineRow, NetworkRow, Overview, TeamRow, ZoneRow
-from salthead.scheduling import placement
 
 if TYPE_CHECKING:  # these load libraries that only some policies need
     from salthead.leader.link_loop import LinkLoop
@@ -19,9 +16,6 @@
     from salthead.networks.silence import NetworkView
     from salthead.zones.recovery import ZoneView
 
-log = logging.getLogger(__name__)
-
-ACCOUNTING_INTERVAL_S, FLEET_LOG_INTERVAL_S = 2.0, 10.0
 OVERVIEW_ROWS = 150
 OVERVIEW_DEPENDENCIES = 3
 
@@ -59,9 +53,6 @@
         self.link_loop = link_loop
         self.ledger = context.ledger
         self.now = context.now
-        self.fleet_logged_at = -FLEET_LOG_INTERVAL_S
-        self.accounted_at = context.now()
-        self.spent: dict[str, float] = {}  # CPU-seconds, by what they were spent on
 
     def overview(self) -> Overview:
         """Queue and fleet for operators, cut to what fits into an answer."""
@@ -140,68 +131,3 @@
             used=round(machine.allocated.cpus, 3),
             note=", ".join(note for note in notes if note),
         )
-
-    def account(self, now: float) -> None:
-        """Where the rented CPU-seconds go: the metric behind price and useful share."""
-        passed, self.accounted_at = now - self.accounted_at, now
-        for machine in self.ledger.machines.values():
-            if machine.phase != UP:
-                self.spent[machine.phase] = (
-                    self.spent.get(machine.phase, 0.0) + machine.capacity.cpus * passed
-                )
-                continue
-            free = max(0.0, machine.capacity.cpus - machine.allocated.cpus)
-            why = placement.unavailable_reason(self.ledger, machine, now)
-            use = f"free, {why}" if why else "free"
-            self.spent[use] = self.spent.get(use, 0.0) + free * passed
-            for binding in machine.bindings.values():
-                what = binding.phase or "starting"
-                self.spent[what] = self.spent.get(what, 0.0) + binding.request.cpus * passed
-        for what, amount in self.spent.items():
-            metrics.SPENT.labels(what).set(amount)
-
-    def show(self) -> None:
-        """Set the metrics, and log a line about the fleet now and then."""
-        if self.now() - self.accounted_at < ACCOUNTING_INTERVAL_S:
-            return
-        self.account(self.now())
-        phases: dict[str, int] = {}
-        for machine in self.ledger.machines.values():
-            phases[machine.phase] = phases.get(machine.phase, 0) + 1
-        for phase in ("up", "booting", "lost"):
-            metrics.MACHINES.labels(phase).set(phases.get(phase, 0))
-        now = self.now()
-        if now - self.fleet_logged_at >= FLEET_LOG_INTERVAL_S:
-            self.fleet_logged_at = now
-            machines = [m for m in self.ledger.machines.values() if m.phase == UP]
-            log.info(
-                "fleet %s; %.0f of %.0f CPUs booked, %d idle; %d jobs, %d tasks waiting, %d bound; "
-                "CPU-seconds spent: %s",
-                phases,
-                sum(m.allocated.cpus for m in machines),
-                sum(m.capacity.cpus for m in machines),
-                sum(1 for m in machines if not m.busy()),
-                len(self.ledger.jobs),
-                sum(job.waiting() for job in self.ledger.ready_jobs.values()),
-                sum(len(job.bindings) for job in self.ledger.jobs.values()),
-                ", ".join(f"{what} {amount:.0f}" for what, amount in self.spent.items()),
-            )
-        self._show_limits()
-        metrics.ACTIVE.set(len(self.ledger.jobs))
-        metrics.BLOCKED_JOBS.set(
-            sum(1 for job in self.ledger.jobs.values() if job.blocked_on_dependencies)
-        )
-        metrics.WAITING.set(sum(job.waiting() for job in self.ledger.ready_jobs.values()))
-
-    def _show_limits(self) -> None:
-        """How much of each team's limit is booked, and how much is counted for silent machines."""
-        silent = 0.0 if self.ledger.ready else self.ledger.failover.unreconciled_capacity()[0]
-        for team, name in enumerate(self.ledger.team_names.names):
-            for count, cpus in (
-                ("booked", self.ledger.usage[team][0]),
-                ("silent", silent),
-                ("limit", self.ledger.team_limits[team][0]),
-            ):
-                metrics.TEAM_CPUS.labels(name, count).set(cpus)
-        for why, machines in self.ledger.failover.by_reason().items():
-            metrics.UNRECONCILED_MACHINES.labels(why).set(machines)
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -41,6 +41,7 @@
             "job records": term.job_records,
             "autoscaler": term.autoscaler,
             "views": term.views,
+            "fleet metrics": term.fleet_metrics,
             "background": term.background,
             "done pages": term.done_tasks.pages,
             "machine registry": term.machine_registry.pages,
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -354,7 +354,7 @@
         ),
         (
             "account of the rent",
-            bench.of_work(lambda: bench.term.views.account(now())),
+            bench.of_work(lambda: bench.term.fleet_metrics.account(now())),
             ACCOUNTS_PER_S,
         ),
         (
