--- a/src/salthead/controller/__init__.py
+++ b/src/salthead/controller/__init__.py
@@ -1,1 +1,1 @@
-"""What every controller runs: its process-wide state, the election, and what users are answered."""
+"""What every controller runs: its parts, the election, and its answers to users and workers."""
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -59,14 +59,12 @@
     if not JOB_ID.match(job_id):
         return _error(HTTPStatus.NOT_FOUND, "no such job")
     try:
-        found = await lookup(job_id)
+        status = await lookup(job_id)
     except UNDECIDED_ERRORS as error:
         return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
-    return (
-        _error(HTTPStatus.NOT_FOUND, "no such job")
-        if found is None
-        else Reply(HTTPStatus.OK, found)
-    )
+    if status is None:
+        return _error(HTTPStatus.NOT_FOUND, "no such job")
+    return Reply(HTTPStatus.OK, status)
 
 
 async def _submit_reply(controller: Controller, request: Request, forwarded: bool) -> Reply:
--- a/src/salthead/controller/machine_types.py
+++ b/src/salthead/controller/machine_types.py
@@ -32,8 +32,8 @@
                 self.context.log_throttled("cloud flavors", error)
             if not self.context.machine_types:
                 try:
-                    if found := await self._as_stored():
-                        self.take(found)
+                    if stored := await self._as_stored():
+                        self.take(stored)
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
                     self.context.log_throttled("stored flavors", error)
             await self.context.sleep_with_jitter(RETRY_S)
@@ -48,16 +48,18 @@
 
     async def _as_stored(self) -> list[MachineType]:
         rows, _ = await self.context.state_store.list_prefix(records.MACHINE_TYPE_PARTS)
-        found = records.machine_types_from({key: row.value for key, row in rows.items()})
-        if found is None:
+        stored = records.machine_types_from({key: row.value for key, row in rows.items()})
+        if stored is None:
             row = await self.context.state_store.get(records.MACHINE_TYPES)
-            found = None if row is None else row.value
-        return [] if found is None else shape(found, MachineTypes).machine_types
+            stored = None if row is None else row.value
+        return [] if stored is None else shape(stored, MachineTypes).machine_types
 
     def take(self, machine_types: list[MachineType]) -> None:
         """Take machine types in, for checks of submissions and for the term."""
         self.context.machine_types.clear()
-        self.context.machine_types.update({found.name: found for found in machine_types})
+        self.context.machine_types.update(
+            {machine_type.name: machine_type for machine_type in machine_types}
+        )
         term = self.leader_view.term
         if term is not None:
             term.ledger.set_machine_types(machine_types)
--- a/src/salthead/errors.py
+++ b/src/salthead/errors.py
@@ -1,4 +1,4 @@
-"""The base of all errors, and those that answer a user's request."""
+"""The base of all errors, and those that decide how a user's request is answered."""
 
 
 class SaltheadError(Exception):
@@ -6,8 +6,8 @@
 
 
 class UnavailableError(SaltheadError):
-    """503: the request can't be decided now; the client is told when to retry."""
+    """The request can't be decided now, and may be in a moment: the client should retry."""
 
 
 class InvalidJobError(SaltheadError):
-    """422: the job can never run."""
+    """The job can never run, or depends on one that was never accepted."""
--- a/src/salthead/policy.py
+++ b/src/salthead/policy.py
@@ -93,34 +93,34 @@
 }
 
 
-def _check_numbers(section: str, found: msgspec.Struct, rules: dict[str, Rule]) -> None:
-    entries = msgspec.to_builtins(found)
-    for name, (holds, what) in rules.items():
+def _check_numbers(section: str, parameters: msgspec.Struct, rules: dict[str, Rule]) -> None:
+    entries = msgspec.to_builtins(parameters)
+    for name, (holds, text) in rules.items():
         value = entries[name]
         if not math.isfinite(value):
             raise ConfigFileError(f"{section}.{name}: must be a number")
         if not holds(value):
-            raise ConfigFileError(f"{section}.{name}: {what}")
+            raise ConfigFileError(f"{section}.{name}: {text}")
 
 
-def _check_zone_recovery(found: ZonePolicy) -> None:
-    _check_numbers("zone_recovery", found, ZONE_RULES)
-    for before, share in zip([0.0, *found.steps], found.steps, strict=False):
+def _check_zone_recovery(policy: ZonePolicy) -> None:
+    _check_numbers("zone_recovery", policy, ZONE_RULES)
+    for before, share in zip([0.0, *policy.steps], policy.steps, strict=False):
         if not before < share < 1:
             raise ConfigFileError("zone_recovery.steps: must rise, between 0 and 1")
 
 
-def check(found: Policy) -> None:
+def check(policy: Policy) -> None:
     """Check what types alone do not say; ConfigFileError names the entry."""
-    if found.zone_recovery is not None:
-        _check_zone_recovery(found.zone_recovery)
-    if found.partial_cuts is not None:
-        _check_numbers("partial_cuts", found.partial_cuts, PARTIAL_CUT_RULES)
-    if found.networks:
+    if policy.zone_recovery is not None:
+        _check_zone_recovery(policy.zone_recovery)
+    if policy.partial_cuts is not None:
+        _check_numbers("partial_cuts", policy.partial_cuts, PARTIAL_CUT_RULES)
+    if policy.networks:
         # Here, so that the library is loaded only where networks are declared.
         from salthead.networks.directory import NetworkDirectory
 
-        NetworkDirectory(found.networks)
+        NetworkDirectory(policy.networks)
 
 
 def load(path: str | Path) -> Policy:
--- a/src/salthead/protocol/__init__.py
+++ b/src/salthead/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The wire: names of fields and values, checks of what comes in, names to indices."""
+"""The wire: paths and names, typed messages, their checks, and the interning of names."""
--- a/src/salthead/protocol/interning.py
+++ b/src/salthead/protocol/interning.py
@@ -1,4 +1,4 @@
-"""Names become dense indices where they come in; inside, only indices are compared."""
+"""Names are interned where they arrive: the scheduler compares their dense indices alone."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
             self.intern(name)
 
     def intern(self, name: str) -> int:
-        """The index of a name, a new one if need be."""
-        found = self.index.get(name)
-        if found is None:
-            found = self.index[name] = len(self.names)
+        """The index of a name; a name that is not known gets the next one."""
+        index = self.index.get(name)
+        if index is None:
+            index = self.index[name] = len(self.names)
             self.names.append(name)
-        return found
+        return index
 
     def get(self, name: str) -> int | None:
-        """The index of a name that is known."""
+        """The index of a name; None if it is not known."""
         return self.index.get(name)
 
     def __getitem__(self, index: int) -> str:
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -224,18 +224,18 @@
 def decode_map(body: bytes) -> dict[str, Any]:
     """The map with text keys that a body holds; MalformedMessageError if it is none."""
     try:
-        found = cbor2.loads(body)
+        fields = cbor2.loads(body)
     except Exception as error:  # the decoder raises several unrelated types
         raise MalformedMessageError("not CBOR") from error
-    if type(found) is not dict or not all(type(key) is str for key in found):
+    if type(fields) is not dict or not all(type(key) is str for key in fields):
         raise MalformedMessageError("not a map with text keys")
-    return found
+    return fields
 
 
-def shape(found: Any, kind: type[T]) -> T:
+def shape(value: Any, kind: type[T]) -> T:
     """A decoded value as a structure; MalformedMessageError names the field that does not fit."""
     try:
-        return msgspec.convert(found, kind)
+        return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
         raise MalformedMessageError(str(error)) from None
     except (RecursionError, OverflowError) as error:
--- a/src/salthead/protocol/wire_names.py
+++ b/src/salthead/protocol/wire_names.py
@@ -1,4 +1,4 @@
-"""Every name that crosses the wire. The other layers use the Python names."""
+"""Paths and values of the wire. Fields are mapped to it in ``messages``."""
 
 # paths, users and workers
 JOBS_PATH = "/work"
@@ -50,7 +50,7 @@
 IN_USE = "in_use"
 UNKNOWN = "unknown"
 
-# verbs of orders
+# verbs of commands
 START = "start"
 STOP = "stop"
 REAP = "reap"
@@ -59,7 +59,7 @@
 BOOTING = "booting"
 FAILED = "failed"
 
-# ranks of urgency, the highest first
+# priorities of jobs, the highest first
 URGENCIES = ("prod", "urgent", "normal", "idle")
 ARRAY = "array"
 GANG = "gang"
--- a/src/salthead/settings.py
+++ b/src/salthead/settings.py
@@ -151,12 +151,12 @@
     return host, int(port)
 
 
-def check(found: Settings) -> None:
+def check(settings: Settings) -> None:
     """Check what types alone do not say; ConfigFileError names the field."""
-    _check_addresses(found)
-    if not found.member:
+    _check_addresses(settings)
+    if not settings.member:
         raise ConfigFileError("member: must not be empty")
-    limits = found.settings
+    limits = settings.settings
     if not limits.zones:
         raise ConfigFileError("settings.zones: at least one zone is needed")
     _check_numbers(limits)
@@ -165,14 +165,16 @@
         raise ConfigFileError("settings.teams: a name stands twice")
 
 
-def _check_addresses(found: Settings) -> None:
+def _check_addresses(settings: Settings) -> None:
     addresses = {
-        "client_listen": found.client_listen,
-        "cluster_listen": found.cluster_listen,
-        "endpoints.cloud": found.endpoints.cloud,
-        "endpoints.state": found.endpoints.state,
+        "client_listen": settings.client_listen,
+        "cluster_listen": settings.cluster_listen,
+        "endpoints.cloud": settings.endpoints.cloud,
+        "endpoints.state": settings.endpoints.state,
+    }
+    addresses |= {
+        f"seeds[{number}].endpoint": seed.endpoint for number, seed in enumerate(settings.seeds)
     }
-    addresses |= {f"seeds[{n}].endpoint": seed.endpoint for n, seed in enumerate(found.seeds)}
     for field, text in addresses.items():
         try:
             split_endpoint(text)
--- a/src/salthead/toml_file.py
+++ b/src/salthead/toml_file.py
@@ -30,8 +30,8 @@
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ConfigFileError(f"{path}: not TOML: {error}") from None
     try:
-        found = msgspec.convert(tree, kind)
-        check(found)
+        structure = msgspec.convert(tree, kind)
+        check(structure)
     except (msgspec.ValidationError, ConfigFileError) as error:
         raise ConfigFileError(f"{path}: {error}") from None
-    return found
+    return structure
--- a/src/salthead/transport/__init__.py
+++ b/src/salthead/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and HTTP: servers, clients and the limits of what is asked per second."""
+"""HTTP servers and clients, limits of connections, and rate limits of calls."""
