--- /dev/null
+++ b/tests/standins/__init__.py
@@ -0,0 +1,10 @@
+"""Stand-ins for what the controllers talk to, on fake time.
+
+``World`` puts them together: a state service, a cloud, workers and users in one process, on a loop
+whose clock jumps to the next timer. It checks the rules of the protocol while a scene runs and
+lists what breaks one in ``World.broken``.
+"""
+
+from standins.world import FakeLoop, Worker, World, run
+
+__all__ = ["FakeLoop", "Worker", "World", "run"]
