--- a/tests/cut_world.py
+++ b/tests/cut_world.py
@@ -26,6 +26,7 @@
 from salthead.policy import PartialCutPolicy, Policy
 from salthead.transport.client import Answer
 from standins import Worker, run
+from standins.network import Call
 from zone_world import ZoneWorld
 
 CUTS_ON = Policy(
@@ -74,16 +75,14 @@
         while way in self.holds:
             await self.healed.wait()
 
-    async def _deliver(
-        self, source: str, target: str, method: str, path: str, *more: Any
-    ) -> Answer:
-        await self._pass(source, target)
-        answer = await super()._deliver(source, target, method, path, *more)
-        if path == "/txn" and answer.status == 200:
+    async def _deliver(self, call: Call, late_s: float) -> Answer:
+        await self._pass(call.source, call.target)
+        answer = await super()._deliver(call, late_s)
+        if call.path == "/txn" and answer.status == 200:
             self.seen["write"] += 1
             self._note_outcomes()
-        self.seen["return"] += path == "/hosts/return"
-        await self._pass(target, source)
+        self.seen["return"] += call.path == "/hosts/return"
+        await self._pass(call.target, call.source)
         return answer
 
     def _note_outcomes(self) -> None:
@@ -92,24 +91,22 @@
             if key.startswith("over/"):
                 self.answers.recorded(self.now(), key[5:], change["value"]["phase"])
 
-    async def hello(
+    async def deliver_heartbeat(
         self, worker: Worker, controller: int, message: bytes
     ) -> tuple[int, dict[str, Any]]:
         name = self.names[controller]
         way = Direction(worker.zone, name)
         if way in self.holds:
-            late = asyncio.create_task(self._late_report(worker, name, message))
-            self.pending.add(late)
-            late.add_done_callback(self.pending.discard)
+            self.in_background(self._deliver_when_healed(worker, name, message))
         if way in self.drops | self.holds:
             await asyncio.sleep(60.0)
-        answer = await super().hello(worker, controller, message)
+        answer = await super().deliver_heartbeat(worker, controller, message)
         await self._pass(name, worker.name)
         return answer
 
-    async def _late_report(self, worker: Worker, name: str, message: bytes) -> None:
+    async def _deliver_when_healed(self, worker: Worker, name: str, message: bytes) -> None:
         await self._pass(worker.name, name)
-        await self.held(worker, name, message)
+        await self.deliver_held_heartbeat(worker, name, message)
 
     def hear(self, job_id: str, phase: str, began: float) -> None:
         super().hear(job_id, phase, began)
--- a/tests/local_setup.py
+++ b/tests/local_setup.py
@@ -59,7 +59,7 @@
         self.controllers = {f"n{n}": None for n in range(len(addresses))}
         self.printed = 0  # of the broken rules
 
-    async def hello(
+    async def deliver_heartbeat(
         self, worker: Worker, controller: int, message: bytes
     ) -> tuple[int, dict[str, Any]]:
         if worker.cut:
--- a/tests/soak_world.py
+++ b/tests/soak_world.py
@@ -15,7 +15,7 @@
 import cbor2
 from tornado.httpserver import HTTPServer
 
-from helpers import LIMITS, given, spec
+from helpers import given, spec
 from link_proxy import LinkProxy, Mode
 from link_setup import LinkSetup, address_of, listen_for
 from local_setup import LocalWorld
@@ -106,10 +106,8 @@
         while True:
             await asyncio.sleep(LEASE_LOOK_S)
             for worker in list(self.cloud.hosts.values()):
-                if worker.up and self.now() - worker.answered > LIMITS["workers"]["lease_s"]:
-                    worker.incarnation, worker.sequence = worker.incarnation + 1, 0
-                    worker.answered = self.now()
-                    worker.tasks.clear()
+                if worker.up and worker.lease_expired():
+                    worker.begin_incarnation()
 
     def endpoint_of(self, worker: Worker) -> str:
         """The worker's own address."""
@@ -119,7 +117,7 @@
             self.endpoints[worker.name] = f"127.0.0.1:{port}"
         return self.endpoints[worker.name]
 
-    async def hello(
+    async def deliver_heartbeat(
         self, worker: Worker, controller: int, message: bytes
     ) -> tuple[int, dict[str, Any]]:
         """A report, by the proxy between the worker's zone and the controller."""
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -5,6 +5,8 @@
 lists what breaks one in ``World.broken``.
 """
 
-from standins.world import FakeLoop, Worker, World, run
+from standins.fake_loop import FakeLoop, run
+from standins.worker import Worker
+from standins.world import World
 
 __all__ = ["FakeLoop", "Worker", "World", "run"]
--- /dev/null
+++ b/tests/standins/fake_loop.py
@@ -0,0 +1,53 @@
+"""An event loop on fake time: where nothing is ready, the clock jumps to the next timer."""
+
+from __future__ import annotations
+
+import asyncio
+import selectors
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+FIRST_TIME_S = 1000.0
+CANCEL_WITHIN_S = 60.0  # for the tasks that a scene leaves behind
+
+
+class _JumpingSelector(selectors.DefaultSelector):
+    """Advances the loop's clock instead of waiting for a timer."""
+
+    loop: FakeLoop
+
+    def select(self, timeout: float | None = None) -> Any:
+        """Return the files that are ready now; the clock has advanced by ``timeout``."""
+        if timeout is None:
+            raise RuntimeError("nothing left to wait for")
+        self.loop.clock += max(0.0, timeout)
+        return super().select(0)
+
+
+class FakeLoop(asyncio.SelectorEventLoop):
+    """A loop whose ``time()`` is fake."""
+
+    def __init__(self) -> None:
+        self.clock = FIRST_TIME_S
+        selector = _JumpingSelector()
+        selector.loop = self
+        super().__init__(selector)
+
+    def time(self) -> float:
+        """Return the fake time in seconds."""
+        return self.clock
+
+
+def run(work: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
+    """Run a scene on a loop of its own, cancel what it leaves behind, and return its result."""
+    loop = FakeLoop()
+    try:
+        return loop.run_until_complete(work())
+    finally:
+        tasks = asyncio.all_tasks(loop)
+        for task in tasks:
+            task.cancel()
+        loop.run_until_complete(
+            asyncio.wait_for(asyncio.gather(*tasks, return_exceptions=True), CANCEL_WITHIN_S)
+        )
+        loop.close()
--- /dev/null
+++ b/tests/standins/hosts.py
@@ -0,0 +1,92 @@
+"""What every part of the stand-in world shares: the clock, random draws, and what runs where."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+import production
+from salthead.controller.controller import Controller
+from standins.cloud import Cloud
+from standins.state_service import State
+from standins.worker import BOOT_S, Worker
+
+
+class Hosts(ABC):
+    """The state service, the cloud with its machines, and the processes of the controllers."""
+
+    def __init__(self, seed: int, most: int, areas: dict[str, str]) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.rng = random.Random(seed)
+        self.counter = 0
+        self.most = most  # machines that the cloud has
+        self.most_in_zone: dict[str, int] = {}  # what the cloud has of a zone, if that is less
+        self.areas = areas  # of controllers; north if not named
+        self.names: list[str] = []
+        self.controllers: dict[str, Controller | None] = {}
+        self.versions: dict[str, production.Version] = {}
+        self.boot_s = BOOT_S
+        self.fetch_s: Callable[[Worker], float] = lambda worker: 0.0  # of an image
+        self.pending: set[asyncio.Task[Any]] = set()  # calls that nobody waits for any more
+        self.state = State(self.now)
+        self.cloud = Cloud(self)
+
+    def now(self) -> float:
+        """Return the time in seconds."""
+        return self.loop.time()
+
+    def count(self) -> int:
+        """Return the next number."""
+        self.counter += 1
+        return self.counter
+
+    def area(self, name: str) -> str:
+        """Return the zone of a machine or a controller."""
+        worker = self.cloud.hosts.get(name)
+        return worker.zone if worker is not None else self.areas.get(name, "north")
+
+    def leader(self) -> Controller | None:
+        """Return the controller that may act as the leader, by its own view."""
+        running = (one for one in self.controllers.values() if one is not None)
+        return next((one for one in running if one.leading()), None)
+
+    def on_machines(self) -> list[tuple[Worker, str]]:
+        """Return the tasks on machines that have not exited, each with its worker."""
+        return [
+            (worker, task_id)
+            for worker in self.cloud.hosts.values()
+            for (task_id, _), task in worker.tasks.items()
+            if task["phase"] != "exited"
+        ]
+
+    def in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Start work that goes on when whoever asked for it gives up."""
+        task = asyncio.create_task(work)
+        self.pending.add(task)
+        task.add_done_callback(self.pending.discard)
+        return task
+
+    @abstractmethod
+    async def deliver_heartbeat(
+        self, worker: Worker, controller: int, message: bytes
+    ) -> tuple[int, dict[str, Any]]:
+        """Send a heartbeat to a controller, and return the status and the body of its answer."""
+
+    @abstractmethod
+    def started(self, worker: Worker, task_id: str) -> None:
+        """A worker is about to start a task."""
+
+    @abstractmethod
+    def run_s(self, task_id: str) -> float:
+        """Return for how long a task runs."""
+
+    @abstractmethod
+    def gang_whole(self, task_id: str, attempt: int) -> bool:
+        """Return whether all tasks of the task's gang are on machines."""
+
+    @abstractmethod
+    def complete(self, worker: Worker, task_id: str, attempt: int) -> None:
+        """A task has run for as long as it runs."""
--- /dev/null
+++ b/tests/standins/peers.py
@@ -0,0 +1,49 @@
+"""What a controller answers to its peers, whatever version of the sources it runs."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from helpers import given
+from salthead.controller.controller import Controller
+from salthead.protocol.messages import encode
+from salthead.transport.client import Answer, UnansweredError
+from standins.users import Users
+
+
+class Peers(Users):
+    """Executes calls between controllers without HTTP."""
+
+    async def peer(self, name: str, path: str, body: Any) -> Answer:
+        """Execute a peer's call at a controller."""
+        controller = self.controllers[name]
+        if controller is None:
+            raise UnansweredError("refused")
+        version = self.versions[name]
+        if path == "/peer/knocks":
+            leads = bool(body) and body.get("leads") is True
+            return Answer(200, version.connectivity_report(controller, leads))
+        if path == "/peer/promise":
+            withheld = await version.withhold_vote(controller, body["member"])
+            return Answer(200 if withheld else 409, {"promise": withheld})
+        try:
+            if path == "/peer/submit":
+                job = version.messages.decode_submission(encode(given(body)))
+                status, answer = await controller.submit(job, True)
+                return Answer(status, msgspec.to_builtins(answer))
+            return await self._ask_term(controller, path, body)
+        except version.undecided_errors:
+            return Answer(503, {})
+
+    async def _ask_term(self, controller: Controller, path: str, body: Any) -> Answer:
+        """Poll or cancel a job at the leader."""
+        term = controller.leading()
+        if term is None:
+            return Answer(503, {})
+        if path == "/peer/cancel":
+            status = await term.cancel(body["uid"])
+        else:
+            status = await controller.poll_here(term, body["uid"])
+        return Answer(404, {}) if status is None else Answer(200, msgspec.to_builtins(status))
--- /dev/null
+++ b/tests/standins/rules.py
@@ -0,0 +1,135 @@
+"""The rules that hold at every instant; what breaks one is listed in ``broken``.
+
+An entry begins with the name of its rule and the job or task: ``ran_twice req-1/0``.
+"""
+
+from __future__ import annotations
+
+from helpers import LIMITS
+from salthead.protocol.messages import Submission
+from standins.jobs import Jobs, job_id_of
+from standins.worker import Worker
+
+TERMINAL_PHASES = ("done", "aborted")
+# An answer that was on its way when the user was told arrives within 4 s, or is dropped.
+ANSWER_ON_ITS_WAY_S = 4.5
+
+
+class Rules(Jobs):
+    """Checks each start, each answer to a user, and what is on machines."""
+
+    def __init__(self, seed: int, most: int, areas: dict[str, str]) -> None:
+        super().__init__(seed, most, areas)
+        self.broken: list[str] = []
+
+    # -- starts
+
+    def started(self, worker: Worker, task_id: str) -> None:
+        """A worker is about to start a task."""
+        self.starts += 1
+        job_id = job_id_of(task_id)
+        self.begun.setdefault(job_id, self.now())
+        spec = self.specs[job_id]
+        on_machines = self.on_machines()
+        self._check_dependencies(task_id, spec)
+        self._check_first_run(task_id, job_id, on_machines)
+        self._check_place(worker, task_id, spec, on_machines)
+        self._check_team_limit(spec, on_machines)
+        if job_id in self.cancelled and self.now() > self.cancelled[job_id] + ANSWER_ON_ITS_WAY_S:
+            self.broken.append(f"ran_cancelled {task_id}: started")
+
+    def _check_dependencies(self, task_id: str, spec: Submission) -> None:
+        early = [job_id for job_id in spec.depends_on or [] if not self.job_done(job_id)]
+        if early:
+            self.broken.append(f"too_early {task_id}: {early} not done")
+
+    def _check_first_run(
+        self, task_id: str, job_id: str, on_machines: list[tuple[Worker, str]]
+    ) -> None:
+        if any(other == task_id for _, other in on_machines):
+            self.broken.append(f"ran_twice {task_id}")
+        outcome = self.state.keys.get(f"over/{job_id}")
+        if outcome is not None and outcome[0]["phase"] == "done":
+            self.broken.append(f"ran_twice {task_id}: its job was recorded as done")
+
+    def _check_place(
+        self,
+        worker: Worker,
+        task_id: str,
+        spec: Submission,
+        on_machines: list[tuple[Worker, str]],
+    ) -> None:
+        if (
+            (worker.spot and not spec.spot)
+            or (spec.machine_types is not None and worker.machine_type not in spec.machine_types)
+            or (spec.zone is not None and worker.zone != spec.zone)
+        ):
+            self.broken.append(f"wrong_place {task_id}")
+        prefix = job_id_of(task_id) + "/"
+        peers = [other for other, name in on_machines if name.startswith(prefix)]
+        if spec.single_zone and any(peer.zone != worker.zone for peer in peers):
+            self.broken.append(f"wrong_place {task_id}: zones")
+        in_zone = sum(peer.zone == worker.zone for peer in peers)
+        if spec.spread_zones and in_zone >= (spec.task_count + 1) // 2:
+            self.broken.append(f"wrong_place {task_id}: not apart")
+
+    def _check_team_limit(self, spec: Submission, on_machines: list[tuple[Worker, str]]) -> None:
+        specs = (self.specs[job_id_of(other)] for _, other in on_machines)
+        allocated = spec.vcpus + sum(other.vcpus for other in specs if other.team == spec.team)
+        if allocated > team_cpus_max(spec.team) + 1e-6:
+            self.broken.append(f"quota {spec.team}: {allocated}")
+
+    # -- answers
+
+    def hear(self, job_id: str, phase: str, began: float) -> None:
+        """What any controller tells any user, who asked at ``began``."""
+        if job_id not in self.specs:
+            self.broken.append(f"invented {job_id}")
+            return
+        final, final_at = self.final.get(job_id, ("", 0.0))
+        self._check_cancellation(job_id, phase)
+        if final and phase != final and (final_at < began or phase in TERMINAL_PHASES):
+            self.broken.append(f"went_back {job_id}: {final} to {phase}")
+        if phase == "done" and not self.job_done(job_id):
+            self.broken.append(f"not_done {job_id}")
+        if phase in TERMINAL_PHASES and not final:
+            self.final[job_id] = (phase, self.now())
+            if phase == "aborted":
+                # By the first word of any controller, whoever it was said to.
+                self.cancelled[job_id] = self.now()
+        if not final:
+            self.told[job_id] = phase
+
+    def _check_cancellation(self, job_id: str, phase: str) -> None:
+        dependencies = self.needed(job_id)
+        if phase in ("queued", "running") and self._cancelled_long_ago(dependencies):
+            self.broken.append(f"orphaned {job_id}")
+        if phase == "aborted" and not self.asked & {job_id, *dependencies}:
+            self.broken.append(f"went_back {job_id}: nobody cancelled it or what it needs")
+
+    def _cancelled_long_ago(self, job_ids: set[str]) -> bool:
+        """Return whether users were told, longer ago than it may take, that one is cancelled."""
+        told_at = [self.cancelled[job_id] for job_id in job_ids if job_id in self.cancelled]
+        return bool(told_at) and self.now() > min(told_at) + LIMITS["workers"]["cancel_s"]
+
+    def told_unknown(self, job_id: str, began: float) -> None:
+        """A controller does not know a job, as a user is told who asked at ``began``."""
+        if self.accepted.get(job_id, began) < began:
+            self.broken.append(f"forgotten {job_id}")
+
+    # -- what is on machines
+
+    def look_for_cancelled(self) -> None:
+        """Tasks that are there for longer than their jobs may take to be cancelled."""
+        for worker, task_id in self.on_machines():
+            job_id = job_id_of(task_id)
+            entry = f"ran_cancelled {task_id} on {worker.name}"
+            late = self._cancelled_long_ago({job_id, *self.needed(job_id)})
+            if late and entry not in self.broken:
+                self.broken.append(entry)
+
+
+def team_cpus_max(name: str) -> float:
+    """Return how many CPUs a team may use at the most."""
+    team = next(team for team in LIMITS["teams"] if team["name"] == name)
+    return float(team["cpus_max"])
--- a/tests/test_cut_loopback.py
+++ b/tests/test_cut_loopback.py
@@ -92,7 +92,7 @@
             self.endpoints[worker.name] = f"{host}:{await proxy.start(host)}"
         return self.endpoints[worker.name]
 
-    async def hello(
+    async def deliver_heartbeat(
         self, worker: Worker, controller: int, message: bytes
     ) -> tuple[int, dict[str, Any]]:
         body = cbor2.loads(message) | {"endpoint": await self.endpoint_of(worker)}
