--- a/tools/measure_zones.py
+++ b/tools/measure_zones.py
@@ -13,6 +13,7 @@
 import statistics
 import sys
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -46,12 +47,12 @@
     world.most_in_zone["north"] = 0
     await asyncio.sleep(2.0)
     small = {"machine_types": ["small"]}
-    for one in (
+    for job in (
         array("req-1", urgency="normal", task_count=40, vcpus=1.0, **small),
         gang("req-2", task_count=3, vcpus=7.0, estimated_run_s=150.0),
         spec("req-3", team="red", vcpus=4.0, estimated_run_s=150.0, **small),
     ):
-        await world.submit(one)
+        await world.submit(job)
         await asyncio.sleep(8.0)
     await asyncio.sleep(10.0)
     lost_at, lost_tasks = world.now(), len(world.on_machines())
@@ -63,21 +64,23 @@
     world.bring_back("south")
     await asyncio.sleep(WATCHED_S)
     assert world.broken == [] and world.history.broken == []
-    times: dict[str, list[float]] = {f"req-{n}": [] for n in (1, 2, 3)}
-    for at, job_id, _ in world.history.placements:
-        if at >= lost_at:
-            times[job_id].append(at - lost_at)
+    return measured(world.history.placements, lost_at, back_at, lost_tasks)
+
+
+def measured(
+    placements: list[tuple[float, str, str]], lost_at: float, back_at: float, lost_tasks: int
+) -> Measured:
+    """What the placements of a scene came to."""
 
     def after(job_id: str, count: int) -> float:
-        found = times[job_id]
-        return found[count - 1] if len(found) >= count else LOST_S + WATCHED_S
+        starts = [at - lost_at for at, other, _ in placements if other == job_id and at >= lost_at]
+        return starts[count - 1] if len(starts) >= count else LOST_S + WATCHED_S
 
-    cold = sum(at >= back_at and zone == "south" for at, _, zone in world.history.placements)
     return Measured(
         guaranteed_s=after("req-3", 2),
         gang_s=after("req-2", 3),
         arrays_s=after("req-1", 20),
-        cold_starts=cold,
+        cold_starts=sum(at >= back_at and zone == "south" for at, _, zone in placements),
         lost_tasks=lost_tasks,
     )
 
@@ -88,13 +91,9 @@
     seeds = range(1, 1 + (int(sys.argv[1]) if len(sys.argv) > 1 else 5))
     print("policy  guaranteed  whole gang  half of the array  cold starts  tasks lost")
     for name, policy in (("off", NO_POLICY), ("on", POLICY)):
-
-        async def one(seed: int, policy: Policy = policy) -> Measured:
-            return await scene(seed, policy)
-
-        found = [run(lambda seed=seed: one(seed)) for seed in seeds]  # type: ignore[misc]
+        rows = [run(partial(scene, seed, policy)) for seed in seeds]
         means = [
-            statistics.fmean(getattr(row, column) for row in found)
+            statistics.fmean(getattr(row, column) for row in rows)
             for column in Measured.__dataclass_fields__
         ]
         widths = ("10.1f", "10.1f", "17.1f", "11.1f", "10.1f")
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -48,12 +48,12 @@
 REVISION = 1_000_000  # of all that is written in the profiled term
 LEASE_S = 1e9  # of the profiled term, which no state service renews
 REQUESTS = 200  # of each kind, over which the cost of one is averaged
-JOBS_IN_LINE = 40
+QUEUED_JOBS = 40
 BURST_JOBS, BURST_TASKS = 100, 60
 # How often things happen that do not follow from the number of machines.
 POLLS_PER_S, SUBMISSIONS_PER_S, PROBES_PER_S = 8.0, 1.0, 3.0
 CALLS_PER_S, LOG_LINES_PER_S = 4.0, 10.0
-PASSES_PER_S, LOOKS_PER_S, PLANS_PER_S, ACCOUNTS_PER_S = 4.0, 2.0, 1.0, 0.5
+PASSES_PER_S, SWEEPS_PER_S, PLANS_PER_S, ACCOUNTS_PER_S = 4.0, 2.0, 1.0, 0.5
 ENDED_PART = 0.1  # of the heartbeats, that show the end of a task
 
 HttpRequest = tuple[str, str, bytes | None]
@@ -89,7 +89,7 @@
     seconds: float
 
 
-class Rows:
+class FakeStateStore:
     """Just enough of the state service's client: whatever is written is taken at once."""
 
     last_response_at = float("inf")
@@ -131,13 +131,13 @@
 
 
 def fill(ledger: Ledger, machines: int, now: float) -> None:
-    """Book a fleet out, with a line of jobs that wait; each machine has shown what it runs."""
+    """Allocate a whole fleet, with a queue of pending jobs; each machine has shown what it runs."""
     ledger.set_machine_types(FLAVORS)
     ledger.loaded = ledger.ready = True
     ledger.team_limits = [(1e9, 1e9) for _ in ledger.team_limits]
     for n in range(machines):
         machine(ledger, f"m{n}", now, zone=("north", "south")[n % 2])
-    for n in range(JOBS_IN_LINE):
+    for n in range(QUEUED_JOBS):
         ledger.add_job(
             spec(job_id=f"req-{n}", task_count=machines, vcpus=2.0, estimated_run_s=50.0), now
         )
@@ -155,13 +155,13 @@
     incarnation: int = 1,
 ) -> Heartbeat:
     """A heartbeat of a machine with what is bound to it, of which some has ended."""
-    task_count: list[tuple[Any, ...]] = [
+    tasks: list[tuple[Any, ...]] = [
         (b.task_id, b.attempt, "running") for b in ledger.machines[name].bindings.values()
     ]
-    task_count[:ended] = [(*task[:2], "exited", "done") for task in task_count[:ended]]
+    tasks[:ended] = [(*task[:2], "exited", "done") for task in tasks[:ended]]
     zone = ledger.zones[ledger.machines[name].zone]
     return heartbeat(
-        name, sequence, *task_count, fencing_token=fencing_token, incarnation=incarnation, zone=zone
+        name, sequence, *tasks, fencing_token=fencing_token, incarnation=incarnation, zone=zone
     )
 
 
@@ -188,7 +188,7 @@
         own = settings(member, (other,))
         own.seeds[0].endpoint = other_endpoint
         controller = Controller(own, random.Random(1))
-        controller.state_store = Rows()  # type: ignore[assignment]
+        controller.state_store = FakeStateStore()  # type: ignore[assignment]
         controller.machine_types = {machine_type.name: machine_type for machine_type in FLAVORS}
         return controller
 
@@ -202,16 +202,20 @@
         """The cost of a request, on the side of the controllers."""
         over = asyncio.Event()
         loop = asyncio.get_running_loop()
-        client = Client(endpoint, requests, lambda: loop.call_soon_threadsafe(over.set) and None)
+
+        def done() -> None:
+            loop.call_soon_threadsafe(over.set)
+
+        client = Client(endpoint, requests, done)
         with Meter(with_calls=not self.with_seconds) as meter:
             client.start()
             await over.wait()
         assert client.statuses == {status}, client.statuses
         return Cost(meter.calls / len(requests), meter.seconds / len(requests))
 
-    async def of_reports(self, sequence: int, ended: int) -> Cost:
-        """Of reports, of which so many tasks have ended."""
-        requests = [
+    async def of_heartbeats(self, sequence: int, ended: int) -> Cost:
+        """Of heartbeats, by which so many tasks have ended."""
+        requests: list[HttpRequest] = [
             (
                 "POST",
                 wire_names.HEARTBEAT_PATH,
@@ -224,7 +228,7 @@
     async def of_polls(self, endpoint: str) -> Cost:
         """Of polls at one controller."""
         requests: list[HttpRequest] = [
-            ("GET", f"{wire_names.JOBS_PATH}/req-{n % JOBS_IN_LINE}", None) for n in range(REQUESTS)
+            ("GET", f"{wire_names.JOBS_PATH}/req-{n % QUEUED_JOBS}", None) for n in range(REQUESTS)
         ]
         return await self.of_requests(endpoint, requests, 200)
 
@@ -249,14 +253,14 @@
         """Of a burst of jobs."""
         now = self.leader.now()
 
-        def come() -> None:
+        def submit_all() -> None:
             for n in range(BURST_JOBS):
                 self.ledger.add_job(
                     spec(job_id=f"req-{5000 + n}", task_count=BURST_TASKS), now, True
                 )
             self.term.decide(now)
 
-        return self.of_work(come, BURST_JOBS)
+        return self.of_work(submit_all, BURST_JOBS)
 
     def of_return(self) -> Cost:
         """Half of the fleet is behind a cut for longer than its leases, and comes back."""
@@ -272,7 +276,7 @@
 
         return self.of_work(come_back, len(half))
 
-    def of_takeover(self) -> Cost:
+    def of_failover(self) -> Cost:
         """The next leader hears every machine with its tasks, and has read every job."""
         now = self.leader.now()
         new = Ledger(self.leader.limits, FENCING_TOKEN + 1, now)
@@ -283,9 +287,9 @@
         ]
         specs = [job.spec for job in self.ledger.jobs.values()]
 
-        def take_over() -> None:
-            for found in specs:
-                new.add_job(found, now)
+        def fail_over() -> None:
+            for submission in specs:
+                new.add_job(submission, now)
             for one in heartbeats:
                 new.add_machine(one.worker, one.machine_type, one.zone, False, now, registered=True)
             new.loaded = True
@@ -293,7 +297,7 @@
                 new.handle_heartbeat(one, now, direct=True)
             new.tick(now)
 
-        return self.of_work(take_over, len(heartbeats))
+        return self.of_work(fail_over, len(heartbeats))
 
 
 def start_seconds() -> float:
@@ -312,56 +316,57 @@
     return min(found)
 
 
-async def measure(
-    machines: int, heartbeat_interval_s: float, seconds: bool
-) -> list[tuple[str, Cost, float]]:
-    """All costs at one size of the fleet, with how often each occurs."""
-    bench = Bench(machines, seconds)
-    heartbeats = machines / heartbeat_interval_s
-    log = logging.getLogger("salthead.profile")
-    now = bench.leader.now
+Row = tuple[str, Cost, float]  # what is done, what it takes, how often in a second
+
+
+async def measure_requests(bench: Bench, heartbeats_per_s: float) -> list[Row]:
+    """The costs of requests, on the side of the controllers."""
+    rare, often = heartbeats_per_s * ENDED_PART, heartbeats_per_s * (1.0 - ENDED_PART)
+    leader, follower = bench.endpoints[0], bench.endpoints[2]
+    probes: list[HttpRequest] = [("GET", wire_names.READY_PATH, None)] * REQUESTS
     return [
-        ("report, nothing new", await bench.of_reports(3, 0), heartbeats * (1.0 - ENDED_PART)),
-        ("report, nothing new, again", await bench.of_reports(4, 0), 0.0),
-        ("report with a task's end", await bench.of_reports(5, 1), heartbeats * ENDED_PART),
-        ("poll at the leader", await bench.of_polls(bench.endpoints[0]), POLLS_PER_S),
-        ("poll at a follower (both nodes)", await bench.of_polls(bench.endpoints[2]), POLLS_PER_S),
+        ("heartbeat, nothing new", await bench.of_heartbeats(3, 0), often),
+        ("heartbeat, nothing new, again", await bench.of_heartbeats(4, 0), 0.0),
+        ("heartbeat with a task's end", await bench.of_heartbeats(5, 1), rare),
+        ("poll at the leader", await bench.of_polls(leader), POLLS_PER_S),
+        ("poll at a follower (both)", await bench.of_polls(follower), POLLS_PER_S),
         ("submission", await bench.of_submissions(), SUBMISSIONS_PER_S),
-        (
-            "health check",
-            await bench.of_requests(
-                bench.endpoints[0], [("GET", wire_names.READY_PATH, None)] * REQUESTS, 200
-            ),
-            PROBES_PER_S,
-        ),
-        ("call to a peer (both nodes)", await bench.of_peer_calls(), CALLS_PER_S),
-        ("pass of placement", bench.of_work(lambda: bench.term.decide(now())), PASSES_PER_S),
-        ("look at each machine", bench.of_work(lambda: bench.term.look(now())), LOOKS_PER_S),
-        (
-            "plan of the fleet",
-            bench.of_work(
-                lambda: fleet_plan.plan(bench.ledger, now(), fleet_plan.CapacityBackoff(), {})
-            ),
-            PLANS_PER_S,
-        ),
-        (
-            "account of the rent",
-            bench.of_work(lambda: bench.term.views.account(now())),
-            ACCOUNTS_PER_S,
-        ),
-        (
-            "log line",
-            bench.of_work(
-                lambda: [log.info("machine %s up", n) for n in range(REQUESTS)], REQUESTS
-            ),
-            LOG_LINES_PER_S,
-        ),
+        ("health check", await bench.of_requests(leader, probes, 200), PROBES_PER_S),
+        ("call to a peer (both)", await bench.of_peer_calls(), CALLS_PER_S),
+    ]
+
+
+def measure_loops(bench: Bench) -> list[Row]:
+    """The costs of what the leader does by itself."""
+    now, term = bench.leader.now, bench.term
+    log = logging.getLogger("salthead.profile")
+
+    def plan_fleet() -> None:
+        fleet_plan.plan(bench.ledger, now(), fleet_plan.CapacityBackoff(), {})
+
+    def write_lines() -> None:
+        for n in range(REQUESTS):
+            log.info("machine %s up", n)
+
+    return [
+        ("pass of placement", bench.of_work(lambda: term.decide(now())), PASSES_PER_S),
+        ("sweep over the machines", bench.of_work(lambda: term.look(now())), SWEEPS_PER_S),
+        ("plan of the fleet", bench.of_work(plan_fleet), PLANS_PER_S),
+        ("account of the cost", bench.of_work(lambda: term.views.account(now())), ACCOUNTS_PER_S),
+        ("log line", bench.of_work(write_lines, REQUESTS), LOG_LINES_PER_S),
         ("job of a burst, placed", bench.of_burst(), 0.0),
-        ("machine at a takeover", bench.of_takeover(), 0.0),
+        ("machine at a failover", bench.of_failover(), 0.0),
         ("machine that returns from a cut", bench.of_return(), 0.0),
     ]
 
 
+async def measure(machines: int, heartbeat_interval_s: float, seconds: bool) -> list[Row]:
+    """All costs at one size of the fleet, with how often each occurs."""
+    bench = Bench(machines, seconds)
+    requests = await measure_requests(bench, machines / heartbeat_interval_s)
+    return [*requests, *measure_loops(bench)]
+
+
 def main() -> None:
     """Print the table."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
@@ -377,7 +382,7 @@
         logging.basicConfig(stream=nowhere, level=logging.INFO)
         table = asyncio.run(measure(words.machines, words.heartbeat_interval_s, words.seconds))
     unit = "microseconds" if words.seconds else "calls"
-    print(f"{words.machines} machines, a report every {words.heartbeat_interval_s:g} s")
+    print(f"{words.machines} machines, a heartbeat every {words.heartbeat_interval_s:g} s")
     print(f"{'what':34} {unit:>12} {'a second':>9} {unit + ' a second':>22}")
     for what, cost, rate in table:
         one = cost.seconds * 1e6 if words.seconds else cost.calls
