--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -19,6 +19,7 @@
 from salthead.controller.handlers import ClientHandlers
 from salthead.controller.server import listen
 from salthead.leader.autoscaler import LIST_INTERVAL_S, Autoscaler
+from salthead.leader.term import Term
 from salthead.leases import zone_leases
 from salthead.scheduling import placement
 from salthead.state_store import records
@@ -73,18 +74,30 @@
     return fleet_plan.plan(led, now, fleet_plan.CapacityBackoff(), {})
 
 
+async def leading_term(world: World) -> Term:
+    """Wait for a leader, and return its term."""
+    while (leader := world.leader()) is None or leader.term is None:
+        await asyncio.sleep(0.05)
+    return leader.term
+
+
 def come_back(led: Ledger) -> None:
     for name in [name for n, name in enumerate(led.machines) if n % 3 == 0]:
         led.handle_heartbeat(heartbeat(name, 9, incarnation=2), 110.0)
 
 
+def lose_and_come_back(led: Ledger) -> None:
+    led.tick(100.0)
+    come_back(led)
+
+
 @pytest.mark.parametrize(
     ("prepare", "work"),
     [
         (full, lambda led: plan(led, 10.0)),
         (third_lost, lambda led: led.tick(100.0)),
         (third_lost, lambda led: (led.tick(100.0), plan(led, 101.0))),
-        (third_lost, lambda led: (led.tick(100.0), come_back(led))),
+        (third_lost, lose_and_come_back),
         (
             failover,
             lambda led: (led.tick(101.0), led.failover.unreconciled_capacity(), plan(led, 101.0)),
@@ -115,9 +128,10 @@
 def test_no_call_hires_more_than_the_cloud_takes() -> None:
     async def day() -> list[int]:
         world = World(seed=1, controllers=1, most=4000)
-        while (leader := world.leader()) is None or not leader.term.ledger.ready:
+        term = await leading_term(world)
+        led = term.ledger
+        while not led.ready:
             await asyncio.sleep(0.05)
-        led = leader.term.ledger
         for n in range(2000):
             found = machine(led, f"host-9{n:05d}", world.now(), fencing_token=led.fencing_token)
             found.quarantine_reason = "full"
@@ -126,10 +140,10 @@
         async def provision(kind: Any, count: int) -> None:
             asked.append(count)
 
-        leader.term.autoscaler.provision = provision  # type: ignore[method-assign]
+        term.autoscaler.provision = provision  # type: ignore[method-assign]
         led.team_limits = [(1e9, 1e9) for _ in led.team_limits]
         job(led, now=world.now(), task_count=5000, vcpus=2.0, estimated_run_s=500.0)
-        leader.term.autoscaler.plan_requested.set()
+        term.autoscaler.plan_requested.set()
         await asyncio.sleep(0.3)
         return asked
 
@@ -208,10 +222,9 @@
 def test_a_long_machine_list_leaves_calls_for_hires(rps: float, calls_made: int) -> None:
     async def day() -> float:
         world = World(seed=1, controllers=1)
-        while (leader := world.leader()) is None:
-            await asyncio.sleep(0.05)
-        leader.limits.cloud.rps = rps
-        return Autoscaler(leader.term).list_interval_s(calls_made)
+        term = await leading_term(world)
+        term.limits.cloud.rps = rps
+        return Autoscaler(term).list_interval_s(calls_made)
 
     gap_s = run(day)
     reading_s = calls_made / (0.7 * rps)
@@ -221,21 +234,22 @@
 def test_machines_whose_lease_has_ended_are_asked_no_more_after_a_takeover() -> None:
     async def day() -> list[str]:
         world = World(seed=1, controllers=1)
-        while (leader := world.leader()) is None or not leader.term.ledger.loaded:
+        term = await leading_term(world)
+        while not term.ledger.loaded:
             await asyncio.sleep(0.05)
-        term, asked = leader.term, []
-        found = [
+        asked: list[str] = []
+        machines = [
             machine(term.ledger, name, fencing_token=term.fencing_token) for name in ("m1", "m2")
         ]
-        for one in found:
+        for one in machines:
             one.reconciled = False
 
-        async def join(one: Any, timeout: float) -> None:
-            asked.append(one.name)
+        async def reconcile(machine: Any, timeout: float) -> None:
+            asked.append(machine.name)
 
-        term.worker_calls.reconcile = join  # type: ignore[method-assign]
-        term.ledger.set_phase(found[0], "lost")
-        await term.worker_calls.reconcile_all(found)
+        term.worker_calls.reconcile = reconcile  # type: ignore[method-assign]
+        term.ledger.set_phase(machines[0], "lost")
+        await term.worker_calls.reconcile_all(machines)
         return asked
 
     assert set(run(day)) == {"m2"}
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -28,7 +28,7 @@
 
 from helpers import FLAVORS, given, heartbeat, settings, spec  # noqa: E402
 from salthead.autoscaling.scale_in import TerminationDecision  # noqa: E402
-from salthead.cluster.model import UP  # noqa: E402
+from salthead.cluster.model import UP, MachineKind  # noqa: E402
 from salthead.controller.controller import Controller  # noqa: E402
 from salthead.controller.election import Election  # noqa: E402
 from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
@@ -83,7 +83,8 @@
     def __init__(self) -> None:
         self.calls: list[list[Any]] = []
 
-    def dial(self, endpoint: str, slots: int) -> Recorder:
+    def dial(self, endpoint: str, slots: int) -> Any:
+        """Return this recorder in place of a ``Caller``."""
         return self
 
     async def call(
@@ -95,6 +96,7 @@
         query: dict[str, Any] | None = None,
         endpoint: str = "",
     ) -> Answer:
+        """Keep the call, and return an example of an answer to it."""
         self.calls.append([method, path, encode(body).hex(), query or {}])
         if path.startswith("/keys/"):
             return Answer(404, {})
@@ -104,21 +106,24 @@
         return Answer(200, ANSWERS.get(path, {}))
 
     def close(self) -> None:
-        pass
+        """Nothing is open."""
 
 
 def request(body: Any = None, parameter: str = "") -> Request:
+    """Return a request as the handlers get it."""
     payload = b"" if body is None else encode(body)
     return Request(parameter, payload, "10.0.0.1", None, None)
 
 
-async def reply_bytes(found: Reply | Awaitable[Reply]) -> list[Any]:
-    reply = found if isinstance(found, Reply) else await found
+async def reply_bytes(answer: Reply | Awaitable[Reply]) -> list[Any]:
+    """Return the status of a handler's answer, and its body in hexadecimal."""
+    reply = answer if isinstance(answer, Reply) else await answer
     body = reply.body if isinstance(reply.body, bytes) else encode(reply.body)
     return [reply.status, body.hex()]
 
 
 def whole_submission() -> Any:
+    """Return a submission with a value in each field."""
     return spec(
         "req-7",
         image="img",
@@ -204,7 +209,7 @@
     machine.reconciled, machine.endpoint = False, "10.0.0.2:9"
     await term.worker_calls.reconcile(machine, 1.0)
     await term.worker_calls.send(machine, [StopCommand("req-1/0", 5, 2.5)])
-    await term.autoscaler.provision((0, 0, True), 3)
+    await term.autoscaler.provision(MachineKind(0, 0, True), 3)
     assert machine.phase == UP
     await term.autoscaler.terminate([TerminationDecision.of(machine, "not needed")])
     await term.autoscaler.store_machine_types()
