--- a/tests/cut_world.py
+++ b/tests/cut_world.py
@@ -57,7 +57,8 @@
         self.healed = asyncio.Event()
         self.seen: Counter[str] = Counter()  # writes, starts and returns that were carried out
 
-    def _far(self, host: str) -> str:
+    def _end_of_link(self, host: str) -> str:
+        """Workers are cut by their zones, all others by themselves."""
         worker = self.cloud.hosts.get(host)
         return host if worker is None else worker.zone
 
@@ -69,7 +70,7 @@
 
     async def _pass(self, source: str, target: str) -> None:
         """Let a message go its way: now, at the end of the cut, or never."""
-        way = Direction(self._far(source), self._far(target))
+        way = Direction(self._end_of_link(source), self._end_of_link(target))
         if way in self.drops:
             await asyncio.sleep(1e6)
         while way in self.holds:
@@ -94,6 +95,7 @@
     async def deliver_heartbeat(
         self, worker: Worker, controller: int, message: bytes
     ) -> tuple[int, dict[str, Any]]:
+        """A heartbeat, in the direction from the worker's zone; and its answer back."""
         name = self.names[controller]
         way = Direction(worker.zone, name)
         if way in self.holds:
@@ -109,14 +111,17 @@
         await self.deliver_held_heartbeat(worker, name, message)
 
     def hear(self, job_id: str, phase: str, began: float) -> None:
+        """What any controller tells any user; the history of answers has it too."""
         super().hear(job_id, phase, began)
         self.answers.told(began, self.now(), job_id, phase)
 
     def snapshot(self) -> None:
+        """Show both checkers what is on machines now."""
         super().snapshot()
         self.answers.present(self.now(), {task_id for _, task_id in self.on_machines()})
 
     def started(self, worker: Worker, task_id: str) -> None:
+        """A worker is about to start a task."""
         self.seen["start"] += 1
         super().started(worker, task_id)
 
@@ -148,7 +153,7 @@
     }.items()
 }
 WORKERS = LIMITS["workers"]
-# Around the peers' grants and the leader's lease, a worker's lease, and the time to cancel.
+# Around withheld votes and the leader's lease, a worker's lease, and the time to cancel.
 DURATIONS_S = (2.5, 0.6 * WORKERS["lease_s"], 1.7 * WORKERS["lease_s"], 1.2 * WORKERS["cancel_s"])
 HEALS = ("at a time", "write", "start", "return")  # or when one of these was just carried out
 LEADERS = ("stays", "ends", "back at once", "paused")
@@ -213,8 +218,8 @@
     """A day with one case."""
     world = CutWorld(case.seed)
     await asyncio.sleep(2.0)
-    for one in JOBS:
-        assert await world.submit(one) in (200, 201)
+    for job in JOBS:
+        assert await world.submit(job) in (200, 201)
     await asyncio.sleep(20.0)
     leader = world.leader()
     assert leader is not None
@@ -229,8 +234,8 @@
         await asyncio.sleep(0.01)
     world.heal()
     world.trouble_until = world.now()
-    for one in LATE:
-        assert await world.submit(one) in (200, 201)
+    for job in LATE:
+        assert await world.submit(job) in (200, 201)
     await world.until_over()
     await cancelling
     await asyncio.sleep(30.0)
--- a/tests/history.py
+++ b/tests/history.py
@@ -19,6 +19,7 @@
 
     @property
     def job_id(self) -> str:
+        """The task's job."""
         return self.task_id.rpartition("/")[0]
 
 
--- a/tests/link_setup.py
+++ b/tests/link_setup.py
@@ -19,6 +19,7 @@
     """A worker's own address."""
 
     def initialize(self, world: Any, worker: str) -> None:
+        """Take the arguments of the route."""
         self.world, self.worker = world, worker
 
     async def post(self) -> None:
--- a/tests/local_setup.py
+++ b/tests/local_setup.py
@@ -62,6 +62,7 @@
     async def deliver_heartbeat(
         self, worker: Worker, controller: int, message: bytes
     ) -> tuple[int, dict[str, Any]]:
+        """A heartbeat, over HTTP."""
         if worker.cut:
             await asyncio.sleep(60.0)
         answer = await self.callers[controller].call(
@@ -70,6 +71,7 @@
         return answer.status, answer.body
 
     def spec(self, job_id: str) -> Submission | None:
+        """Return a job's submission by the records of the state service; None without one."""
         for key in (f"job/{job_id}", f"over/{job_id}"):
             if key in self.state.keys:
                 value = self.state.keys[key][0]
@@ -77,9 +79,10 @@
         return None
 
     def started(self, worker: Worker, task_id: str) -> None:
+        """A worker is about to start a task; broken rules are printed."""
         job_id = task_id.rpartition("/")[0]
-        if (found := self.spec(job_id)) is not None:
-            self.specs[job_id] = found
+        if (spec := self.spec(job_id)) is not None:
+            self.specs[job_id] = spec
         super().started(worker, task_id)
         for what in self.broken[self.printed :]:
             print("broken rule:", what, file=sys.stderr)
@@ -87,15 +90,19 @@
 
 
 class Serve(RequestHandler):
+    """The interface of the state service or the cloud."""
+
     def initialize(self, standin: Any) -> None:
+        """Take the argument of the route."""
         self.standin = standin
 
     async def answer(self) -> None:
+        """Let the stand-in answer."""
         query = {k: v[0].decode() for k, v in self.request.query_arguments.items()}
         body = cbor2.loads(self.request.body) if self.request.body else {}
-        found = await self.standin.handle(self.request.method, self.request.path, query, body)
-        self.set_status(found.status)
-        self.finish(encode(found.body))
+        answer = await self.standin.handle(self.request.method, self.request.path, query, body)
+        self.set_status(answer.status)
+        self.finish(encode(answer.body))
 
     get = post = delete = answer
 
@@ -241,6 +248,7 @@
 
 
 async def main(controllers: int) -> None:
+    """Run a set-up until it is interrupted, or a controller ends."""
     with LocalSetup(controllers, policy=ROOT / "deploy" / "policy.toml") as local:
         print(
             "export SALTHEAD_CONTROLLERS='"
--- a/tests/production.py
+++ b/tests/production.py
@@ -30,35 +30,46 @@
 
 
 def commit() -> str:
-    found = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"]
-    return str(found)
+    """Return the commit of the version in production."""
+    service = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
+    return str(service["production"])
 
 
 def lay_out() -> Path:
     """The package at that commit, under another name."""
     folder = ROOT / "target" / "production" / commit()
     if not (folder / "whole").exists():
-        done = subprocess.run(
-            ["git", "-C", str(ROOT), "archive", commit(), "src/salthead"], capture_output=True
-        )
-        if done.returncode != 0:
-            raise RuntimeError(
-                f"the history lacks {commit()}, the version in production: "
-                f"{done.stderr.decode().strip()}; fetch the whole history"
-            )
-        with tarfile.open(fileobj=io.BytesIO(done.stdout)) as tar:
+        with tarfile.open(fileobj=io.BytesIO(_archive())) as tar:
             for member in tar.getmembers():
                 if member.isfile() and member.name.endswith(".py"):
-                    path = folder / NAME / Path(member.name).relative_to("src/salthead")
-                    path.parent.mkdir(parents=True, exist_ok=True)
-                    file = tar.extractfile(member)
-                    assert file is not None
-                    text = file.read().decode()
-                    path.write_text(re.sub(r"\b(from|import) salthead\b", rf"\1 {NAME}", text))
+                    _write_module(tar, member, folder)
         (folder / "whole").touch()
     return folder
 
 
+def _archive() -> bytes:
+    """Return the sources of the version in production as a tar file."""
+    archived = subprocess.run(
+        ["git", "-C", str(ROOT), "archive", commit(), "src/salthead"], capture_output=True
+    )
+    if archived.returncode != 0:
+        raise RuntimeError(
+            f"the history lacks {commit()}, the version in production: "
+            f"{archived.stderr.decode().strip()}; fetch the whole history"
+        )
+    return archived.stdout
+
+
+def _write_module(tar: tarfile.TarFile, member: tarfile.TarInfo, folder: Path) -> None:
+    """Write a module, with its imports from the package's other name."""
+    path = folder / NAME / Path(member.name).relative_to("src/salthead")
+    path.parent.mkdir(parents=True, exist_ok=True)
+    file = tar.extractfile(member)
+    assert file is not None
+    text = file.read().decode()
+    path.write_text(re.sub(r"\b(from|import) salthead\b", rf"\1 {NAME}", text))
+
+
 @dataclass(frozen=True)
 class Version:
     """What the stand-ins and the tests use of one version."""
@@ -66,6 +77,7 @@
     package: str
 
     def module(self, name: str) -> Any:
+        """Import a module of this version."""
         return importlib.import_module(f"{self.package}.{name}")
 
     @property
@@ -77,10 +89,12 @@
 
     @property
     def settings(self) -> Any:
+        """The class of the platform's settings."""
         return self.module("settings").Settings
 
     @property
     def unanswered(self) -> type[Exception]:
+        """The error of a call without an answer."""
         name = "Unanswered" if self.package == NAME else "UnansweredError"
         return getattr(self.module("transport.client"), name)  # type: ignore[no-any-return]
 
@@ -93,6 +107,7 @@
 
     @property
     def messages(self) -> Any:
+        """The module of the messages."""
         return self.module("protocol.messages")
 
     def handle_heartbeat(self, controller: Any, message: bytes) -> tuple[int, dict[str, Any]]:
@@ -122,10 +137,12 @@
 
     @property
     def records(self) -> Any:
+        """The module of the records in the state service."""
         return self.module("bookkeeping.records" if self.package == NAME else "state_store.records")
 
     @property
     def pages(self) -> Any:
+        """The class of pages of records."""
         package = "bookkeeping" if self.package == NAME else "state_store"
         return self.module(f"{package}.pages").Pages
 
@@ -135,6 +152,7 @@
 
 @functools.cache
 def production() -> Version:
+    """Return the version in production, laid out and ready for import."""
     folder = str(lay_out())
     if folder not in sys.path:
         sys.path.append(folder)
