--- a/src/salthead/autoscaling/capacity_backoff.py
+++ b/src/salthead/autoscaling/capacity_backoff.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from salthead.cluster.model import MachineKind
+from salthead.cluster.resources import MachineKind
 
 # After a refusal the same kind is asked for again with doubling pauses.
 FIRST_BACKOFF_S, MAX_BACKOFF_S = 5.0, 40.0
--- a/src/salthead/autoscaling/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -10,7 +10,8 @@
 from salthead.autoscaling.queue_packing import QueuePacking
 from salthead.autoscaling.scale_in import FleetCounts, cordon_surplus, termination_reason
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import Machine, MachineKind
+from salthead.cluster.model import Machine
+from salthead.cluster.resources import MachineKind
 from salthead.scheduling.guarantees import guaranteed_job_ids
 from salthead.scheduling.pending_queue import pending_jobs
 
@@ -40,7 +41,7 @@
     if not ledger.machine_types:
         return result
     if ledger.shared_silence is not None:
-        ledger.shared_silence.look(now)
+        ledger.shared_silence.sweep(now)
     needed: set[str] = set()
     if ledger.ready:
         needed = _provide_for_queue(ledger, result, capacity_backoff, provisioning, now)
--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -7,7 +7,8 @@
 
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import BOOTING, EPSILON, UP, Machine, MachineKind, Resources
+from salthead.cluster.model import BOOTING, UP, Machine
+from salthead.cluster.resources import EPSILON, MachineKind, Resources
 
 # A task that should end within this part of the shortest boot has its room counted as free.
 SOON_FREE_BOOTS = 0.7
@@ -128,7 +129,10 @@
             room = _room_soon(machine, runs, soon_s, supply, now)
             supply.slots.append(Slot(machine.kind, room, machine))
     for kind, count in provisioning.items():
-        supply.slots += [Slot(kind, list(ledger.capacity(kind.machine_type))) for _ in range(count)]
+        supply.slots += [
+            Slot(kind, list(ledger.machine_registry.capacity(kind.machine_type)))
+            for _ in range(count)
+        ]
     return supply
 
 
--- a/src/salthead/autoscaling/provision_limits.py
+++ b/src/salthead/autoscaling/provision_limits.py
@@ -5,7 +5,8 @@
 from salthead.autoscaling.capacity_backoff import CapacityBackoff
 from salthead.autoscaling.fleet_supply import per_machine, price
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import Job, MachineKind, machine_kind
+from salthead.cluster.model import Job
+from salthead.cluster.resources import MachineKind, machine_kind
 from salthead.scheduling.eligibility import allowed_kinds
 
 # In one plan, of a kind: the least, and a share of the fleet, so that a fleet of any size can grow.
@@ -20,7 +21,7 @@
 
 def max_provision(ledger: Ledger, zone: int) -> int:
     """How many machines of a kind may be provisioned in a zone by one plan."""
-    if ledger.shared_silence is not None and zone in ledger.shared_silence.unheard_zones:
+    if ledger.shared_silence is not None and zone in ledger.shared_silence.silent_zones:
         return 0  # a machine that boots behind a cut serves nobody
     hooks = ledger.zone_hooks
     zone_limit = hooks.max_provision(zone) if hooks is not None else None
@@ -56,7 +57,7 @@
     found: list[tuple[bool, float, MachineKind]] = []
     for kind in allowed_kinds(job, offered):
         if kind.machine_type not in tasks_on_type:
-            capacity = ledger.capacity(kind.machine_type)
+            capacity = ledger.machine_registry.capacity(kind.machine_type)
             tasks_on_type[kind.machine_type] = per_machine(capacity, job.request)
         tasks = tasks_on_type[kind.machine_type]
         if tasks < 1:
--- a/src/salthead/autoscaling/queue_packing.py
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -14,7 +14,8 @@
     provisionable_kinds,
 )
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import EPSILON, Job, MachineKind
+from salthead.cluster.model import Job
+from salthead.cluster.resources import EPSILON, MachineKind
 from salthead.scheduling.eligibility import allowed_kinds, max_per_zone, zone_counts
 
 
@@ -160,7 +161,7 @@
         There are at most ``max_slots`` of a kind: a queue of thousands of tasks must not make
         thousands of slots in each plan, when the leader has the least time for it.
         """
-        capacity = self.ledger.capacity(kind.machine_type)
+        capacity = self.ledger.machine_registry.capacity(kind.machine_type)
         count = sum([slot.kind == kind for slot in self.new_slots])
         while places and count < max_slots:
             slot = Slot(kind, list(capacity))
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -23,6 +23,10 @@
 # published in logs.
 LOST_REASON, SILENT_REASON = "lost", "silent after a takeover"
 SILENCE_REASONS = frozenset({LOST_REASON, SILENT_REASON})
+# Other reasons, published as well.
+ONLY_COPIES_REASON, UNRESPONSIVE_REASON = "only old reports", "unresponsive"
+NEVER_UP_REASON, RECLAIMED_REASON, SURPLUS_REASON = "never came up", "taken soon", "not needed"
+NO_TERMINATION = ""  # the machine is not to be terminated
 # A machine that was not needed for this part of a boot is worth less than its rent: the second
 # where all work within guarantees begins in time, so that less spare room would do as well.
 SURPLUS_BOOTS, SURPLUS_BOOTS_SPARE = 1.0, 0.3
@@ -67,7 +71,8 @@
         and m.machine_type in ledger.machine_types
     ]
     costs = {
-        kind: price(ledger, kind) / max(ledger.capacity(kind.machine_type)[0], 1e-9)
+        kind: price(ledger, kind)
+        / max(ledger.machine_registry.capacity(kind.machine_type)[0], 1e-9)
         for kind in {m.kind for m in machines}
     }
     machines.sort(key=lambda m: (costs[m.kind], m.name))
@@ -158,7 +163,7 @@
     counts: FleetCounts,
     now: float,
 ) -> str:
-    """Why the machine should be terminated now; empty when it should not."""
+    """Why the machine should be terminated now; ``NO_TERMINATION`` when it should not."""
     if machine.phase == LOST:
         return _lost_reason(ledger, machine, counts, now)
     if (
@@ -168,34 +173,36 @@
     ):
         # Only copies of old heartbeats arrive, or the worker's sequence began anew: none of them is
         # news, and each answer renews its lease. Only the cloud's confirmation ends that.
-        return "only old reports"
+        return ONLY_COPIES_REASON
     if machine.name in counts.silent_few:
         return SILENT_REASON
     if machine.quarantine_reason:
-        return machine.quarantine_reason if not machine.busy() else ""
+        return machine.quarantine_reason if not machine.busy() else NO_TERMINATION
     if machine.phase == BOOTING:
-        return _never_came_up(ledger, machine, now)
+        return _booting_reason(ledger, machine, now)
     if machine.busy() or not ledger.ready:
-        return ""
-    return _idle(ledger, machine, needed, now)
+        return NO_TERMINATION
+    return _idle_reason(ledger, machine, needed, now)
 
 
 def _lost_reason(ledger: Ledger, machine: Machine, counts: FleetCounts, now: float) -> str:
-    """Its lease is over: at once, or after the time of a boot where many were lost together."""
+    """For a lost machine: at once, or after the time of a boot where many were lost together."""
     if ledger.shared_silence is not None:
-        return "" if _worth_waiting(ledger, machine, machine.lost_at, now) else LOST_REASON
+        return (
+            NO_TERMINATION if _worth_waiting(ledger, machine, machine.lost_at, now) else LOST_REASON
+        )
     machine_type = ledger.machine_types.get(machine.machine_type)
     if not counts.mass_loss or machine_type is None:
         return LOST_REASON
-    return "" if now - machine.lost_at < machine_type.boot_s else LOST_REASON
+    return NO_TERMINATION if now - machine.lost_at < machine_type.boot_s else LOST_REASON
 
 
 def _wait_s(ledger: Ledger, machine: Machine) -> float:
     """For how many seconds a machine that may be healthy is waited for.
 
     A second of waiting costs a second of its rent, and another machine in its place the rent of a
-    boot. Waiting for one boot and then terminating it costs at the most twice of what it would
-    have cost to know when the machine comes back. The policy may set another number of boots.
+    boot. Waiting for the time of one boot, and then terminating it, costs at most twice the least
+    that is possible with knowledge of the time of its return. The policy may set another number.
     """
     machine_type = ledger.machine_types.get(machine.machine_type)
     if ledger.shared_silence is None or machine_type is None:
@@ -216,28 +223,25 @@
     )
 
 
-def _never_came_up(ledger: Ledger, machine: Machine, now: float) -> str:
-    """It has been booting for so long that it is taken never to come up."""
+def _booting_reason(ledger: Ledger, machine: Machine, now: float) -> str:
+    """For a machine that boots: whether it is taken never to come up."""
     machine_type = ledger.machine_types.get(machine.machine_type)
     boot_s = machine_type.boot_s if machine_type else MIN_CHARGE_S
     if now - ledger.term_started_at < ledger.limits.workers.lease_s:
-        return ""  # it may be up and not have found this leader yet
-    return (
-        "never came up"
-        if now - machine.provisioned_at > BOOT_PATIENCE * boot_s + BOOT_MARGIN_S
-        else ""
-    )
+        return NO_TERMINATION  # it may be up and not have found this leader yet
+    booting_s = now - machine.provisioned_at
+    return NEVER_UP_REASON if booting_s > BOOT_PATIENCE * boot_s + BOOT_MARGIN_S else NO_TERMINATION
 
 
-def _idle(ledger: Ledger, machine: Machine, needed: set[str], now: float) -> str:
-    """Nothing runs on it."""
+def _idle_reason(ledger: Ledger, machine: Machine, needed: set[str], now: float) -> str:
+    """For a machine on which nothing runs: whether it is of no use any more."""
     since = machine.unresponsive_since
     if since is not None and now - since > max(
         ledger.limits.workers.lease_s, _wait_s(ledger, machine)
     ):
-        return "unresponsive"
+        return UNRESPONSIVE_REASON
     if machine.reclaim_at is not None:
-        return "taken soon"
+        return RECLAIMED_REASON
     if machine.name in needed or (machine.reserved_for and now < machine.reserved_until):
-        return ""
-    return "not needed" if machine.cordoned else ""
+        return NO_TERMINATION
+    return SURPLUS_REASON if machine.cordoned else NO_TERMINATION
--- a/src/salthead/cluster/estimates.py
+++ b/src/salthead/cluster/estimates.py
@@ -52,17 +52,19 @@
 
     def __init__(self, now: float) -> None:
         self.last = now
-        self.gap_s: float | None = None
+        self.interval_s: float | None = None
 
     def record_arrival(self, now: float) -> None:
         """Note that a job has come."""
-        gap_s, self.last = now - self.last, now
-        old = gap_s if self.gap_s is None else self.gap_s
-        self.gap_s = old + self.WEIGHT * (gap_s - old)
+        interval_s, self.last = now - self.last, now
+        old = interval_s if self.interval_s is None else self.interval_s
+        self.interval_s = old + self.WEIGHT * (interval_s - old)
 
     def stopped(self, now: float) -> bool:
         """Whether none has come for far longer than usual."""
-        return self.gap_s is not None and now - self.last > self.STOPPED * max(self.gap_s, 1.0)
+        return self.interval_s is not None and now - self.last > self.STOPPED * max(
+            self.interval_s, 1.0
+        )
 
 
 class StartAttainment:
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -33,7 +33,7 @@
     )
     WITHIN_LIMIT = "within_limit"  # bookings and silent room are within the limit at each grant
     START_BOUND = "start_bound"  # no start is sent of what its job does not know to be there
-    SUMS_AGREE = "sums_agree"  # bookings of teams and machines are the sums of what is bound
+    TOTALS_AGREE = "sums_agree"  # bookings of teams and machines are the sums of what is bound
 
 
 class InvariantBrokenError(SaltheadError, AssertionError):
@@ -162,7 +162,7 @@
         allocated = machine.allocated
         booked = [allocated.cpus, allocated.gpus, allocated.memory_gb]
         if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, booked, strict=True)):
-            self._broken(Invariant.SUMS_AGREE, machine=machine.name, sum=total, booked=booked)
+            self._broken(Invariant.TOTALS_AGREE, machine=machine.name, sum=total, booked=booked)
 
     def _audit_teams(self) -> None:
         ledger = self.ledger
@@ -177,4 +177,4 @@
         for team, (total, usage) in enumerate(zip(totals, ledger.usage, strict=True)):
             if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, usage, strict=True)):
                 name = ledger.team_names[team]
-                self._broken(Invariant.SUMS_AGREE, team=name, sum=total, booked=usage)
+                self._broken(Invariant.TOTALS_AGREE, team=name, sum=total, booked=usage)
--- a/src/salthead/cluster/job_table.py
+++ b/src/salthead/cluster/job_table.py
@@ -108,7 +108,7 @@
             self.events.completed(job)
         self.events.changed()
 
-    def saved(self, job: Job, indices: Iterable[int]) -> None:
+    def mark_saved(self, job: Job, indices: Iterable[int]) -> None:
         """These done tasks are known to the state service."""
         for index in indices:
             job.saved.add(index)
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -26,7 +26,6 @@
     BOOTING,
     GONE,
     UP,
-    Binding,
     Job,
     Machine,
     MachinePhase,
@@ -34,7 +33,6 @@
 )
 from salthead.cluster.orphans import OrphanTasks
 from salthead.cluster.pending_queue import PendingQueue
-from salthead.cluster.resources import NO_RESOURCES, Resources
 from salthead.cluster.silence_hooks import SilenceHooks
 from salthead.cluster.worker_leases import WorkerLeases
 from salthead.cluster.zone_hooks import ZoneHooks
@@ -129,7 +127,8 @@
         teams = self.limits.teams
         self.guarantees = [(team.guaranteed_cpus, team.guaranteed_gpus) for team in teams]
         self.limit_logged_at = [-math.inf for _ in teams]
-        self.rest_until = [0.0 for _ in teams]  # until then no quota is kept for gangs
+        # Until then no quota is kept for gangs
+        self.reservation_paused_until = [0.0 for _ in teams]
         self.pending = PendingQueue()
         objective = next((one for one in self.limits.objectives if one.kind == "guarantee"), None)
         self.start_attainment = (
@@ -200,14 +199,6 @@
             self.events.changed()
         return job
 
-    def load_done(self, job: Job, indices: Iterable[int]) -> None:
-        """Tasks that an earlier term saved as done."""
-        self.job_table.load_done(job, indices)
-
-    def saved(self, job: Job, indices: Iterable[int]) -> None:
-        """These done tasks are known to the state service."""
-        self.job_table.saved(job, indices)
-
     def request_cancel(self, job: Job) -> None:
         """A user has asked to cancel the job: nothing of it starts any more, and what runs stops.
 
@@ -239,10 +230,6 @@
         ended_at = now if at is None else min(now, at - self.wall_ahead)
         self.dependencies.resolve(job_id, phase, ended_at)
 
-    def unfinished_dependencies(self, job_id: str, most: int) -> list[str]:
-        """What a job still waits for."""
-        return self.dependencies.unfinished(job_id, most)
-
     def phase_of(self, job: Job) -> tuple[str, int, int]:
         """Phase, tasks done and tasks running, as a job's status shows them."""
         running = sum(
@@ -262,43 +249,6 @@
 
     # -- bindings -------------------------------------------------------------------------
 
-    def bind(
-        self,
-        job: Job,
-        index: int,
-        machine: Machine,
-        attempt: int,
-        now: float,
-        granted: bool = False,
-    ) -> Binding:
-        """Bind a task to a machine, with its bookings.
-
-        ``granted``: by a new decision to start it, which its team's limit has to allow.
-        """
-        return self.allocations.bind(job, index, machine, attempt, now, granted)
-
-    def release(
-        self, binding: Binding, now: float, proof: ReleaseReason, detail: object = ""
-    ) -> None:
-        """The task is certainly not on the machine any more."""
-        self.allocations.release(binding, now, proof, detail)
-
-    def move(self, binding: Binding, machine: Machine, now: float) -> None:
-        """Bind a gang's member, whose start no answer has carried, to another machine."""
-        self.allocations.move(binding, machine, now)
-
-    def stop_gang(self, job: Job, grace_s: float, why: str) -> None:
-        """Stop a whole gang in order: each member may save its progress within the grace."""
-        self.allocations.stop_gang(job, grace_s, why)
-
-    def request_stop(self, binding: Binding, grace_s: float) -> None:
-        """Ask for a task's stop; a shorter grace replaces a longer one."""
-        self.allocations.request_stop(binding, grace_s)
-
-    def next_attempt(self) -> int:
-        """A number that no other attempt of any term has."""
-        return self.allocations.next_attempt()
-
     # -- machines -----------------------------------------------------------------------
 
     def set_machine_types(self, machine_types: Iterable[MachineType]) -> None:
@@ -306,10 +256,6 @@
         self.failover.invalidate_capacity()
         self.machine_registry.set_machine_types(machine_types)
 
-    def capacity(self, type_index: int) -> Resources:
-        """CPUs, GPUs and memory of a machine of this type; nothing while the type is unknown."""
-        return self.capacities.get(type_index, NO_RESOURCES)
-
     def add_machine(
         self,
         name: str,
@@ -331,14 +277,10 @@
         if registered:
             if machine.phase == BOOTING:
                 self.set_phase(machine, UP)
-            self.mark_registered(machine)
+            self.machine_registry.mark_registered(machine)
             self.failover.invalidate_capacity()
         return machine
 
-    def mark_registered(self, machine: Machine) -> None:
-        """The state service knows the machine, so that it may be given work."""
-        self.machine_registry.mark_registered(machine)
-
     def set_phase(self, machine: Machine, phase: MachinePhase) -> None:
         """Change a machine's phase, and what is indexed by it."""
         self.machine_registry.set_phase(machine, phase)
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -12,8 +12,6 @@
 
 from salthead.cluster.resources import (
     EPSILON,
-    NO_RESOURCES,
-    UNBOUNDED_RESOURCES,
     MachineKind,
     Resources,
     ResourceUsage,
@@ -23,25 +21,6 @@
 from salthead.protocol import wire_names
 from salthead.protocol.messages import Submission, TaskStatus
 
-__all__ = [
-    "BOOTING",
-    "EPSILON",
-    "GONE",
-    "LOST",
-    "NO_RESOURCES",
-    "UNBOUNDED_RESOURCES",
-    "UP",
-    "Binding",
-    "Job",
-    "Machine",
-    "MachineKind",
-    "MachinePhase",
-    "ReleaseReason",
-    "ResourceUsage",
-    "Resources",
-    "machine_kind",
-]
-
 
 class MachinePhase(StrEnum):
     """How far a machine is, as the leader knows."""
@@ -63,8 +42,8 @@
     EXITED = "exited"
     NOT_SHOWN = "not_shown"  # it was shown, and a newer heartbeat does not show it
     NEVER_STARTED = "never_started"  # a heartbeat newer than all answers that ordered it lacks it
-    NEVER_TOLD = "never_told"  # no answer carried its start
-    LEASE_OVER = "lease_over"
+    NEVER_SENT = "never_told"  # no answer carried its start
+    LEASE_EXPIRED = "lease_over"
     NEW_INCARNATION = "new_session"
     TERMINATED = "returned"  # the cloud confirmed that the machine is gone
 
--- a/src/salthead/cluster/silence_hooks.py
+++ b/src/salthead/cluster/silence_hooks.py
@@ -17,7 +17,7 @@
         """The operator's policy for partial cuts."""
 
     @property
-    def unheard_zones(self) -> Set[int]:
+    def silent_zones(self) -> Set[int]:
         """Zones none of whose machines sends heartbeats, while those of others do."""
 
     def heartbeat_received(self, machine: Machine) -> None:
@@ -26,7 +26,7 @@
     def phase_changed(self, machine: Machine) -> None:
         """A machine is up, its lease has ended, or it is gone."""
 
-    def look(self, now: float) -> None:
+    def sweep(self, now: float) -> None:
         """Find the cuts that there are now."""
 
     def behind_cut(self, machine: Machine) -> bool:
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -25,7 +25,7 @@
     )
 
 
-def wanted(binding: Binding) -> bool:
+def should_still_run(binding: Binding) -> bool:
     """Whether a task that has a machine is still to run there."""
     job = binding.job
     return (
--- a/src/salthead/cluster/sweep.py
+++ b/src/salthead/cluster/sweep.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-WORKER_LEASE_OVER = int(Precondition.WORKER_LEASE_OVER)
+WORKER_LEASE_EXPIRED = int(Precondition.WORKER_LEASE_EXPIRED)
 
 
 def sweep(ledger: Ledger, now: float) -> None:
@@ -21,7 +21,7 @@
     ledger.invariants.audit(now)
     # Workers of a leader without its lease may send their heartbeats to the next one by now: such a
     # leader had declared 135 machines lost that the next one heard from.
-    if permits(Action.DECLARE_LOST, ledger.confirmed_preconditions() | WORKER_LEASE_OVER):
+    if permits(Action.DECLARE_LOST, ledger.confirmed_preconditions() | WORKER_LEASE_EXPIRED):
         for machine in ledger.machines.values():
             if machine.phase == UP and now > ledger.leases.expires_at(machine):
                 _declare_lost(ledger, machine, now)
@@ -45,7 +45,7 @@
     # It holds nothing any more, and may join if it heals.
     machine.first_acknowledged_at = math.inf
     machine.reconciled = False
-    ledger.lose_tasks(machine, now, ReleaseReason.LEASE_OVER)
+    ledger.lose_tasks(machine, now, ReleaseReason.LEASE_EXPIRED)
 
 
 def _complete_failover(ledger: Ledger, now: float) -> None:
--- a/src/salthead/controller/job_status.py
+++ b/src/salthead/controller/job_status.py
@@ -38,7 +38,7 @@
         return JobStatus.with_progress(
             job_id,
             *ledger.phase_of(ledger.jobs[job_id]),
-            depends_on=ledger.unfinished_dependencies(job_id, MAX_LISTED_DEPENDENCIES),
+            depends_on=ledger.dependencies.unfinished(job_id, MAX_LISTED_DEPENDENCIES),
         )
 
     def in_term(self, term: Term, job_id: str) -> JobStatus | None:
--- a/src/salthead/failure_detection/link_diagnosis.py
+++ b/src/salthead/failure_detection/link_diagnosis.py
@@ -46,7 +46,7 @@
     links = machine.links
     heartbeats_arrive = now - max(machine.last_heartbeat_at, links.last_received_at) <= fresh_s
     if heartbeats_arrive:
-        responses_arrive = machine.unresponsive_since is None and not links.unheard_answers
+        responses_arrive = machine.unresponsive_since is None and not links.unaccepted_answers
         return LinkState.BOTH_WAYS if responses_arrive else LinkState.HEARTBEATS_ONLY
     commands_arrive = (
         links.commands_at > links.command_failed_at and now - links.commands_at <= fresh_s
--- a/src/salthead/failure_detection/links.py
+++ b/src/salthead/failure_detection/links.py
@@ -24,7 +24,7 @@
     answers_at: float = -math.inf  # the latest answer that was certainly accepted
     commands_at: float = -math.inf  # the latest direct call that was answered
     command_failed_at: float = -math.inf  # the latest direct call that was not
-    unheard_answers: int = 0  # in a row that were certainly not accepted
+    unaccepted_answers: int = 0  # in a row that were certainly not accepted
     # The newest heartbeat that was answered under this term's token, and when.
     acknowledged_incarnation: int = 0
     acknowledged_sequence: int = -1
@@ -53,7 +53,7 @@
         if self.acknowledged_sequence < 0:
             return False
         if not shows_fencing_token:
-            self.unheard_answers += 1
+            self.unaccepted_answers += 1
             return True
         if (
             other_controllers
@@ -61,7 +61,7 @@
             and sequence == self.acknowledged_sequence + 1
         ):
             self.answers_at = self.acknowledged_at
-            self.unheard_answers = 0
+            self.unaccepted_answers = 0
         return False
 
     def turned_away(
@@ -83,7 +83,7 @@
         )
         if shows_fencing_token and not next_one:
             return False
-        self.unheard_answers += 1
+        self.unaccepted_answers += 1
         return True
 
     def acknowledged(self, incarnation: int, sequence: int, now: float) -> None:
@@ -95,7 +95,7 @@
     def command_answered(self, sent: float) -> None:
         """A direct call that was sent then was answered."""
         self.commands_at = max(self.commands_at, sent)
-        self.unheard_answers = 0
+        self.unaccepted_answers = 0
 
     def command_failed(self, sent: float) -> None:
         """A direct call that was sent then had no answer in time."""
@@ -103,4 +103,4 @@
 
     def unreachable(self) -> bool:
         """Whether neither answers nor direct calls reach the worker, as far as is known."""
-        return self.unheard_answers > 0 and self.command_failed_at > self.commands_at
+        return self.unaccepted_answers > 0 and self.command_failed_at > self.commands_at
--- a/src/salthead/failure_detection/machine_sets.py
+++ b/src/salthead/failure_detection/machine_sets.py
@@ -57,10 +57,10 @@
 class MachineSets:
     """The machines of each zone: which are present, were heard, or had their lease end lately."""
 
-    def __init__(self, zones: int, heard_s: float, expired_s: float, now: float) -> None:
+    def __init__(self, zones: int, heartbeat_window_s: float, expired_s: float, now: float) -> None:
         self.present = [BitMap() for _ in range(zones)]
         self.expired = [RecentSet(expired_s, now) for _ in range(zones)]
-        self.recently_heard = RecentSet(heard_s, now)
+        self.recent_heartbeats = RecentSet(heartbeat_window_s, now)
 
     def grow(self, zones: int, now: float) -> None:
         """Make room for zones that the settings did not name."""
@@ -70,7 +70,7 @@
 
     def turn(self, now: float) -> None:
         """Start new generations where they are due."""
-        self.recently_heard.turn(now)
+        self.recent_heartbeats.turn(now)
         for expired in self.expired:
             expired.turn(now)
 
@@ -79,7 +79,7 @@
         self.present[zone].add(machine)
         self.expired[zone].discard(machine)
 
-    def lease_over(self, zone: int, machine: int) -> None:
+    def lease_expired(self, zone: int, machine: int) -> None:
         """A machine's lease has certainly ended; the machine itself may still be there."""
         self.expired[zone].add(machine)
 
@@ -91,9 +91,9 @@
         """The counts of a zone's machines by which its health is judged."""
         expired = self.expired[zone].members()
         known = self.present[zone] | expired
-        heard = known.intersection_cardinality(self.recently_heard.members())
+        heard = known.intersection_cardinality(self.recent_heartbeats.members())
         return MachineCounts(len(known), len(known) - heard, len(expired))
 
-    def heard_in(self, zone: int) -> BitMap:
+    def with_recent_heartbeats(self, zone: int) -> BitMap:
         """Machines of the zone that are present and have sent a heartbeat lately."""
-        return self.present[zone] & self.recently_heard.members()
+        return self.present[zone] & self.recent_heartbeats.members()
--- a/src/salthead/failure_detection/preconditions.py
+++ b/src/salthead/failure_detection/preconditions.py
@@ -33,7 +33,7 @@
     # The worker has shown this term's token.
     TOKEN_ACCEPTED = auto()
     # The worker's lease must have ended, by this controller's clock.
-    WORKER_LEASE_OVER = auto()
+    WORKER_LEASE_EXPIRED = auto()
     # No machine can be running the task.
     TASK_NOWHERE = auto()
     # The state service holds the outcome.
@@ -84,7 +84,7 @@
         Action.REAP_RESULT: Precondition.OUTCOME_DURABLE,
         Action.REPORT_STATUS: Precondition.JOBS_KNOWN | Precondition.OUTCOMES_DETERMINATE,
         Action.CONFIRM_CANCELLATION: Precondition.OUTCOME_DURABLE,
-        Action.DECLARE_LOST: Precondition.LEADER_LEASE | Precondition.WORKER_LEASE_OVER,
+        Action.DECLARE_LOST: Precondition.LEADER_LEASE | Precondition.WORKER_LEASE_EXPIRED,
         Action.SCHEDULE: Precondition.LEADER_LEASE | Precondition.TASK_NOWHERE,
         Action.PROVISION: Precondition.LEADER_LEASE
         | Precondition.TOKEN_CURRENT
@@ -127,6 +127,7 @@
 _PUBLISHED_PRECONDITION_NAMES = {
     Precondition.LEADER_LEASE: "lead_lease",
     Precondition.FLEET_RECONCILED: "fleet_accounted",
+    Precondition.WORKER_LEASE_EXPIRED: "worker_lease_over",
     Precondition.MACHINE_NOT_TERMINATED: "machine_there",
     Precondition.INCARNATION_CURRENT: "session_open",
     Precondition.RESPONSES_DELIVERED: "answers_heard",
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -63,13 +63,13 @@
         self.cut = BitMap()  # machines whose silence is shared, as of the last look
         self.cut_since: dict[str, float] = {}  # groups behind a cut
         # None of whose machines sends heartbeats, while others do
-        self.unheard_zones: set[int] = set()
+        self.silent_zones: set[int] = set()
 
     # -- called by the ledger -------------------------------------------------
 
     def heartbeat_received(self, machine: Machine) -> None:
         """The machine has sent a new heartbeat."""
-        self.sets.recently_heard.add(machine.index)
+        self.sets.recent_heartbeats.add(machine.index)
         if self.networks is not None:
             self.networks.note(machine.index, machine.endpoint)
 
@@ -79,13 +79,13 @@
         if machine.phase == UP:
             self.sets.up(machine.zone, machine.index)
         elif machine.phase == LOST:
-            self.sets.lease_over(machine.zone, machine.index)
+            self.sets.lease_expired(machine.zone, machine.index)
         elif machine.phase == GONE:
             self.sets.gone(machine.zone, machine.index)
 
     # -- conclusions -----------------------------------------------------------------------
 
-    def look(self, now: float) -> None:
+    def sweep(self, now: float) -> None:
         """Find the cuts that there are now."""
         self.seen_at = now
         self.sets.grow(len(self.ledger.zones), now)
@@ -98,7 +98,7 @@
             if self._is_cut(group):
                 self.cut |= group.silent
                 cut_groups.add(group.name)
-        self._find_unheard_zones()
+        self._find_silent_zones()
         for name in cut_groups - self.cut_since.keys():
             event(log, "cut_suspected", group=name)
             self.cut_since[name] = now
@@ -110,9 +110,9 @@
         """Whether the machine's silence was shared at the last look."""
         return machine.index in self.cut
 
-    def _find_unheard_zones(self) -> None:
-        heard = [self.sets.heard_in(zone) for zone in range(len(self.sets.present))]
-        self.unheard_zones = {
+    def _find_silent_zones(self) -> None:
+        heard = [self.sets.with_recent_heartbeats(zone) for zone in range(len(self.sets.present))]
+        self.silent_zones = {
             zone
             for zone, present in enumerate(self.sets.present)
             if len(present) >= self.policy.min_machines and not heard[zone] and any(heard)
@@ -125,7 +125,7 @@
         )
 
     def _groups(self) -> Iterator[Group]:
-        heard = self.sets.recently_heard.members()
+        heard = self.sets.recent_heartbeats.members()
         fleet = BitMap()
         for zone, present in enumerate(self.sets.present):
             known = present | self.sets.expired[zone].members()
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -57,7 +57,7 @@
         links = machine.links
         if heartbeat.sequence == links.acknowledged_sequence + 1 and ledger.other_controllers:
             links.answers_at = links.acknowledged_at
-            links.unheard_answers = 0
+            links.unaccepted_answers = 0
         links.acknowledged_incarnation = heartbeat.incarnation
         links.acknowledged_sequence = machine.sequence = heartbeat.sequence
         links.acknowledged_at = links.last_received_at = now
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -10,7 +10,7 @@
 from salthead.cluster.machine_health import errored, mark_unresponsive
 from salthead.cluster.model import Binding, Job, Machine, ReleaseReason
 from salthead.cluster.orphans import OrphanKey
-from salthead.cluster.start_rules import wanted
+from salthead.cluster.start_rules import should_still_run
 from salthead.event_log import event
 from salthead.failure_detection.preconditions import Action, Precondition, permits
 from salthead.protocol import wire_names
@@ -126,7 +126,7 @@
                 continue
             if len(self.commands) >= MAX_COMMANDS:
                 break
-            if not wanted(binding):
+            if not should_still_run(binding):
                 # Since it was bound its task was found done elsewhere, as one of a gang whose
                 # earlier attempt had completed: the next heartbeat, without it, releases it.
                 ledger.allocations.request_stop(binding, 0.0)
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -10,7 +10,7 @@
 from salthead.autoscaling import fleet_plan
 from salthead.autoscaling.capacity_backoff import CapacityBackoff
 from salthead.autoscaling.scale_in import TerminationDecision
-from salthead.cluster.model import MachineKind
+from salthead.cluster.resources import MachineKind
 from salthead.event_log import event
 from salthead.failure_detection.preconditions import Action, Precondition
 from salthead.leader.background import BackgroundTasks
--- a/src/salthead/leader/background.py
+++ b/src/salthead/leader/background.py
@@ -7,6 +7,8 @@
 from collections.abc import Coroutine
 from typing import Any
 
+from salthead.event_log import error_event
+
 log = logging.getLogger(__name__)
 
 
@@ -25,4 +27,4 @@
     def _ended(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("background work failed", exc_info=error)
+            error_event(log, "background_task_failed", error)
--- a/src/salthead/leader/done_task_pages.py
+++ b/src/salthead/leader/done_task_pages.py
@@ -50,7 +50,7 @@
                 job_id, done = self.layout.decode(name, item)
                 job = self.ledger.jobs.get(job_id)
                 if job is not None:
-                    self.ledger.load_done(job, done)
+                    self.ledger.job_table.load_done(job, done)
                     if not self.layout.has_own_size(item):
                         foreign.add(job_id)
         return foreign
@@ -97,4 +97,4 @@
         while self.pages.dirty:
             await write_pages(self.context, self.pages)
         for job, done in covered:
-            self.ledger.saved(job, done)
+            self.ledger.job_table.mark_saved(job, done)
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -120,8 +120,9 @@
             metrics.LEADING.set(certain)
             event(
                 log,
-                "lead_certain" if certain else "lead_uncertain",
+                "leader_lease_changed",
                 logging.WARNING,
+                certain=certain,
                 fencing_token=self.context.fencing_token,
             )
 
--- a/src/salthead/leader/machine_registry.py
+++ b/src/salthead/leader/machine_registry.py
@@ -105,5 +105,5 @@
             for name in content:
                 machine = self.ledger.machines.get(name)
                 if machine is not None and not machine.registered:
-                    self.ledger.mark_registered(machine)
+                    self.ledger.machine_registry.mark_registered(machine)
                     machine.has_freed_capacity = True
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead.cluster.ledger import Ledger
-from salthead.event_log import event
+from salthead.event_log import error_event, event
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader.autoscaler import Autoscaler
 from salthead.leader.background import BackgroundTasks
@@ -218,7 +218,7 @@
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 if (error := task.exception()) is not None:
-                    log.error("term %d ends by an error", self.fencing_token, exc_info=error)
+                    error_event(log, "term_failed", error, fencing_token=self.fencing_token)
         finally:
             self.clock.drop()
             for task in [*tasks, *self.background.tasks]:
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -112,7 +112,7 @@
             running=running,
             done=done,
             task_count=job.spec.task_count,
-            depends_on=self.ledger.unfinished_dependencies(job.job_id, OVERVIEW_DEPENDENCIES),
+            depends_on=self.ledger.dependencies.unfinished(job.job_id, OVERVIEW_DEPENDENCIES),
             reason=reason,
         )
 
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -181,7 +181,7 @@
                     and machine.reconciled
                     and now - machine.last_heartbeat_at > fresh_s
                 )
-                or (machine.phase == UP and machine.links.unheard_answers > 0)
+                or (machine.phase == UP and machine.links.unaccepted_answers > 0)
             )
         ]
 
--- a/src/salthead/scheduling/eligibility.py
+++ b/src/salthead/scheduling/eligibility.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterable
 
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import UP, Job, Machine, MachineKind
+from salthead.cluster.model import UP, Job, Machine
+from salthead.cluster.resources import MachineKind
 from salthead.cluster.start_rules import quota_left
 from salthead.scheduling import queue_order
 
--- a/src/salthead/scheduling/gangs.py
+++ b/src/salthead/scheduling/gangs.py
@@ -12,7 +12,8 @@
 
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import EPSILON, Binding, Job, Machine
+from salthead.cluster.model import Binding, Job, Machine
+from salthead.cluster.resources import EPSILON
 from salthead.cluster.start_rules import quota_left
 from salthead.event_log import event
 from salthead.scheduling import queue_order
--- a/src/salthead/scheduling/guarantees.py
+++ b/src/salthead/scheduling/guarantees.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import EPSILON, Job
+from salthead.cluster.model import Job
+from salthead.cluster.resources import EPSILON
 
 
 def guaranteed_job_ids(ledger: Ledger) -> set[str]:
--- a/src/salthead/scheduling/placement.py
+++ b/src/salthead/scheduling/placement.py
@@ -8,7 +8,7 @@
 
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import UP, Binding, Job, Machine, ReleaseReason
-from salthead.cluster.start_rules import quota_left, wanted
+from salthead.cluster.start_rules import quota_left, should_still_run
 from salthead.event_log import event
 from salthead.scheduling.candidate_pools import CandidatePools, pick_of_two
 from salthead.scheduling.eligibility import (
@@ -53,7 +53,7 @@
     """All tasks of the job have machines: nothing is kept for it any more."""
     ledger.capacity_index.release_reservations(job.job_id)
     if job.reserved_at is not None:
-        ledger.rest_until[job.team] = now + (now - job.reserved_at)
+        ledger.reservation_paused_until[job.team] = now + (now - job.reserved_at)
         job.reserved_at = None
     record_attainment(ledger, job, now)
 
@@ -81,7 +81,9 @@
         index = job.next_task()
         if index is None:
             break
-        ledger.bind(job, index, machine, ledger.next_attempt(), now, granted=True)
+        ledger.allocations.bind(
+            job, index, machine, ledger.allocations.next_attempt(), now, granted=True
+        )
         pools.drop_if_full(machine)
         bound += 1
         if zone_rule:
@@ -114,9 +116,9 @@
         in_zone = [machine for machine in machines if zone in (None, machine.zone)]
         picked = _pick_gang_machines(ledger, job, in_zone, rng)
         if len(picked) == task_count:
-            job.attempt = ledger.next_attempt()
+            job.attempt = ledger.allocations.next_attempt()
             for index, machine in enumerate(picked):
-                ledger.bind(job, index, machine, job.attempt, now, granted=True)
+                ledger.allocations.bind(job, index, machine, job.attempt, now, granted=True)
             return task_count
     return 0
 
@@ -165,7 +167,7 @@
             continue
         for binding in [b for b in machine.bindings.values() if b.start_unsent()]:
             job = binding.job
-            if job is not None and not job.failed and wanted(binding):
+            if job is not None and not job.failed and should_still_run(binding):
                 _reschedule(ledger, job, binding, rng, now)
 
 
@@ -175,7 +177,7 @@
     hooks = ledger.zone_hooks
     if not job.gang or (hooks is not None and hooks.restarts_whole(silent)):
         # For a gang that is the end of its attempt: members that were started are stopped.
-        ledger.release(binding, now, ReleaseReason.NEVER_TOLD)
+        ledger.allocations.release(binding, now, ReleaseReason.NEVER_SENT)
         return
     in_zones = zone_counts(job)
     in_zones[silent.zone] -= 1
@@ -194,4 +196,4 @@
             silent_machine=silent.name,
             machine=target.name,
         )
-        ledger.move(binding, target, now)
+        ledger.allocations.move(binding, target, now)
--- a/src/salthead/scheduling/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -7,7 +7,8 @@
 from collections.abc import Iterator
 
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import EPSILON, UP, Binding, Job, Machine
+from salthead.cluster.model import UP, Binding, Job, Machine
+from salthead.cluster.resources import EPSILON
 from salthead.cluster.start_rules import quota_left
 from salthead.event_log import event
 from salthead.scheduling.eligibility import (
@@ -38,10 +39,10 @@
         return
     if job.gang:
         job.preempted = True
-        ledger.stop_gang(job, save_grace_s(job), why)
+        ledger.allocations.stop_gang(job, save_grace_s(job), why)
     else:
         event(log, "task_stopped", task=binding.task_id, machine=binding.machine.name, why=why)
-        ledger.request_stop(binding, save_grace_s(job))
+        ledger.allocations.request_stop(binding, save_grace_s(job))
 
 
 def make_room(ledger: Ledger, job: Job, guaranteed_ids: set[str], now: float) -> None:
--- a/src/salthead/scheduling/preemption_plan.py
+++ b/src/salthead/scheduling/preemption_plan.py
@@ -7,7 +7,8 @@
 from typing import NamedTuple
 
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import EPSILON, Binding, Job, Machine, Resources
+from salthead.cluster.model import Binding, Job, Machine
+from salthead.cluster.resources import EPSILON, Resources
 from salthead.scheduling.eligibility import zone_counts, zone_open
 from salthead.scheduling.preemption_rules import lost_cpu_s, may_preempt
 
--- a/src/salthead/scheduling/queue_order.py
+++ b/src/salthead/scheduling/queue_order.py
@@ -14,7 +14,8 @@
 from typing import NamedTuple
 
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import EPSILON, Job
+from salthead.cluster.model import Job
+from salthead.cluster.resources import EPSILON
 
 # The protocol: the largest jobs of a class, too, begin within four minutes.
 BEGIN_WITHIN_S = 240.0
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -7,7 +7,8 @@
 import random
 
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import EPSILON, Job, Machine
+from salthead.cluster.model import Job, Machine
+from salthead.cluster.resources import EPSILON
 from salthead.cluster.start_rules import quota_left, startable
 from salthead.event_log import event
 from salthead.scheduling import queue_order
@@ -54,7 +55,7 @@
         if (
             gang_ahead is None
             and queue_order.reserves_quota(job, now)
-            and now >= ledger.rest_until[job.team]
+            and now >= ledger.reservation_paused_until[job.team]
         ):
             reserving_gangs[job.team] = job
             if job.reserved_at is None:
--- a/src/salthead/zones/admission.py
+++ b/src/salthead/zones/admission.py
@@ -82,7 +82,7 @@
             name, share = self.ledger.zones[zone], slow_start.share
             event(log, "zone_slow_start", zone=name, step=slow_start.step, open_share=share)
             self.ledger.events.changed()
-        slow_start.choose(self.evidence.machines.heard_in(zone))
+        slow_start.choose(self.evidence.machines.with_recent_heartbeats(zone))
         self.withhold(zone)
         return False
 
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import enum
+
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
 from salthead.cluster.start_rules import quota_left
@@ -15,17 +17,23 @@
 # Arrays of this urgency and below are the low-priority ones, which wait for whole gangs.
 LOW_PRIORITY = wire_names.URGENCIES.index("normal")
 
-GUARANTEED, GANGS, ARRAYS = range(3)
+
+class Tier(enum.IntEnum):
+    """Groups of jobs, in the order in which they are placed during an evacuation."""
+
+    GUARANTEED = 0
+    GANGS = 1  # and urgent arrays
+    ARRAYS = 2
 
 
-def tier(job: Job, guaranteed_ids: set[str], now: float) -> int:
+def tier(job: Job, guaranteed_ids: set[str], now: float) -> Tier:
     """Work within guarantees first, then gangs and urgent jobs, then low-priority arrays.
 
     A job that has waited for half of the time in which any has to begin stays in front.
     """
     if job.job_id in guaranteed_ids or queue_order.start_overdue(job, now):
-        return GUARANTEED
-    return GANGS if job.gang or job.priority < LOW_PRIORITY else ARRAYS
+        return Tier.GUARANTEED
+    return Tier.GANGS if job.gang or job.priority < LOW_PRIORITY else Tier.ARRAYS
 
 
 def in_order(jobs: list[Job], guaranteed_ids: set[str], now: float) -> list[Job]:
--- a/src/salthead/zones/evidence.py
+++ b/src/salthead/zones/evidence.py
@@ -35,7 +35,7 @@
 
     def heartbeat_received(self, machine: Machine) -> None:
         """A heartbeat of the machine was news."""
-        self.machines.recently_heard.add(machine.index)
+        self.machines.recent_heartbeats.add(machine.index)
         if self.networks is not None:
             self.networks.note(machine.index, machine.endpoint)
 
@@ -44,7 +44,7 @@
         if machine.phase == UP:
             self.machines.up(machine.zone, machine.index)
         elif machine.phase == LOST:
-            self.machines.lease_over(machine.zone, machine.index)
+            self.machines.lease_expired(machine.zone, machine.index)
         elif machine.phase == GONE:
             self.machines.gone(machine.zone, machine.index)
             if self.networks is not None:
@@ -60,4 +60,4 @@
         """All declared networks, for operators."""
         if self.networks is None:
             return []
-        return self.networks.views(self.machines.recently_heard.members())
+        return self.networks.views(self.machines.recent_heartbeats.members())
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -135,7 +135,7 @@
     other = machine(led, "m2", 8.0)
     for sequence, unheard in ((3, 0), (2, 1)):
         handling.heartbeat_seen_by_peer(led, "m2", (1, sequence), True, 9.0)
-        assert other.links.unheard_answers == unheard
+        assert other.links.unaccepted_answers == unheard
         assert led.leases.expires_at(other) == pytest.approx(8.0 + LEASE_S, abs=0.02)
 
 
@@ -224,7 +224,7 @@
             f"m{n}", "small", ("north", "south")[n < south], False, 0.0, registered=True
         )
     assert isinstance(led.shared_silence, SharedSilence)
-    led.shared_silence.look(1.0)
+    led.shared_silence.sweep(1.0)
     assert not led.shared_silence.cut, "nobody has had the time to find this leader"
     for n in range(south, 40):
         handle_heartbeat(led, heartbeat(f"m{n}", 1), 2.0)
@@ -242,10 +242,10 @@
         for n in range(3, 12):
             handle_heartbeat(led, heartbeat(f"m{n}", now), float(now))
         sweep(led, float(now))
-        silence.look(float(now))
+        silence.sweep(float(now))
     for name in ("m0", "m1"):
         led.machine_gone(led.machines[name], 14.0)
-    silence.look(14.0)
+    silence.sweep(14.0)
     assert silence.behind_cut(led.machines["m2"])
 
 
@@ -265,7 +265,7 @@
         plan = fleet_plan.plan(led, float(now), fleet_plan.CapacityBackoff(), {})
         assert LOST_REASON not in plan.reasons.values()
     assert sum(found.phase == LOST for found in led.machines.values()) == 10
-    assert led.shared_silence is not None and led.shared_silence.unheard_zones == {1}
+    assert led.shared_silence is not None and led.shared_silence.silent_zones == {1}
     assert provision_limits.max_provision(led, 1) == 0 < provision_limits.max_provision(led, 0)
 
 
@@ -312,7 +312,7 @@
         found.reclaim_at = 5.0
     elif before == "unregistered":
         found.registered = False
-        led.bind(job(led, task_count=1), 0, found, 5, 2.0)
+        led.allocations.bind(job(led, task_count=1), 0, found, 5, 2.0)
     more = {name: value for name, value in given.items() if name != "sequence"}
     answer = handle_heartbeat(led, heartbeat("m1", given.get("sequence", 4), **more), 9.0)
     lost = before == "lost" and given.get("incarnation") != 2
@@ -347,7 +347,7 @@
         "three as without, two for the bitmap"
     )
     silence = led.shared_silence
-    assert silence is not None and calls(lambda: silence.look(10.0)) <= 60
+    assert silence is not None and calls(lambda: silence.sweep(10.0)) <= 60
 
 
 # -- days on fake time
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -71,11 +71,14 @@
     assert [match[0] for match in found if not is_a_test(match[1], match[2] is not None)] == []
 
 
+LOGS = ("event", "error_event")
+
+
 def logged_events() -> Iterator[str]:
     """The names of the events that the sources log; each is a constant."""
     for path in sorted(SOURCES.rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.Call) and ast.unparse(node.func).split(".")[-1] == "event":
+            if isinstance(node, ast.Call) and ast.unparse(node.func).split(".")[-1] in LOGS:
                 name = node.args[1]
                 assert isinstance(name, ast.Constant), f"{path}:{node.lineno}: no constant name"
                 yield str(name.value)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -15,23 +15,23 @@
     Invariants,
 )
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import ResourceUsage
+from salthead.cluster.resources import ResourceUsage
 from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
 
 
 def bind(led: Ledger, index: int = 0, granted: bool = True) -> None:
-    led.bind(led.jobs["req-1"], index, led.machines["m1"], 1, 1.0, granted=granted)
+    led.allocations.bind(led.jobs["req-1"], index, led.machines["m1"], 1, 1.0, granted=granted)
 
 
 def bound_twice(led: Ledger) -> None:
     machine(led, "m2")
-    led.bind(led.jobs["req-1"], 0, led.machines["m2"], 2, 1.0)
+    led.allocations.bind(led.jobs["req-1"], 0, led.machines["m2"], 2, 1.0)
     bind(led)
 
 
 def done_task(led: Ledger) -> None:
-    led.load_done(led.jobs["req-1"], [0])
+    led.job_table.load_done(led.jobs["req-1"], [0])
     bind(led)
 
 
@@ -82,8 +82,8 @@
     (beside_silent_machines, Invariant.WITHIN_LIMIT),
     (beside_an_unknown_stray, Invariant.WITHIN_LIMIT),
     (start_that_its_job_does_not_know, Invariant.START_BOUND),
-    (wrong_sum_of_a_team, Invariant.SUMS_AGREE),
-    (wrong_sum_of_a_machine, Invariant.SUMS_AGREE),
+    (wrong_sum_of_a_team, Invariant.TOTALS_AGREE),
+    (wrong_sum_of_a_machine, Invariant.TOTALS_AGREE),
 ]
 
 
@@ -138,7 +138,7 @@
     one = job(led, shape="gang", task_count=2, vcpus=6.0)
     one.attempt = 5
     for index, name in enumerate(("m1", "m2")):
-        led.bind(one, index, led.machines[name], 5, 0.0)
+        led.allocations.bind(one, index, led.machines[name], 5, 0.0)
     # An earlier attempt has completed: one of its tasks speaks for all.
     handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", 3, "exited", "done")), 1.0)
     assert one.complete
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -190,7 +190,7 @@
     assert led.unregistered == {}
     accepted_this_term = led.add_machine("m-new", "small", "north", False, 0.0)
     assert list(led.unregistered) == [accepted_this_term]
-    led.mark_registered(accepted_this_term)
+    led.machine_registry.mark_registered(accepted_this_term)
     assert accepted_this_term.registered and led.unregistered == {}
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -7,7 +7,8 @@
 from helpers import heartbeat, job, ledger, machine, ready, spec, verbs
 from salthead.autoscaling import fleet_plan
 from salthead.cluster import machine_health
-from salthead.cluster.model import LOST, UP, ResourceUsage
+from salthead.cluster.model import LOST, UP
+from salthead.cluster.resources import ResourceUsage
 from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leases.leader_lease import certainly_expired_at
@@ -35,7 +36,7 @@
         "done is reaped once it is durable"
     )
     assert one.complete and not one.bindings
-    led.saved(one, [0])
+    led.job_table.mark_saved(one, [0])
     assert verbs(handle_heartbeat(led, heartbeat("m1", 6, done), 5.0)) == [("reap", "req-1/0")]
 
 
@@ -154,7 +155,7 @@
         assert led.ready and 0 in one.bindings
         place(led, 1.2)
         assert one.bindings[1].phase == ""
-        led.request_stop(one.bindings[1], 0.0)
+        led.allocations.request_stop(one.bindings[1], 0.0)
         handle_heartbeat(led, heartbeat("m1", 5, ("req-1/0", 3, "running")), 1.5, direct=True)
         assert 1 in one.bindings, "its start may be on the way in an answer to a report"
         sweep(led, certainly_expired_at(0.0, led.limits.workers.lease_s) + 0.1)
@@ -334,7 +335,7 @@
     def test_an_orderly_stop_tells_every_member_with_its_grace(self) -> None:
         led = ready()
         one, names = self.gang(led)
-        led.stop_gang(one, 3.0, "test")
+        led.allocations.stop_gang(one, 3.0, "test")
         for index, name in enumerate(names):
             orders = handle_heartbeat(
                 led, heartbeat(name, 3, (f"req-1/{index}", one.attempt, "running")), 2.0
@@ -354,7 +355,7 @@
     bad = job(led, job_id="req-5", task_count=1)
     sequence = 2
     for n in range(4):  # fails everywhere
-        binding = led.bind(bad, 0, led.machines[f"m{n}"], 50 + n, 0.0)
+        binding = led.allocations.bind(bad, 0, led.machines[f"m{n}"], 50 + n, 0.0)
         handle_heartbeat(
             led, heartbeat(f"m{n}", sequence, ("req-5/0", binding.attempt, "exited", "error")), 1.0
         )
@@ -362,7 +363,7 @@
     for job_id in ("req-6", "req-7"):
         sequence += 1
         good = job(led, job_id=job_id, task_count=1)
-        led.bind(good, 0, led.machines["m0"], 90 + sequence, 0.0)
+        led.allocations.bind(good, 0, led.machines["m0"], 90 + sequence, 0.0)
         handle_heartbeat(
             led, heartbeat("m0", sequence, (f"{job_id}/0", 90 + sequence, "exited", "error")), 2.0
         )
@@ -516,7 +517,7 @@
     rows = [("req-1/0", first, "exited", "done"), ("req-1/1", other, "running")]
     for sequence in (2, 3):
         assert handle_heartbeat(led, heartbeat("m1", sequence, *rows), float(sequence)) == []
-    led.saved(one, [0])
+    led.job_table.mark_saved(one, [0])
     assert verbs(handle_heartbeat(led, heartbeat("m1", 4, *rows), 4.0)) == [("reap", "req-1/0")]
 
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -5,7 +5,7 @@
 from helpers import job, ready
 from salthead.cluster.estimates import Arrivals, Estimates
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import Resources
+from salthead.cluster.resources import Resources
 from salthead.scheduling import pending_queue, queue_order
 
 AIMS = [
@@ -111,7 +111,7 @@
     assert served(led, half + 1.0) == ["req-1", "req-3", "req-2"]
     # Its first task has a machine: the other 199 wait for their turn. Seen on loss,
     # prairie-ledger-fleet: arrays that were due took whole machines while an image came.
-    led.bind(led.jobs["req-1"], 0, led.machines["m"], 1, half)
+    led.allocations.bind(led.jobs["req-1"], 0, led.machines["m"], 1, half)
     assert served(led, half + 1.0) == ["req-3", "req-1", "req-2"]
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -210,7 +210,7 @@
     found = machine(led, "m1")
     first = job(led, job_id="req-1", task_count=1, vcpus=8.0, estimated_run_s=20.0)
     if started:
-        led.bind(first, 0, found, 1, 0.0).started = 100.0 + left - 20.0
+        led.allocations.bind(first, 0, found, 1, 0.0).started = 100.0 + left - 20.0
     else:
         led.ready_jobs["req-1"].blocked_on_dependencies = False
     job(led, job_id="req-2", depends_on=["req-1"], task_count=1, vcpus=0.1)
@@ -292,7 +292,7 @@
     )
     # Others of a lower rank are stopped for what inherits a higher one.
     low = job(led, job_id="req-6", urgency="urgent", team="blue")
-    binding = led.bind(low, 0, led.machines["m1"], 99, 0.0)
+    binding = led.allocations.bind(low, 0, led.machines["m1"], 99, 0.0)
     for now, may in ((5.0, False), (15.0, True)):  # at first there is time yet
         priority = preemption_rules.preempting_priority(led, first, now)
         assert preemption_rules.may_preempt(led, first, priority, binding, set(), now) == may
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,8 @@
 from salthead.cluster import machine_health
 from salthead.cluster.estimates import left_s
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.model import LOST, Job, Resources, ResourceUsage
+from salthead.cluster.model import LOST, Job
+from salthead.cluster.resources import Resources, ResourceUsage
 from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.scheduling import (
@@ -399,7 +400,7 @@
             machine(led, f"m{n}")
             small = job(led, job_id=f"req-{n + 10}", task_count=2, estimated_run_s=10.0 * (n + 1))
             for index in range(2):
-                led.bind(small, index, led.machines[f"m{n}"], 5, 0.0)
+                led.allocations.bind(small, index, led.machines[f"m{n}"], 5, 0.0)
 
     def test_a_starved_gang_gets_machines_that_others_then_leave_alone(self) -> None:
         # Seen on rough, moana-buoys: a third of the large tasks started in time.
@@ -591,7 +592,7 @@
         machine(led, "cheap", spot=True)
         one = job(led, task_count=2, spot=True)
         for index, name in enumerate(("m0", "m1")):
-            led.bind(one, index, led.machines[name], 9, 0.0)
+            led.allocations.bind(one, index, led.machines[name], 9, 0.0)
         assert not self.plan(led, 1.0).to_terminate
         for name in ("m0", "m1", "cheap"):
             led.machines[name].last_heartbeat_at = 21.0
@@ -683,7 +684,7 @@
         led.machines["m3"].capacity = Resources(40.0, 0.0, 99.0)
         led.capacity_index.reindex(led.machines["m3"])
         place(led, 200.0)
-        assert gang.bindings and led.rest_until[gang.team] == 210.0
+        assert gang.bindings and led.reservation_paused_until[gang.team] == 210.0
         again = job(led, job_id="req-5", team="red", shape="gang", task_count=2, vcpus=8.0, at=0.0)
         place(led, 205.0)
         assert not again.bindings and again.reserved_at is None
@@ -835,7 +836,7 @@
     led = ready(objectives=[{"kind": "finished", "class": "b", "within_s": 1000.0, "share": 0.9}])
     found = machine(led, "m1", machine_type="big")
     runs = job(led, job_id="req-7", team=team, task_count=1, vcpus=4.0)
-    led.bind(runs, 0, found, 1, 0.0)
+    led.allocations.bind(runs, 0, found, 1, 0.0)
     one = job(led, job_id="req-1", team=team, task_count=1)
     placed = None
     for now in range(100):
@@ -852,7 +853,7 @@
     led = ready()
     found = machine(led, "m1")
     runs = job(led, job_id="req-7", task_count=1, vcpus=7.0)
-    led.bind(runs, 0, found, 1, 0.0)
+    led.allocations.bind(runs, 0, found, 1, 0.0)
     one = job(led, job_id="req-1", task_count=1)
     for now in range(120):
         found.last_heartbeat_at = float(now)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -90,7 +90,7 @@
     assert many == 4 and calls(lambda: handle_heartbeat(led, same, 3.0)) <= 3
     # But whatever is wanted of the machine, or has ended there, is.
     bound = next(iter(led.machines["m1"].bindings.values()))
-    led.request_stop(bound, 0.0)
+    led.allocations.request_stop(bound, 0.0)
     orders = handle_heartbeat(led, heartbeat("m1", 5, *shown(led, "m1")), 4.0)
     assert orders is not None and [type(order) for order in orders] == [StopCommand]
     done = shown(led, "m1", gone=1)
@@ -270,7 +270,7 @@
         found = led.machines[f"m{n}"]
         found.cordoned, found.quarantine_reason = n % 7 == 0, "x" if n % 11 == 0 else ""
         filler = job(led, job_id=f"req-{n}", task_count=1, vcpus=rng.uniform(0.5, 8.0))
-        led.bind(filler, 0, found, 1, 0.0)
+        led.allocations.bind(filler, 0, found, 1, 0.0)
     one = job(led, job_id="req-999", vcpus=2.5, spot=bool(seed % 2), zone=None)
     expected = {
         m.name
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -145,14 +145,14 @@
     sets = MachineSets(2, 4.0, 60.0, 0.0)
     for number in range(10):
         sets.up(number % 2, number)
-        sets.recently_heard.add(number)
+        sets.recent_heartbeats.add(number)
     assert sets.counts(0) == (5, 0, 0)
     sets.turn(4.0)
     sets.turn(8.0)
-    sets.recently_heard.add(0)
+    sets.recent_heartbeats.add(0)
     assert sets.counts(0) == (5, 4, 0)
     for number in (2, 4, 6, 8):
-        sets.lease_over(0, number)
+        sets.lease_expired(0, number)
         sets.gone(0, number)
     assert sets.counts(0) == (5, 4, 4), "what was returned at once counts for a while"
     sets.up(0, 2)
@@ -374,7 +374,7 @@
     led, recovery = two_zones(each=3)
     for found in led.machines.values():
         filler = job(led, job_id=f"req-9{found.index}", task_count=1, vcpus=8.0)
-        led.bind(filler, 0, found, 1, 0.0)
+        led.allocations.bind(filler, 0, found, 1, 0.0)
     gang = job(led, job_id="req-2", shape="gang", task_count=2, vcpus=7.0, single_zone=True)
     array = job(led, job_id="req-1", task_count=20, vcpus=2.0)
     recovery.states[1].enter(LOST, "", 0.0)
@@ -418,7 +418,7 @@
     led, recovery = two_zones(each=2)
     for found in led.machines.values():
         filler = job(led, job_id=f"req-9{found.index}", task_count=1, vcpus=8.0)
-        led.bind(filler, 0, found, 1, 0.0).started = 0.0
+        led.allocations.bind(filler, 0, found, 1, 0.0).started = 0.0
     gang = job(led, job_id="req-2", shape="gang", task_count=2, vcpus=7.0, deadline_s=500.0)
     job(led, job_id="req-1", task_count=20, vcpus=2.0)
     if evacuating:
@@ -435,7 +435,7 @@
     gang = job(led, shape="gang", task_count=2, vcpus=7.0)
     found = led.machines["s0"]
     for index, one in enumerate((found, led.machines["s1"])):
-        led.bind(gang, index, one, 77, 0.0)
+        led.allocations.bind(gang, index, one, 77, 0.0)
     gang.attempt = 77
     recovery.states[1].enter(phase, "", 0.0)
     found.last_heartbeat_at = -100.0
@@ -464,7 +464,7 @@
     led, recovery = two_zones()
     one = job(led, **changes)
     for index, name in enumerate(zones):
-        led.bind(one, index, led.machines[name], index, 0.0)
+        led.allocations.bind(one, index, led.machines[name], index, 0.0)
     assert waiting_reason(recovery, one) == ""
     recovery.states[1].enter(LOST, "", 0.0)
     assert waiting_reason(recovery, one) == reason
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -28,7 +28,8 @@
 
 from helpers import FLAVORS, given, heartbeat, settings, spec  # noqa: E402
 from salthead.autoscaling.scale_in import TerminationDecision  # noqa: E402
-from salthead.cluster.model import UP, MachineKind  # noqa: E402
+from salthead.cluster.model import UP  # noqa: E402
+from salthead.cluster.resources import MachineKind  # noqa: E402
 from salthead.controller.controller import Controller  # noqa: E402
 from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
 from salthead.leader.page_writer import write_pages  # noqa: E402
