--- a/src/salthead/coordination/gangs.py
+++ b/src/salthead/coordination/gangs.py
@@ -47,7 +47,7 @@
 def keep_room(ledger: Ledger, starved: list[Job], now: float) -> None:
     """Keep machines for each gang that found no candidates: all that it needs, or none."""
     # Renewed at each of the gang's draws, which are at most a pause apart.
-    until = now + 3.0 * ledger.limits.workers.report_s
+    until = now + 3.0 * ledger.limits.workers.heartbeat_interval_s
     # Gangs that a lost zone displaced go before arrays, so room is kept for them at once.
     evacuating = ledger.zone_hooks is not None and ledger.zone_hooks.evacuating()
     crowded = not evacuating and any(not job.gang and job.waiting() for job in ledger.live.values())
--- a/src/salthead/coordination/reports.py
+++ b/src/salthead/coordination/heartbeats.py
@@ -8,10 +8,10 @@
 
 from salthead.coordination.machine_health import mark_unresponsive
 from salthead.coordination.model import BOOTING, LOST, UP, Machine, Proof
-from salthead.coordination.task_reports import orders_for
+from salthead.coordination.task_reconciliation import orders_for
 from salthead.evidence.gate import Action, Fact, lacking
 from salthead.protocol import names
-from salthead.protocol.messages import Report
+from salthead.protocol.messages import Heartbeat
 
 if TYPE_CHECKING:
     from salthead.coordination.ledger import Ledger
@@ -24,7 +24,7 @@
 
 def handle(
     ledger: Ledger,
-    report: Report,
+    heartbeat: Heartbeat,
     now: float,
     direct: bool = False,
 ) -> list[dict[str, Any]] | None:
@@ -34,18 +34,18 @@
     orders back, and it may have been made while an answer with starts was under way, so
     what it does not show may still begin.
     """
-    machine = ledger.machines.get(report.worker)
+    machine = ledger.machines.get(heartbeat.worker)
     if (
         machine is not None
         and machine.unchanged
         and not machine.freed
-        and report.fencing_token == ledger.token
+        and heartbeat.fencing_token == ledger.token
         and not direct
-        and report.tasks == machine.shown
-        and report.session == machine.session
-        and report.sequence > machine.sequence
+        and heartbeat.tasks == machine.shown
+        and heartbeat.session == machine.session
+        and heartbeat.sequence > machine.sequence
         and machine.joined
-        and report.warning_s is None
+        and heartbeat.warning_s is None
         and machine.warn_at is None
         and not ledger.deposed_by
     ):
@@ -53,36 +53,37 @@
         # the last one, nothing is new and nothing is wanted. Inlined from what follows, since at
         # 570 machines half of what a leader did for reports was to find that out.
         links = machine.links
-        if report.sequence == links.answered_sequence + 1 and ledger.other_controllers:
+        if heartbeat.sequence == links.answered_sequence + 1 and ledger.other_controllers:
             links.answers_at = links.answered_at
             links.unheard_answers = 0
-        links.answered_session, links.answered_sequence = report.session, report.sequence
-        links.answered_at = links.reports_at = machine.answered = machine.heard = now
-        machine.sequence = report.sequence
+        links.answered_session, links.answered_sequence = heartbeat.session, heartbeat.sequence
+        links.answered_at = links.last_received_at = machine.answered = machine.heard = now
+        machine.sequence = heartbeat.sequence
         if ledger.zone_hooks is not None:
             ledger.zone_hooks.heard(machine)
         if ledger.shared_silence is not None:
             ledger.shared_silence.heard(machine)
         return []
-    return _answer(ledger, machine, report, now, direct)
+    return _answer(ledger, machine, heartbeat, now, direct)
 
 
 def _answer(
-    ledger: Ledger, machine: Machine | None, report: Report, now: float, direct: bool
+    ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[dict[str, Any]] | None:
     """Any other report: whether it may be answered, and with which orders."""
     # Made after an answer of this term was accepted: a report of an earlier term, or of
     # before the worker's first answer, may be a copy that comes late.
-    current = report.fencing_token == ledger.token
-    if report.fencing_token > ledger.token:
-        ledger.deposed_by = max(ledger.deposed_by, report.fencing_token)
+    current = heartbeat.fencing_token == ledger.token
+    if heartbeat.fencing_token > ledger.token:
+        ledger.deposed_by = max(ledger.deposed_by, heartbeat.fencing_token)
     if machine is not None and not direct:
-        _note_answers(ledger, machine, report, current, now)
+        _record_acknowledgements(ledger, machine, heartbeat, current, now)
     missing = lacking(
-        Action.ANSWER_REPORT, _answer_facts(ledger, machine, report, current or direct, now)
+        Action.ACKNOWLEDGE_HEARTBEAT,
+        _answer_facts(ledger, machine, heartbeat, current or direct, now),
     )
     if missing:
-        ledger.withheld.note(Action.ANSWER_REPORT, missing, now)
+        ledger.withheld.note(Action.ACKNOWLEDGE_HEARTBEAT, missing, now)
         return None
     if machine is None:
         if not current or not ledger.loaded:
@@ -91,13 +92,13 @@
             # one that is not in the roster was never started anything.
             return []
         machine = ledger.add_machine(
-            report.worker, report.machine_type, report.zone, report.spot, now
+            heartbeat.worker, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now
         )
         log.info("machine %s reports unexpectedly", machine.name)
     if not direct:
         machine.answered = now
-        machine.links.answered(report.session, report.sequence, now)
-    newer = (report.session, report.sequence) > (machine.session, machine.sequence)
+        machine.links.answered(heartbeat.session, heartbeat.sequence, now)
+    newer = (heartbeat.session, heartbeat.sequence) > (machine.session, machine.sequence)
     if not newer or not ledger.loaded:
         # Not loaded: keep the worker alive, look at its tasks next time.
         return []
@@ -105,35 +106,35 @@
         # Its tasks may be those of long ago: an exit reaped since, a task that is elsewhere
         # now. A machine that comes up may enter the roster meanwhile.
         machine.seen = True
-        machine.endpoint = machine.endpoint or report.endpoint
+        machine.endpoint = machine.endpoint or heartbeat.endpoint
         return []
-    return _news(ledger, machine, report, now, direct)
+    return _news(ledger, machine, heartbeat, now, direct)
 
 
 def _news(
-    ledger: Ledger, machine: Machine, report: Report, now: float, direct: bool
+    ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[dict[str, Any]]:
     """Take a report in that is news under this term's token; the orders that follow."""
-    _take_in(ledger, machine, report, now)
-    if machine.unchanged and not machine.freed and report.tasks == machine.shown:
+    _take_in(ledger, machine, heartbeat, now)
+    if machine.unchanged and not machine.freed and heartbeat.tasks == machine.shown:
         return []  # nothing is new, and nothing is wanted
-    orders = orders_for(ledger, machine, report, now, direct)
-    machine.shown = report.tasks
+    orders = orders_for(ledger, machine, heartbeat, now, direct)
+    machine.shown = heartbeat.tasks
     machine.unchanged = (
         not orders
         and not machine.strays
         and all(binding.phase and binding.stop is None for binding in machine.bindings.values())
-        and all(task.phase != names.EXITED for task in report.tasks)
+        and all(task.phase != names.EXITED for task in heartbeat.tasks)
     )
     return orders
 
 
-def _note_answers(
-    ledger: Ledger, machine: Machine, report: Report, current: bool, now: float
+def _record_acknowledgements(
+    ledger: Ledger, machine: Machine, heartbeat: Heartbeat, current: bool, now: float
 ) -> None:
     """What a worker's own report shows of the answers to those before it."""
-    lost = machine.links.report_came(
-        report.session, report.sequence, current, ledger.other_controllers, now
+    lost = machine.links.heartbeat_received(
+        heartbeat.session, heartbeat.sequence, current, ledger.other_controllers, now
     )
     if lost and not machine.joined and ledger.shared_silence is not None:
         # None of our answers renewed its lease, nor will one of them. Counted from the last of
@@ -141,7 +142,7 @@
         machine.answered = -math.inf
 
 
-def seen_elsewhere(
+def heartbeat_seen_by_peer(
     ledger: Ledger, worker: str, number: tuple[int, int], shows_token: bool, now: float
 ) -> None:
     """A report, by session and sequence, came to another node: it missed this one's answer.
@@ -157,7 +158,7 @@
 
 
 def _answer_facts(
-    ledger: Ledger, machine: Machine | None, report: Report, heeds: bool, now: float
+    ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, heeds: bool, now: float
 ) -> int:
     """What is confirmed about a worker whose report asks for an answer.
 
@@ -168,11 +169,11 @@
         # Which jobs were cancelled may not be known here yet. In an outage of the state service
         # that may go on for longer than their tasks may be kept alive by answers.
         held |= JOBS_KNOWN
-    if report.worker not in ledger.recently_gone:
+    if heartbeat.worker not in ledger.recently_gone:
         held |= MACHINE_THERE
     if machine is None:
         return held | SESSION_OPEN | ANSWERS_HEARD
-    if report.session >= machine.min_session:
+    if heartbeat.session >= machine.min_session:
         held |= SESSION_OPEN
     if heeds or machine.joined or _may_hear(ledger, machine, now):
         held |= ANSWERS_HEARD
@@ -192,13 +193,13 @@
     return now - machine.first_answered_at <= ledger.limits.workers.lease_s
 
 
-def _take_in(ledger: Ledger, machine: Machine, report: Report, now: float) -> None:
+def _take_in(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
     """News of a machine, its tasks aside."""
-    if report.session > machine.session and machine.session > 0:
-        _new_session(ledger, machine, report, now)
+    if heartbeat.session > machine.session and machine.session > 0:
+        _new_session(ledger, machine, heartbeat, now)
     if machine.phase in (BOOTING, LOST):
         _came_up(ledger, machine, now)
-    machine.session, machine.sequence = report.session, report.sequence
+    machine.session, machine.sequence = heartbeat.session, heartbeat.sequence
     machine.heard = now
     if ledger.zone_hooks is not None:
         ledger.zone_hooks.heard(machine)
@@ -208,17 +209,17 @@
         machine.joined = True
         machine.freed = True
         ledger.events.changed()
-    warned = None if report.warning_s is None else now + report.warning_s
+    warned = None if heartbeat.warning_s is None else now + heartbeat.warning_s
     if warned is not None and machine.warn_at is None:
-        log.info("machine %s will be taken in %.1f s", machine.name, report.warning_s)
+        log.info("machine %s will be taken in %.1f s", machine.name, heartbeat.warning_s)
     machine.warn_at = warned
-    if report.endpoint:
-        machine.endpoint = report.endpoint
+    if heartbeat.endpoint:
+        machine.endpoint = heartbeat.endpoint
 
 
-def _new_session(ledger: Ledger, machine: Machine, report: Report, now: float) -> None:
+def _new_session(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
     """The worker's lease has ended, and with it all that it ran."""
-    log.info("machine %s: session %d", machine.name, report.session)
+    log.info("machine %s: session %d", machine.name, heartbeat.session)
     if machine.joined and now - machine.heard < 0.5 * ledger.limits.workers.lease_s:
         why = "its lease ended though its reports were answered"
         mark_unresponsive(ledger, machine, now, why)
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
-from salthead.coordination import reports, strays, waiting
+from salthead.coordination import heartbeats, strays, waiting
 from salthead.coordination.estimates import Arrivals, Estimates, Promptness
 from salthead.coordination.invariants import Invariants
 from salthead.coordination.lease import blind_s
@@ -44,8 +44,8 @@
 from salthead.protocol import names
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import (
+    Heartbeat,
     MachineType,
-    Report,
     Submission,
 )
 from salthead.settings import Limits
@@ -545,12 +545,12 @@
 
     def should_have_heard(self, now: float) -> bool:
         """Whether machines that are well have had the time to find this leader."""
-        return now - self.took_over > 1.0 + self.limits.workers.report_s
+        return now - self.took_over > 1.0 + self.limits.workers.heartbeat_interval_s
 
     def hearing(self, now: float) -> tuple[int, int]:
         """How many machines that are up were heard lately, and how many were not."""
         up = [m for m in self.machines.values() if m.phase == UP]
-        late = now - 3.0 * self.limits.workers.report_s
+        late = now - 3.0 * self.limits.workers.heartbeat_interval_s
         heard = sum(1 for m in up if m.heard >= late)
         return heard, len(up) - heard
 
@@ -566,14 +566,14 @@
             job.fresh or (self.shared_silence is not None and not self.takeover.could_run(job))
         )
 
-    def on_report(
+    def handle_heartbeat(
         self,
-        report: Report,
+        heartbeat: Heartbeat,
         now: float,
         direct: bool = False,
     ) -> list[dict[str, Any]] | None:
         """Orders for the worker, or None when the report must not be answered with 200."""
-        return reports.handle(self, report, now, direct)
+        return heartbeats.handle(self, heartbeat, now, direct)
 
     # -- views --------------------------------------------------------------------------
 
--- a/src/salthead/coordination/machine_health.py
+++ b/src/salthead/coordination/machine_health.py
@@ -36,7 +36,7 @@
         machine.trusted_again_at = (
             now
             + min(  # bounded, or jobs that it fits would wait for minutes
-                ledger.limits.workers.report_s * 2.0**machine.unresponsive_times,
+                ledger.limits.workers.heartbeat_interval_s * 2.0**machine.unresponsive_times,
                 ledger.limits.workers.lease_s,
             )
         )
--- a/src/salthead/coordination/model.py
+++ b/src/salthead/coordination/model.py
@@ -9,7 +9,7 @@
 
 from salthead.evidence.links import WorkerLinks
 from salthead.protocol import names
-from salthead.protocol.messages import Submission, TaskReport
+from salthead.protocol.messages import Submission, TaskStatus
 
 Vec = tuple[float, float, float]
 Kind = tuple[int, int, bool]  # type, zone, spot
@@ -101,7 +101,7 @@
     trusted_again_at: float = 0.0  # after it was unresponsive: when it may be given work again
     freed: bool = False  # has room that it had not at its last report
     # What its last report showed, and whether that left nothing to do: the same again is no news.
-    shown: list[TaskReport] = field(default_factory=list)
+    shown: list[TaskStatus] = field(default_factory=list)
     unchanged: bool = False
     index: int = -1  # a dense number, for sets of machines
     links: WorkerLinks = field(default_factory=WorkerLinks)
--- a/src/salthead/coordination/placement.py
+++ b/src/salthead/coordination/placement.py
@@ -104,7 +104,7 @@
         and not machine.returning
         and not machine.cordoned
         and machine.warn_at is None
-        and now - machine.heard <= FRESH_PERIODS * ledger.limits.workers.report_s
+        and now - machine.heard <= FRESH_PERIODS * ledger.limits.workers.heartbeat_interval_s
         and now >= machine.error_until
         and machine.responsive(now)
     )
@@ -117,7 +117,7 @@
     Long before the filter by freshness says so, such a machine may have died. For one task the
     design's filter stands; a gang needs all of its machines, and so does the room made for it.
     """
-    return now - machine.heard > 1.25 * ledger.limits.workers.report_s + 1.0
+    return now - machine.heard > 1.25 * ledger.limits.workers.heartbeat_interval_s + 1.0
 
 
 def insistent(job: Job, now: float) -> bool:
@@ -500,7 +500,7 @@
         job.held_since = None
     elif job.held_since is None:
         job.held_since = now
-    job.pause = min(job.pause * 2 or FIRST_PAUSE_S, ledger.limits.workers.report_s)
+    job.pause = min(job.pause * 2 or FIRST_PAUSE_S, ledger.limits.workers.heartbeat_interval_s)
     job.pause_until = now + job.pause
     return True
 
--- a/src/salthead/coordination/preemption.py
+++ b/src/salthead/coordination/preemption.py
@@ -136,11 +136,11 @@
             best = found
     if best is None:
         return 0
-    report_s = ledger.limits.workers.report_s
+    heartbeat_interval_s = ledger.limits.workers.heartbeat_interval_s
     for machine, victims in best[1]:
         # Until the stop is told, the task has saved, its exit is told, and the draw.
         longest = max((grace(v.job) for v in victims if v.job), default=0.0)
-        until = now + longest + 4.0 * report_s
+        until = now + longest + 4.0 * heartbeat_interval_s
         ledger.room.keep(machine, job.job_id, until)
         job.room_until = max(job.room_until, until)
         for victim in victims:
@@ -156,7 +156,7 @@
     within: set[str],
     now: float,
 ) -> tuple[float, list[tuple[Machine, list[Binding]]]] | None:
-    restart_s = 2.0 * ledger.limits.workers.report_s
+    restart_s = 2.0 * ledger.limits.workers.heartbeat_interval_s
     rank = rank_to_push(ledger, job, now)
     room: dict[str, list[float]] = {}
     options: dict[str, list[tuple[float, Binding]]] = {}
@@ -253,7 +253,7 @@
     """Stop tasks on machines that are about to be taken, as late as is safe."""
     workers = ledger.limits.workers
     # The order rides on the answer to the next report.
-    start_sends = 1.25 * workers.report_s + 0.5
+    start_sends = 1.25 * workers.heartbeat_interval_s + 0.5
     for machine in ledger.machines.values():
         if machine.phase != UP or machine.warn_at is None:
             continue
--- a/src/salthead/coordination/returns.py
+++ b/src/salthead/coordination/returns.py
@@ -195,7 +195,7 @@
     links = machine.links
     return (
         silence.behind_cut(machine)
-        or links.reports_at >= now - lease_s
+        or links.last_received_at >= now - lease_s
         or links.commands_at >= max(links.command_failed_at, now - lease_s)
     )
 
--- a/src/salthead/coordination/task_reports.py
+++ b/src/salthead/coordination/task_reconciliation.py
@@ -14,9 +14,9 @@
 from salthead.evidence.gate import Action, Fact, permits
 from salthead.protocol import names
 from salthead.protocol.messages import (
+    Heartbeat,
     Malformed,
-    Report,
-    TaskReport,
+    TaskStatus,
     reap_order,
     split_task_id,
     start_order,
@@ -40,10 +40,10 @@
 
 
 def orders_for(
-    ledger: Ledger, machine: Machine, report: Report, now: float, direct: bool
+    ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[dict[str, Any]]:
     """Bring the ledger in line with the tasks that a report shows, and say what is to be done."""
-    orders, seen, seen_strays = _take_tasks(ledger, machine, report, now)
+    orders, seen, seen_strays = _take_tasks(ledger, machine, heartbeat, now)
     _release_missing(ledger, machine, seen, now, direct)
     for stray_key in list(machine.strays):
         if stray_key not in seen_strays:
@@ -58,13 +58,13 @@
 
 
 def _take_tasks(
-    ledger: Ledger, machine: Machine, report: Report, now: float
+    ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float
 ) -> tuple[list[dict[str, Any]], set[TaskKey], set[strays.StrayKey]]:
     """Orders for the tasks that a report shows; those that are bound to the machine, and strays."""
     orders: list[dict[str, Any]] = []
     seen: set[TaskKey] = set()
     seen_strays: set[strays.StrayKey] = set()
-    for task in report.tasks:
+    for task in heartbeat.tasks:
         try:
             job_id, index = split_task_id(task.task_id)
         except Malformed:
@@ -94,7 +94,7 @@
 
 
 def _take_exit(
-    ledger: Ledger, binding: Binding | None, job_id: str, index: int, task: TaskReport, now: float
+    ledger: Ledger, binding: Binding | None, job_id: str, index: int, task: TaskStatus, now: float
 ) -> list[dict[str, Any]]:
     """A task that has exited, and the order that removes it from the reports."""
     if binding is not None:
@@ -172,7 +172,7 @@
 
 
 def _adopt(
-    ledger: Ledger, machine: Machine, job_id: str, index: int, task: TaskReport, now: float
+    ledger: Ledger, machine: Machine, job_id: str, index: int, task: TaskStatus, now: float
 ) -> Binding | None:
     """A task found on a machine that no binding explains: an earlier term started it."""
     job = ledger.jobs.get(job_id)
@@ -205,7 +205,7 @@
     return binding
 
 
-def _exited(ledger: Ledger, binding: Binding, task: TaskReport, now: float) -> None:
+def _exited(ledger: Ledger, binding: Binding, task: TaskStatus, now: float) -> None:
     job, machine = binding.job, binding.machine
     assert job is not None
     cause = task.cause
@@ -221,14 +221,14 @@
         errored(ledger, job, machine, now)
     elif cause in (names.FULL, names.IN_USE, names.UNKNOWN):
         log.info("start of %s refused by %s: %s", task.task_id, machine.name, cause)
-        job.wait_until = max(job.wait_until, now + ledger.limits.workers.report_s)
+        job.wait_until = max(job.wait_until, now + ledger.limits.workers.heartbeat_interval_s)
     if job.gang and cause == names.HALTED and task.saved:
         # Saved: the others have saved too or are about to exit, nothing is lost by waiting.
         job.failed = True
     ledger.release(binding, now, Proof.EXITED, cause)
 
 
-def _late_exit(ledger: Ledger, job_id: str, index: int, task: TaskReport, now: float) -> None:
+def _late_exit(ledger: Ledger, job_id: str, index: int, task: TaskStatus, now: float) -> None:
     """An exit that no binding explains: done is done, whoever started it."""
     job = ledger.jobs.get(job_id)
     if job is None or job.over or not 0 <= index < job.spec.task_count:
@@ -240,7 +240,7 @@
             ledger.want_stop(other, 0.0)
 
 
-def _may_reap(ledger: Ledger, job_id: str, index: int, task: TaskReport) -> bool:
+def _may_reap(ledger: Ledger, job_id: str, index: int, task: TaskStatus) -> bool:
     """Done tasks are reaped once that is durable, all others at once."""
     if task.cause != names.DONE:
         return True
--- a/src/salthead/evidence/diagnosis.py
+++ b/src/salthead/evidence/diagnosis.py
@@ -14,7 +14,7 @@
     """What is confirmed of the directions between the leader and one machine."""
 
     BOTH_WAYS = "both_ways"
-    REPORTS_ONLY = "reports_arrive_answers_do_not"
+    HEARTBEATS_ONLY = "reports_arrive_answers_do_not"
     COMMANDS_ONLY = "commands_arrive_reports_do_not"
     SILENT = "nothing_arrives"
 
@@ -44,10 +44,10 @@
     ``fresh_s``: for how long a report counts; an answer to a direct call counts for as long.
     """
     links = machine.links
-    reports_arrive = now - max(machine.heard, links.reports_at) <= fresh_s
-    if reports_arrive:
+    heartbeats_arrive = now - max(machine.heard, links.last_received_at) <= fresh_s
+    if heartbeats_arrive:
         hears = machine.unresponsive_since is None and not links.unheard_answers
-        return LinkState.BOTH_WAYS if hears else LinkState.REPORTS_ONLY
+        return LinkState.BOTH_WAYS if hears else LinkState.HEARTBEATS_ONLY
     reached = links.commands_at > links.command_failed_at and now - links.commands_at <= fresh_s
     return LinkState.COMMANDS_ONLY if reached else LinkState.SILENT
 
--- a/src/salthead/evidence/gate.py
+++ b/src/salthead/evidence/gate.py
@@ -36,7 +36,7 @@
 class Action(IntEnum):
     """What a controller does on the strength of such facts."""
 
-    ANSWER_REPORT = auto()
+    ACKNOWLEDGE_HEARTBEAT = auto()
     START = auto()
     STOP = auto()
     REAP_RESULT = auto()
@@ -52,7 +52,7 @@
 
 REQUIRED: Mapping[Action, Fact] = MappingProxyType(
     {
-        Action.ANSWER_REPORT: (
+        Action.ACKNOWLEDGE_HEARTBEAT: (
             Fact.LEAD_LEASE
             | Fact.TOKEN_CURRENT
             | Fact.JOBS_KNOWN
@@ -89,6 +89,15 @@
     return not _REQUIRED_BITS[action] & ~held
 
 
+# Labels of metrics and rows of the interface keep the names under which they were first published.
+_PUBLISHED_ACTION_NAMES = {Action.ACKNOWLEDGE_HEARTBEAT: "answer_report"}
+
+
+def action_name(action: Action) -> str:
+    """The name of an action in metrics and in the interface."""
+    return _PUBLISHED_ACTION_NAMES.get(action, action.name.lower())
+
+
 def fact_names(bits: int) -> list[str]:
     """The names of facts, for logs, metrics and operators."""
     return [str(fact.name).lower() for fact in Fact if fact & bits]
--- a/src/salthead/evidence/links.py
+++ b/src/salthead/evidence/links.py
@@ -17,10 +17,10 @@
     """Evidence on one worker's link, by this node's steady clock in seconds.
 
     ``answers_at`` and ``commands_at`` count from the sending of what was confirmed; when a report
-    was sent is known to its worker alone, so that ``reports_at`` is when it came.
+    was sent is known to its worker alone, so that ``last_received_at`` is when it came.
     """
 
-    reports_at: float = -math.inf  # the latest that was newer than all that were answered
+    last_received_at: float = -math.inf  # the latest that was newer than all that were answered
     answers_at: float = -math.inf  # the latest answer that was certainly accepted
     commands_at: float = -math.inf  # the latest direct call that was answered
     command_failed_at: float = -math.inf  # the latest direct call that was not
@@ -30,7 +30,7 @@
     answered_sequence: int = -1
     answered_at: float = -math.inf
 
-    def report_came(
+    def heartbeat_received(
         self, session: int, sequence: int, shows_token: bool, others: bool, now: float
     ) -> bool:
         """A worker's own report came, not the answer to a call; whether it shows an answer lost.
@@ -44,7 +44,7 @@
         """
         if (session, sequence) <= (self.answered_session, self.answered_sequence):
             return False
-        self.reports_at = now
+        self.last_received_at = now
         if self.answered_sequence < 0:
             return False
         if not shows_token:
@@ -63,7 +63,7 @@
         """
         if (session, sequence) <= (self.answered_session, self.answered_sequence):
             return False
-        self.reports_at = now
+        self.last_received_at = now
         if self.answered_sequence < 0:
             return False
         next_one = (session, sequence) == (self.answered_session, self.answered_sequence + 1)
--- a/src/salthead/evidence/shared_silence.py
+++ b/src/salthead/evidence/shared_silence.py
@@ -57,7 +57,7 @@
         workers = ledger.limits.workers
         self.sets = MachineSets(
             len(ledger.zones),
-            HEARD_PERIODS * workers.report_s,
+            HEARD_PERIODS * workers.heartbeat_interval_s,
             EXPIRED_LEASES * workers.lease_s,
             now,
         )
--- a/src/salthead/evidence/withheld.py
+++ b/src/salthead/evidence/withheld.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from salthead import metrics
-from salthead.evidence.gate import Action, Fact, fact_names
+from salthead.evidence.gate import Action, Fact, action_name, fact_names
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
         row = self.rows.setdefault((action, lacking), Withheld(first_at=now))
         row.count += 1
         row.last_at = now
-        metrics.WITHHELD.labels(action.name.lower(), "+".join(fact_names(lacking))).inc()
+        metrics.WITHHELD.labels(action_name(action), "+".join(fact_names(lacking))).inc()
 
     def recent(self, since: float) -> list[tuple[Action, Fact, Withheld]]:
         """Rows that were added to since then, the latest first."""
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/lead.py
@@ -113,7 +113,7 @@
 
         A leader that is cut off from the workers alone would keep its lease while theirs end.
         """
-        grace_s = 3.0 * self.term.limits.workers.report_s
+        grace_s = 3.0 * self.term.limits.workers.heartbeat_interval_s
         while True:
             await self.term.node.rest(1.0)
             now = self.term.now()
@@ -126,7 +126,9 @@
             elsewhere = max((reach.redirected for reach in found if reach is not None), default=0)
             held = Fact.PEER_HEARS_MORE if self.clearly_more(elsewhere, heard) else Fact(0)
             if self.term.permits(Action.RESIGN, held):
-                self._ending("resigning", heard=heard, silent=silent, report_elsewhere=elsewhere)
+                self._ending(
+                    "resigning", heard=heard, silent=silent, heartbeats_elsewhere=elsewhere
+                )
                 # Longer than an election, so that a node that hears the workers wins it.
                 self.term.node.abstention.promise(self.term.now())
                 return
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
-from salthead.coordination import reports
+from salthead.coordination import heartbeats
 from salthead.coordination.model import Machine
 from salthead.coordination.placement import FRESH_PERIODS
 from salthead.evidence.diagnosis import LinkState, LinkView, link_views
-from salthead.evidence.gate import fact_names
+from salthead.evidence.gate import action_name, fact_names
 from salthead.evidence.shared_silence import SharedSilence
 from salthead.leader.peer_calls import PeerReach, ask_reach
 from salthead.leader.rental import REST_FACTOR
@@ -78,7 +78,7 @@
         self.peers[member] = PeerAnswer(sent, found)
         for seen in found.seen:
             shows_token = seen.token == self.term.token
-            reports.seen_elsewhere(
+            heartbeats.heartbeat_seen_by_peer(
                 self.ledger,
                 seen.worker,
                 (seen.session, seen.sequence),
@@ -99,7 +99,7 @@
 
     def worker_views(self) -> list[LinkView]:
         """The links to machines by declared network, or else by zone."""
-        fresh_s = FRESH_PERIODS * self.term.limits.workers.report_s
+        fresh_s = FRESH_PERIODS * self.term.limits.workers.heartbeat_interval_s
         return link_views(self.ledger.machines.values(), self._group_of, self.term.now(), fresh_s)
 
     def overview(self) -> dict[str, Any]:
@@ -127,7 +127,7 @@
             ],
             "withheld": [
                 {
-                    "action": action.name.lower(),
+                    "action": action_name(action),
                     "lacking": ", ".join(fact_names(missing)),
                     "count": row.count,
                     "since_s": round(now - row.first_at, 1),
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -14,7 +14,7 @@
 REACH_S = 1.0  # for an answer to a question that is answered from memory
 
 
-class ReportSeen(NamedTuple):
+class PeerHeartbeat(NamedTuple):
     """A worker's report that came to a peer."""
 
     worker: str
@@ -29,7 +29,7 @@
 
     redirected: int  # workers that came to it lately although it does not lead
     state_service_s: float | None  # since when the state service has not answered it
-    seen: list[ReportSeen]  # reports that came to it lately although it does not lead
+    seen: list[PeerHeartbeat]  # reports that came to it lately although it does not lead
 
 
 async def ask_reach(peer: Caller, leads: bool = False) -> PeerReach | None:
@@ -49,13 +49,13 @@
     return PeerReach(
         redirected if type(redirected) is int else 0,
         served if type(served) is float else None,
-        _reports_seen(answer.body.get("seen")),
+        _decode_peer_heartbeats(answer.body.get("seen")),
     )
 
 
-def _reports_seen(rows: Any) -> list[ReportSeen]:
+def _decode_peer_heartbeats(rows: Any) -> list[PeerHeartbeat]:
     try:
-        return msgspec.convert(rows or [], list[ReportSeen])
+        return msgspec.convert(rows or [], list[PeerHeartbeat])
     except msgspec.ValidationError:
         return []
 
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -29,7 +29,7 @@
 from salthead.leader.worker_calls import WorkerCalls
 from salthead.leader.zone_permissions import ZonePermissions
 from salthead.protocol import names
-from salthead.protocol.messages import Report
+from salthead.protocol.messages import Heartbeat
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
@@ -220,9 +220,9 @@
 
     # -- deciding -----------------------------------------------------------------------
 
-    def on_report(self, report: Report) -> list[dict[str, Any]] | None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> list[dict[str, Any]] | None:
         """Commands for a worker; None if it must not be answered with 200."""
-        return self.ledger.on_report(report, self.now())
+        return self.ledger.handle_heartbeat(heartbeat, self.now())
 
     async def decide_loop(self) -> None:
         """Decide again and again, sooner when something has changed."""
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -10,10 +10,10 @@
 from salthead.bookkeeping.store import TROUBLES
 from salthead.coordination import machine_health, placement
 from salthead.coordination.model import LOST, UP, Machine
-from salthead.coordination.task_reports import MAX_ORDERS
+from salthead.coordination.task_reconciliation import MAX_ORDERS
 from salthead.evidence.gate import Action, Fact
 from salthead.protocol import names
-from salthead.protocol.messages import Report, shape, stop_order
+from salthead.protocol.messages import Heartbeat, shape, stop_order
 from salthead.transport.client import Answer, Unanswered
 
 if TYPE_CHECKING:
@@ -75,21 +75,21 @@
                 return
             try:
                 answer = await self._command(machine, session, [], timeout)
-                report = shape(answer.body, Report)
+                heartbeat = shape(answer.body, Heartbeat)
             except TROUBLES as error:
                 self.term.node.note("join", error)
                 return
-            if report.worker != machine.name:
+            if heartbeat.worker != machine.name:
                 return
             if answer.status == 200:
-                self.term.ledger.on_report(report, self.term.now(), direct=True)
+                self.term.ledger.handle_heartbeat(heartbeat, self.term.now(), direct=True)
                 return
-            session = report.session
+            session = heartbeat.session
 
     async def unresponsive_loop(self) -> None:
         """Machines that nothing seems to reach: whether a direct call does."""
         while True:
-            await self.term.node.rest(self.term.limits.workers.report_s)
+            await self.term.node.rest(self.term.limits.workers.heartbeat_interval_s)
             left = iter(
                 [
                     machine
@@ -115,7 +115,7 @@
         of many that share theirs no answer decides anything.
         """
         while True:
-            await self.term.node.rest(self.term.limits.workers.report_s)
+            await self.term.node.rest(self.term.limits.workers.heartbeat_interval_s)
             if not self.term.valid():
                 continue
             left = iter(self._in_doubt(self.term.now()))
@@ -140,12 +140,12 @@
         """
         if machine.joined:
             return False
-        fresh_s = placement.FRESH_PERIODS * self.term.limits.workers.report_s
-        reports_arrive = self.term.now() - machine.links.reports_at <= fresh_s
-        return machine.phase == UP or reports_arrive
+        fresh_s = placement.FRESH_PERIODS * self.term.limits.workers.heartbeat_interval_s
+        heartbeats_arrive = self.term.now() - machine.links.last_received_at <= fresh_s
+        return machine.phase == UP or heartbeats_arrive
 
     def _in_doubt(self, now: float) -> list[Machine]:
-        fresh_s = placement.FRESH_PERIODS * self.term.limits.workers.report_s
+        fresh_s = placement.FRESH_PERIODS * self.term.limits.workers.heartbeat_interval_s
         return [
             machine
             for machine in self.term.ledger.machines.values()
--- a/src/salthead/node/handlers.py
+++ b/src/salthead/node/handlers.py
@@ -16,8 +16,8 @@
 from salthead.protocol.messages import (
     JOB_ID,
     Malformed,
+    decode_heartbeat,
     decode_map,
-    decode_report,
     decode_submission,
 )
 from salthead.transport.client import Unanswered
@@ -72,7 +72,7 @@
         return Router(
             self.node.now,
             {
-                names.HELLO: Route("POST", "report", self.report),
+                names.HELLO: Route("POST", "report", self.heartbeat),
                 names.UP: Route("GET", "up", self.up),
                 names.WORK: Route("POST", "submit", self.submit),
                 names.OVERVIEW: Route("GET", "overview", self.overview),
@@ -87,18 +87,18 @@
             ),
         )
 
-    def report(self, request: Request) -> Reply:
+    def heartbeat(self, request: Request) -> Reply:
         """POST /hello: a worker's report, answered with commands."""
         try:
-            report = decode_report(request.body)
+            heartbeat = decode_heartbeat(request.body)
         except Malformed as error:
             self.node.note("report", error)
             return _error(400, error)
         if request.connections is not None and request.stream is not None:
-            request.connections.reported(
-                report.worker, (report.session, report.sequence), request.stream
+            request.connections.heartbeat_received(
+                heartbeat.worker, (heartbeat.session, heartbeat.sequence), request.stream
             )
-        return Reply(*self.node.on_report(report, request.remote_ip))
+        return Reply(*self.node.handle_heartbeat(heartbeat, request.remote_ip))
 
     def up(self, request: Request) -> Reply:
         """GET /up: whether this node can take requests."""
--- a/src/salthead/node/node.py
+++ b/src/salthead/node/node.py
@@ -32,8 +32,8 @@
 from salthead.policy import NO_POLICY, Policy
 from salthead.protocol import names
 from salthead.protocol.messages import (
+    Heartbeat,
     MachineType,
-    Report,
     Submission,
     status_body,
 )
@@ -201,22 +201,22 @@
             return 421, {"herder": self.leader}
         return 503, {"error": "no leader"}
 
-    def on_report(self, report: Report, who: str = "") -> tuple[int, dict[str, Any]]:
+    def handle_heartbeat(self, heartbeat: Heartbeat, who: str = "") -> tuple[int, dict[str, Any]]:
         """Status and body for a worker's report."""
         term = self.leading()
         if term is None:
-            if self.zone_keeper.keeps(report):
-                self.reach.note_redirected(who or report.worker)
+            if self.zone_keeper.keeps(heartbeat):
+                self.reach.note_redirected(who or heartbeat.worker)
                 return 200, {"baton": self.leader_token, "orders": []}
-            self.reach.note_seen(report)
-            return self.redirect(who or report.worker)
-        orders = term.on_report(report)
+            self.reach.record_redirected_heartbeat(heartbeat)
+            return self.redirect(who or heartbeat.worker)
+        orders = term.handle_heartbeat(heartbeat)
         if orders is None:
             return 503, {"error": "not for this report"}
         if not term.valid():
             # It ran out while this was worked out, on a machine with little processor time: a 200
             # now would be given by one that is not entitled to. What was ordered stays bound.
-            return self.redirect(who or report.worker)
+            return self.redirect(who or heartbeat.worker)
         return 200, {"baton": term.token, "orders": orders}
 
     # -- what users ask -----------------------------------------------------------------
--- a/src/salthead/node/reach.py
+++ b/src/salthead/node/reach.py
@@ -11,7 +11,7 @@
 from salthead.bookkeeping.store import Refused
 from salthead.coordination import lease
 from salthead.leader.peer_calls import ask_reach
-from salthead.protocol.messages import Report
+from salthead.protocol.messages import Heartbeat
 from salthead.transport.client import Caller, Unanswered
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 SEEN_TOLD = 1500
 
 
-class SeenReport(NamedTuple):
+class RedirectedHeartbeat(NamedTuple):
     """Which report a worker sent here although another node leads, and the token that it showed."""
 
     session: int
@@ -47,7 +47,7 @@
         # Workers that this node sent to the leader, and when; who came last stands last.
         self.redirected: OrderedDict[str, float] = OrderedDict()
         # Their latest reports, in the same order.
-        self.seen: OrderedDict[str, SeenReport] = OrderedDict()
+        self.seen: OrderedDict[str, RedirectedHeartbeat] = OrderedDict()
 
     async def loop(self) -> None:
         """Whether this node reaches the state service or any other node, and they the service."""
@@ -104,12 +104,12 @@
         self.redirected[who] = self.node.now()
         self.redirected.move_to_end(who)
 
-    def note_seen(self, report: Report) -> None:
+    def record_redirected_heartbeat(self, heartbeat: Heartbeat) -> None:
         """A worker reported here although another node leads."""
-        self.seen[report.worker] = SeenReport(
-            report.session, report.sequence, report.fencing_token, self.node.now()
+        self.seen[heartbeat.worker] = RedirectedHeartbeat(
+            heartbeat.session, heartbeat.sequence, heartbeat.fencing_token, self.node.now()
         )
-        self.seen.move_to_end(report.worker)
+        self.seen.move_to_end(heartbeat.worker)
         self._forget_old()
 
     def _forget_old(self) -> None:
--- a/src/salthead/node/server.py
+++ b/src/salthead/node/server.py
@@ -47,7 +47,9 @@
     # Tornado's own time-outs set and drop two timers for each request; one look at all connections
     # now and then does as well.
     server.conn_params.header_timeout = None
-    server.open = Connections(most, FRESH_PERIODS * node.limits.workers.report_s, node.now)
+    server.open = Connections(
+        most, FRESH_PERIODS * node.limits.workers.heartbeat_interval_s, node.now
+    )
     PeriodicCallback(server.open.sweep, SWEEP_S * 1000.0).start()
     router.connections = server.open
     # A fleet that comes back at once reports within a second: the queue of the socket has to hold
--- a/src/salthead/node/zone_keeper.py
+++ b/src/salthead/node/zone_keeper.py
@@ -10,7 +10,7 @@
 from salthead.coordination import lease
 from salthead.coordination.zone_leases import ZoneLease
 from salthead.protocol import names
-from salthead.protocol.messages import Report
+from salthead.protocol.messages import Heartbeat
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
@@ -79,15 +79,15 @@
             # by which the next leader knows of what was allowed.
             await self.node.store.txn({key: row[1]}, [drop(key)], urgent=True)
 
-    def keeps(self, report: Report) -> bool:
+    def keeps(self, heartbeat: Heartbeat) -> bool:
         """Whether to answer a worker in the name of a leader that it can't reach."""
         now = self.node.now()
-        back = self.lease.came_back(report.worker, now)
+        back = self.lease.came_back(heartbeat.worker, now)
         return (
             self.node.leader not in (None, self.node.settings.member)
             and self.lease.valid(self.node.leader_token, now)
-            and report.zone == self.node.settings.area
-            and report.fencing_token <= self.node.leader_token
+            and heartbeat.zone == self.node.settings.area
+            and heartbeat.fencing_token <= self.node.leader_token
             # A worker may be here by chance. A second one, or one that was sent on before and is
             # here again, can't reach it, and their leases may not last for another round.
             and (back or self.node.reach.redirected_count() > 0)
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -80,7 +80,7 @@
 )
 
 
-class TaskReport(msgspec.Struct):
+class TaskStatus(msgspec.Struct):
     """One task on a machine, as its worker reports it."""
 
     task_id: str = msgspec.field(name="piece")
@@ -90,7 +90,7 @@
     saved: bool | None = False
 
 
-class Report(msgspec.Struct):
+class Heartbeat(msgspec.Struct):
     """POST /hello."""
 
     worker: str = msgspec.field(name="saltlick")
@@ -102,7 +102,7 @@
     zone: str = msgspec.field(name="paddock", default="")
     spot: bool = msgspec.field(name="borrowed", default=False)
     warning_s: float | None = None
-    tasks: list[TaskReport] = msgspec.field(name="pieces", default_factory=list)
+    tasks: list[TaskStatus] = msgspec.field(name="pieces", default_factory=list)
 
 
 class MachineType(msgspec.Struct):
@@ -239,12 +239,17 @@
         raise Malformed("vcpus: a task must take something")
 
 
-def decode_report(body: bytes) -> Report:
+def decode_heartbeat(body: bytes) -> Heartbeat:
     """A worker's report; Malformed if it is none."""
-    report = decode(body, Report)
-    if not report.worker or report.session < 1 or report.sequence < 0 or report.fencing_token < 0:
+    heartbeat = decode(body, Heartbeat)
+    if (
+        not heartbeat.worker
+        or heartbeat.session < 1
+        or heartbeat.sequence < 0
+        or heartbeat.fencing_token < 0
+    ):
         raise Malformed("saltlick, tenure, tally or baton: out of range")
-    return report
+    return heartbeat
 
 
 @functools.lru_cache(maxsize=20_000)
--- a/src/salthead/settings.py
+++ b/src/salthead/settings.py
@@ -49,7 +49,7 @@
 class Workers(msgspec.Struct):
     """Periods and leases of workers."""
 
-    report_s: float
+    heartbeat_interval_s: float = msgspec.field(name="report_s")
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
@@ -182,8 +182,9 @@
         "settings.cloud": limits.cloud,
     }
     for path, names in POSITIVE.items():
+        values = msgspec.to_builtins(groups[path])
         for name in names:
-            if not getattr(groups[path], name) > 0:
+            if not values[name] > 0:
                 raise SettingsError(f"{path}.{name}: must be above 0")
     for name in POSITIVE["settings.state"]:
         value = getattr(limits.state.next, name, None)
--- a/src/salthead/transport/connections.py
+++ b/src/salthead/transport/connections.py
@@ -78,7 +78,7 @@
         if worker is not None and self.of_worker.get(worker, (None,))[0] is stream:
             del self.of_worker[worker]
 
-    def reported(self, worker: str, mark: Mark, stream: Closable) -> None:
+    def heartbeat_received(self, worker: str, mark: Mark, stream: Closable) -> None:
         """A worker has one connection: a newer one ends that before it, which may be half open.
 
         A late copy on another connection is no newer report, and ends nothing.
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -40,7 +40,7 @@
     """
     if machine.held_for and now < machine.held_until:
         return
-    until = now + CLAIM_PERIODS * ledger.limits.workers.report_s
+    until = now + CLAIM_PERIODS * ledger.limits.workers.heartbeat_interval_s
     for job in ledger.line.jobs:
         if job.job_id in displaced and _lacks(ledger, job, machine, now):
             ledger.room.keep(machine, job.job_id, until)
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -74,7 +74,7 @@
         self.returns: dict[int, SlowStart] = {}
         self.sets = MachineSets(
             len(ledger.zones),
-            HEARD_PERIODS * workers.report_s,
+            HEARD_PERIODS * workers.heartbeat_interval_s,
             EXPIRED_LEASES * workers.lease_s,
             now,
         )
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -32,7 +32,7 @@
 if importlib.util.find_spec("salthead") is None:
     sys.path[:0] = [str(ROOT / "target" / "deps"), str(ROOT / "src"), str(ROOT / "tests")]
 
-from helpers import FLAVORS, given, machine, report, settings, spec  # noqa: E402
+from helpers import FLAVORS, given, heartbeat, machine, settings, spec  # noqa: E402
 from salthead.coordination import fleet, placement  # noqa: E402
 from salthead.coordination.lease import LeaseClock  # noqa: E402
 from salthead.coordination.ledger import Ledger  # noqa: E402
@@ -41,7 +41,7 @@
 from salthead.node.node import Node  # noqa: E402
 from salthead.node.server import listen  # noqa: E402
 from salthead.protocol import names  # noqa: E402
-from salthead.protocol.messages import Report, encode  # noqa: E402
+from salthead.protocol.messages import Heartbeat, encode  # noqa: E402
 
 TOKEN = 7
 REVISION = 1_000_000  # of all that is written in the profiled term
@@ -142,7 +142,7 @@
         )
     placement.place(ledger, random.Random(1), now)
     for name in ledger.machines:
-        ledger.on_report(shown(ledger, name, 2), now)
+        ledger.handle_heartbeat(shown(ledger, name, 2), now)
 
 
 def shown(
@@ -152,14 +152,14 @@
     ended: int = 0,
     fencing_token: int = TOKEN,
     session: int = 1,
-) -> Report:
+) -> Heartbeat:
     """A report of a machine with what is bound to it, of which some has ended."""
     task_count: list[tuple[Any, ...]] = [
         (b.task_id, b.attempt, "running") for b in ledger.machines[name].bindings.values()
     ]
     task_count[:ended] = [(*task[:2], "exited", "done") for task in task_count[:ended]]
     zone = ledger.zones[ledger.machines[name].zone]
-    return report(
+    return heartbeat(
         name, sequence, *task_count, fencing_token=fencing_token, session=session, zone=zone
     )
 
@@ -258,12 +258,12 @@
         later = self.leader.now() + 10.0 * self.leader.limits.workers.lease_s
         half = [f"m{n}" for n in range(0, self.machines, 2)]
         for name in set(self.ledger.machines) - set(half):
-            self.ledger.on_report(shown(self.ledger, name, 50), later)
+            self.ledger.handle_heartbeat(shown(self.ledger, name, 50), later)
 
         def come_back() -> None:
             self.ledger.tick(later)
             for name in half:
-                self.ledger.on_report(shown(self.ledger, name, 1, session=2), later)
+                self.ledger.handle_heartbeat(shown(self.ledger, name, 1, session=2), later)
 
         return self.of_work(come_back, len(half))
 
@@ -272,7 +272,7 @@
         now = self.leader.now()
         new = Ledger(self.leader.limits, TOKEN + 1, now)
         new.set_machine_types(FLAVORS)
-        reports = [
+        heartbeats = [
             shown(self.ledger, name, 60, fencing_token=TOKEN + 1) for name in self.ledger.machines
         ]
         specs = [job.spec for job in self.ledger.jobs.values()]
@@ -280,14 +280,14 @@
         def take_over() -> None:
             for found in specs:
                 new.add_job(found, now)
-            for one in reports:
+            for one in heartbeats:
                 new.add_machine(one.worker, one.machine_type, one.zone, False, now, rostered=True)
             new.loaded = True
-            for one in reports:
-                new.on_report(one, now, direct=True)
+            for one in heartbeats:
+                new.handle_heartbeat(one, now, direct=True)
             new.tick(now)
 
-        return self.of_work(take_over, len(reports))
+        return self.of_work(take_over, len(heartbeats))
 
 
 def start_seconds() -> float:
@@ -306,16 +306,18 @@
     return min(found)
 
 
-async def measure(machines: int, report_s: float, seconds: bool) -> list[tuple[str, Cost, float]]:
+async def measure(
+    machines: int, heartbeat_interval_s: float, seconds: bool
+) -> list[tuple[str, Cost, float]]:
     """All costs at one size of the fleet, with how often each occurs."""
     bench = Bench(machines, seconds)
-    reports = machines / report_s
+    heartbeats = machines / heartbeat_interval_s
     log = logging.getLogger("salthead.profile")
     now = bench.leader.now
     return [
-        ("report, nothing new", await bench.of_reports(3, 0), reports * (1.0 - ENDED_PART)),
+        ("report, nothing new", await bench.of_reports(3, 0), heartbeats * (1.0 - ENDED_PART)),
         ("report, nothing new, again", await bench.of_reports(4, 0), 0.0),
-        ("report with a task's end", await bench.of_reports(5, 1), reports * ENDED_PART),
+        ("report with a task's end", await bench.of_reports(5, 1), heartbeats * ENDED_PART),
         ("poll at the leader", await bench.of_polls(bench.endpoints[0]), POLLS_PER_S),
         ("poll at a follower (both nodes)", await bench.of_polls(bench.endpoints[2]), POLLS_PER_S),
         ("submission", await bench.of_submissions(), SUBMISSIONS_PER_S),
@@ -354,7 +356,7 @@
     """Print the table."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--machines", type=int, default=570)
-    parser.add_argument("--report-s", type=float, default=3.0)
+    parser.add_argument("--report-s", dest="heartbeat_interval_s", type=float, default=3.0)
     parser.add_argument(
         "--seconds",
         action="store_true",
@@ -363,9 +365,9 @@
     words = parser.parse_args()
     with open(os.devnull, "w") as nowhere:
         logging.basicConfig(stream=nowhere, level=logging.INFO)
-        table = asyncio.run(measure(words.machines, words.report_s, words.seconds))
+        table = asyncio.run(measure(words.machines, words.heartbeat_interval_s, words.seconds))
     unit = "microseconds" if words.seconds else "calls"
-    print(f"{words.machines} machines, a report every {words.report_s:g} s")
+    print(f"{words.machines} machines, a report every {words.heartbeat_interval_s:g} s")
     print(f"{'what':34} {unit:>12} {'a second':>9} {unit + ' a second':>22}")
     for what, cost, rate in table:
         one = cost.seconds * 1e6 if words.seconds else cost.calls
