--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -37,13 +37,13 @@
     async def load(self) -> None:
         """Read all that earlier leaders left."""
         ledger = self.ledger
-        jobs, self.since = await self.term.store.rows(records.JOBS)
-        parts, _ = await self.term.store.rows(records.PARTS)
-        roster, _ = await self.term.store.rows(records.ROSTER)
+        jobs, self.since = await self.term.state_store.list_prefix(records.JOBS)
+        parts, _ = await self.term.state_store.list_prefix(records.PARTS)
+        roster, _ = await self.term.state_store.list_prefix(records.ROSTER)
         now = self.now()
         self.term.pages.parts, self.term.pages.roster = self.term.pages.new_pages()
         # After the jobs: a record and what continues it are written together.
-        rows, _ = await self.term.store.rows(records.AWAITS)
+        rows, _ = await self.term.state_store.list_prefix(records.AWAITS)
         rest = {key: value for key, (value, _) in rows.items()}
         for key, (value, revision) in jobs.items():
             self.take_row(key, value, revision, rest, loading=True)
@@ -171,13 +171,15 @@
         """Jobs that any node accepted."""
         while True:
             try:
-                events, self.since = await self.term.store.changes(records.JOBS, self.since, 10.0)
+                events, self.since = await self.term.state_store.watch(
+                    records.JOBS, self.since, 10.0
+                )
                 for event in events:
                     if "set" in event:
                         self.take_row(event["set"], event.get("value"), event.get("stamp", 0))
             except Compacted:
                 try:
-                    rows, self.since = await self.term.store.rows(records.JOBS)
+                    rows, self.since = await self.term.state_store.list_prefix(records.JOBS)
                     for key, (value, revision) in rows.items():
                         self.take_row(key, value, revision)
                 except TROUBLES as error:
@@ -209,10 +211,10 @@
             if job_id in unsure:
                 waiting.resolve(self.ledger, job_id, found[0], found[2], self.now())
             return
-        row = await self.term.store.get(records.job_key(job_id))
+        row = await self.term.state_store.get(records.job_key(job_id))
         if row is None:
             raise Unanswered(f"no record of {job_id}")
         if job_id not in self.ledger.jobs:
-            spec = await self.term.node.lookups.whole(records.job_from(row[0]))
+            spec = await self.term.node.lookups.whole(records.job_from(row.value))
             self.incomplete.pop(job_id, None)
-            self.ledger.add_job(spec, self.now(), fresh=row[1] > self.term.revision)
+            self.ledger.add_job(spec, self.now(), fresh=row.revision > self.term.revision)
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/lead.py
@@ -38,7 +38,7 @@
                 return
             sent = self.term.now()
             try:
-                await self.term.store.renew_lease(self.term.lease_id, timeout=ttl / 4)
+                await self.term.state_store.renew_lease(self.term.lease_id, timeout=ttl / 4)
                 self.term.clock.renewed(sent)
                 self.renewal_failed = False
                 await asyncio.sleep(ttl / 5)
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -17,7 +17,7 @@
 from salthead.coordination.model import Job
 from salthead.protocol import names
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, Refused, drop, put
+from salthead.state_store.client import TROUBLES, Conflict, Refused, delete, put
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
@@ -100,7 +100,7 @@
 
     async def save(self) -> None:
         """Write the outcomes that are wanted, as many as a transaction takes."""
-        most = max(1, self.term.kept.txn_ops // 2)
+        most = max(1, self.term.state_limits.txn_ops // 2)
         while self.due or self.ledger.pending_aborts:
             # What users wait for, then what other jobs wait for; what follows from a durable
             # outcome may be told already, and a thousand of that must not hold up the rest.
@@ -126,15 +126,17 @@
             else names.ABORTED
             for job in jobs
         }
-        apply: list[dict[str, Any]] = []
+        operations: list[dict[str, Any]] = []
         for job in jobs:
-            apply.append(
+            operations.append(
                 put(
                     records.over_key(job.job_id),
-                    records.over_value(job.spec, phases[job.job_id], at, term.kept.value_kb),
+                    records.over_value(
+                        job.spec, phases[job.job_id], at, term.state_limits.value_kb
+                    ),
                 )
             )
-            apply.append(drop(records.job_key(job.job_id)))
+            operations.append(delete(records.job_key(job.job_id)))
         # A try that is refused was not carried out; those before it that had no answer may yet be.
         fresh = [
             job.job_id
@@ -145,7 +147,7 @@
             job.job_id: phases[job.job_id] for job in jobs if not job.dependency_cancelled
         }
         try:
-            await term.txn({records.over_key(job.job_id): 0 for job in jobs}, apply)
+            await term.transaction({records.over_key(job.job_id): 0 for job in jobs}, operations)
         except Refused:
             for job_id in fresh:
                 del self.in_doubt[job_id]
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -40,7 +40,7 @@
     """
     body = {LEADS_FIELD: True} if leads else None
     try:
-        answer = await peer.call("POST", names.PEER_REDIRECTED, body, timeout=REACH_S)
+        answer = await peer.call("POST", names.PEER_CONNECTIVITY_PATH, body, timeout=REACH_S)
     except Unanswered:
         return None
     if answer.status != 200:
--- a/src/salthead/leader/rental.py
+++ b/src/salthead/leader/rental.py
@@ -17,7 +17,7 @@
 from salthead.protocol import names
 from salthead.protocol.messages import MachineList, MachineType, Malformed, RentedMachines, shape
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, Refused, drop, put
+from salthead.state_store.client import TROUBLES, Conflict, Refused, delete, put
 from salthead.transport.client import Unanswered
 from salthead.transport.limits import Budget
 
@@ -60,14 +60,16 @@
         machine_types = list(self.term.node.machine_types.values())
         if not machine_types or machine_types == self.machine_types_stored:
             return
-        there, _ = await self.term.store.rows(records.MORE_FLAVORS)
+        there, _ = await self.term.state_store.list_prefix(records.MORE_FLAVORS)
         rows = dict(
-            records.machine_type_rows(msgspec.to_builtins(machine_types), self.term.kept.value_kb)
+            records.machine_type_rows(
+                msgspec.to_builtins(machine_types), self.term.state_limits.value_kb
+            )
         )
         changes = [put(key, value) for key, value in rows.items()]
-        changes += [drop(key) for key in there if key not in rows]
-        for at in range(0, len(changes), self.term.kept.txn_ops):
-            await self.term.txn({}, changes[at : at + self.term.kept.txn_ops])
+        changes += [delete(key) for key in there if key not in rows]
+        for at in range(0, len(changes), self.term.state_limits.txn_ops):
+            await self.term.transaction({}, changes[at : at + self.term.state_limits.txn_ops])
         self.machine_types_stored = machine_types
 
     async def list_loop(self) -> None:
@@ -102,7 +104,9 @@
             query: dict[str, Any] = {"most": 500}
             if start:
                 query["from"] = start
-            answer = await self.term.node.cloud.call("GET", names.HOSTS, query=query, timeout=3.0)
+            answer = await self.term.node.cloud.call(
+                "GET", names.MACHINES_PATH, query=query, timeout=3.0
+            )
             if answer.status != 200:
                 raise Refused(answer.status, "cloud list")
             page = shape(answer.body, MachineList)
@@ -175,7 +179,9 @@
                 if not self.term.permits(Action.HIRE):
                     break
                 try:
-                    answer = await self.term.node.cloud.call("POST", names.HOSTS, body, timeout=4.0)
+                    answer = await self.term.node.cloud.call(
+                        "POST", names.MACHINES_PATH, body, timeout=4.0
+                    )
                 except Unanswered as error:
                     self.term.node.note("hire", error)
                     await self.term.node.rest(1.0)
@@ -219,7 +225,7 @@
                 return
             answer = await self.term.node.cloud.call(
                 "POST",
-                names.HOSTS_RETURN,
+                names.MACHINES_TERMINATE_PATH,
                 {"saltlicks": [decision.machine.name for decision in sent]},
                 timeout=4.0,
             )
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -8,7 +8,7 @@
 
 from salthead.coordination.model import UP, Job
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, drop, put
+from salthead.state_store.client import TROUBLES, Conflict, delete, put
 from salthead.state_store.pages import Pages
 
 if TYPE_CHECKING:
@@ -24,14 +24,14 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
-        self.stretches = records.Stretches(term.limits.state.value_kb, term.kept.value_kb)
+        self.stretches = records.Stretches(term.limits.state.value_kb, term.state_limits.value_kb)
         self.parts, self.roster = self.new_pages()
         self.roster_at = -1e9
         self.leftovers: dict[str, str] = {}  # keys that continue records of jobs that are over
 
     def new_pages(self) -> tuple[Pages, Pages]:
         """Empty pages of done tasks and of the roster."""
-        kb = self.term.kept.value_kb
+        kb = self.term.state_limits.value_kb
         return Pages(records.PARTS, kb), Pages(records.ROSTER, kb)
 
     def tidy(self, job: Job) -> None:
@@ -69,13 +69,13 @@
     async def clear_leftovers(self) -> None:
         """Drop what continued the records of jobs that are over."""
         while self.leftovers:
-            keys = list(islice(self.leftovers, self.term.kept.txn_ops))
+            keys = list(islice(self.leftovers, self.term.state_limits.txn_ops))
             # On condition that there is no such job: it may have been accepted since the list was
             # read, or its record may have come late.
             with contextlib.suppress(Conflict):
-                await self.term.txn(
+                await self.term.transaction(
                     {records.job_key(self.leftovers[key]): 0 for key in keys},
-                    [drop(key) for key in keys],
+                    [delete(key) for key in keys],
                     bulk=True,
                 )
             for key in keys:
@@ -83,13 +83,13 @@
 
     async def write_pages(self, pages: Pages) -> dict[int, tuple[int, dict[str, Any]]]:
         """One transaction of what the service lacks of these pages."""
-        batch = pages.batch(self.term.kept.txn_ops, BATCH_KB)
+        batch = pages.batch(self.term.state_limits.txn_ops, BATCH_KB)
         if batch:
             try:
-                revision = await self.term.txn(
+                revision = await self.term.transaction(
                     {pages.key(page): pages.revisions.get(page, 0) for page in batch},
                     [
-                        put(pages.key(page), content) if content else drop(pages.key(page))
+                        put(pages.key(page), content) if content else delete(pages.key(page))
                         for page, (_, content) in batch.items()
                     ],
                     bulk=True,
@@ -97,8 +97,8 @@
             except Conflict:
                 # An earlier try took effect after all; what it wrote is replaced.
                 for page in batch:
-                    row = await self.term.store.get(pages.key(page))
-                    pages.revisions[page] = row[1] if row is not None else 0
+                    row = await self.term.state_store.get(pages.key(page))
+                    pages.revisions[page] = row.revision if row is not None else 0
                 raise
             pages.written(batch, revision)
         return batch
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -65,9 +65,9 @@
         clock: LeaseClock,
     ) -> None:
         self.node = node
-        self.store = node.store
+        self.state_store = node.state_store
         self.limits = node.limits
-        self.kept = node.kept
+        self.state_limits = node.state_limits
         self.now = node.now
         self.fencing_token = fencing_token
         self.revision = revision
@@ -150,7 +150,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, *self.background, return_exceptions=True)
             with contextlib.suppress(Unanswered, Refused):
-                await self.store.revoke_lease(self.lease_id)
+                await self.state_store.revoke_lease(self.lease_id)
 
     async def work_loop(self) -> None:
         """Load what earlier leaders left, then run all loops."""
@@ -184,10 +184,10 @@
             for loop in loops:
                 group.create_task(loop)
 
-    async def txn(
+    async def transaction(
         self,
-        when: dict[str, int],
-        apply: list[dict[str, Any]],
+        conditions: dict[str, int],
+        operations: list[dict[str, Any]],
         bulk: bool = False,
         urgent: bool = False,
     ) -> int:
@@ -195,8 +195,8 @@
         if not self.valid():
             raise Unanswered("lease not certain")
         try:
-            return await self.store.txn(
-                {records.LEAD: self.revision} | when, apply, bulk=bulk, urgent=urgent
+            return await self.state_store.transaction(
+                {records.LEAD: self.revision} | conditions, operations, bulk=bulk, urgent=urgent
             )
         except Conflict as error:
             if records.LEAD in error.failed:
@@ -211,9 +211,9 @@
         while True:
             for job_id in list(self.ledger.unknown_jobs):
                 try:
-                    row = await self.store.get(records.over_key(job_id))
+                    row = await self.state_store.get(records.over_key(job_id))
                     if row is not None:
-                        strays.identify_job(self.ledger, records.over_from(row[0])[1])
+                        strays.identify_job(self.ledger, records.over_from(row.value)[1])
                 except TROUBLES as error:
                     self.node.note("stray task", error)
             await self.node.rest(0.5)
@@ -273,7 +273,7 @@
             found = await self.node.lookups.read(job_id)
             if found is None or found["phase"] in (names.DONE, names.ABORTED):
                 return found
-            row = await self.store.get(records.job_key(job_id))
+            row = await self.state_store.get(records.job_key(job_id))
             if row is None or not self.ledger.loaded:
                 raise Unanswered("cancel in doubt")
             self.job_records.take_row(records.job_key(job_id), *row)
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -39,7 +39,7 @@
         sent = self.term.now()
         try:
             answer = await self.term.node.workers.call(
-                "POST", names.DO, body, timeout=timeout, endpoint=machine.endpoint
+                "POST", names.COMMAND_PATH, body, timeout=timeout, endpoint=machine.endpoint
             )
         except Unanswered:
             machine.links.command_failed(sent)
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -67,7 +67,7 @@
         """Go on from the records; without them, the zones are as they are seen."""
         while not self.term.ledger.ready:
             try:
-                rows, _ = await self.term.store.rows(records.ZONES)
+                rows, _ = await self.term.state_store.list_prefix(records.ZONES)
             except TROUBLES as error:
                 self.term.node.note("zones", error)
                 await self.term.node.rest(OBSERVE_GAP_S)
@@ -79,11 +79,13 @@
     async def _write(self) -> None:
         now = self.term.now()
         rows = list(self.recovery.unwritten(now).items())
-        most = self.term.kept.txn_ops
+        most = self.term.state_limits.txn_ops
         for at in range(0, len(rows), most):
             part = rows[at : at + most]
             covered = self.recovery.covered([zone for zone, _ in part], now)
-            await self.term.txn({}, [put(key, value) for _, (key, value) in part], bulk=True)
+            await self.term.transaction(
+                {}, [put(key, value) for _, (key, value) in part], bulk=True
+            )
             self.recovery.wrote(covered)
 
     def _show(self) -> None:
--- a/src/salthead/leader/zone_permissions.py
+++ b/src/salthead/leader/zone_permissions.py
@@ -10,7 +10,7 @@
 
 from salthead.coordination.zone_leases import counted_until
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Compacted, Conflict, Row, drop, put
+from salthead.state_store.client import TROUBLES, Compacted, Conflict, VersionedValue, delete, put
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -33,11 +33,11 @@
         so that no permission is written any more, late or not. A question alone is none.
         """
         term = self.term
-        questions, _ = await term.store.rows(records.KEEP)
+        questions, _ = await term.state_store.list_prefix(records.KEEP)
         members = {key.removeprefix(records.KEEP) for key in questions}
-        permissions: dict[str, Row] = {}
+        permissions: dict[str, VersionedValue] = {}
         if term.link_loop is not None:
-            permissions, _ = await term.store.rows(records.KEPT)
+            permissions, _ = await term.state_store.list_prefix(records.KEPT)
         self.earlier = {key: revision for key, (_, revision) in permissions.items()}
         term.ledger.leases.counted_from = term.now()
         if term.link_loop is not None:
@@ -52,7 +52,7 @@
         since = self.term.job_records.since
         while True:
             try:
-                events, since = await self.term.store.changes(records.KEEP, since, WATCH_S)
+                events, since = await self.term.state_store.watch(records.KEEP, since, WATCH_S)
                 for event in events:
                     value = event.get("value")
                     if type(value) is not dict or value.get("token") != self.term.fencing_token:
@@ -75,7 +75,7 @@
         until = counted_until(term.now(), term.clock.ttl)
         if term.ledger.leases.keep_zone(str(value.get("area")), until):
             permission = {"token": term.fencing_token, "nonce": value.get("nonce")}
-            await term.txn({}, [put(records.KEPT + member, permission)], urgent=True)
+            await term.transaction({}, [put(records.KEPT + member, permission)], urgent=True)
 
     async def forget_loop(self) -> None:
         """Drop earlier leaders' permissions once they are over, so that no takeover counts them."""
@@ -85,7 +85,7 @@
             )
             key, revision = next(iter(self.earlier.items()))
             try:
-                await self.term.txn({key: revision}, [drop(key)], bulk=True)
+                await self.term.transaction({key: revision}, [delete(key)], bulk=True)
             except Conflict:
                 pass  # this leader has allowed something since
             except TROUBLES as error:
--- a/src/salthead/node/election.py
+++ b/src/salthead/node/election.py
@@ -9,7 +9,7 @@
 from salthead.coordination import lease
 from salthead.evidence.gate import Action, Fact, permits
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, NoLease, Refused, Row, put
+from salthead.state_store.client import TROUBLES, Conflict, NoLease, Refused, VersionedValue, put
 
 if TYPE_CHECKING:
     from salthead.node.node import Node
@@ -39,7 +39,7 @@
         """Watch the leader's key, stand when there is no leader, and lead when this node won."""
         while True:
             try:
-                row = await self.node.store.get(records.LEAD, urgent=True)
+                row = await self.node.state_store.get(records.LEAD, urgent=True)
                 if self._won(row):
                     await self._lead(row)
                 elif row is not None and not self._of_ended_process(row):
@@ -52,51 +52,53 @@
                 self.node.note("election", error)
                 await self.node.rest(TROUBLE_RETRY_S)
 
-    def _is_own(self, row: Row | None) -> bool:
-        return row is not None and row[0].get("member") == self.node.settings.member
+    def _is_own(self, row: VersionedValue | None) -> bool:
+        return row is not None and row.value.get("member") == self.node.settings.member
 
-    def _won(self, row: Row | None) -> bool:
+    def _won(self, row: VersionedValue | None) -> bool:
         if row is None or not self.candidacy.nonce:
             return False
-        return self._is_own(row) and row[0].get("nonce") == self.candidacy.nonce
+        return self._is_own(row) and row.value.get("nonce") == self.candidacy.nonce
 
-    def _of_ended_process(self, row: Row) -> bool:
+    def _of_ended_process(self, row: VersionedValue) -> bool:
         """Whether an earlier process of this very member led: its key can be replaced at once."""
-        return self._is_own(row) and row[0].get("run") != self.node.run_id
+        return self._is_own(row) and row.value.get("run") != self.node.run_id
 
-    async def _lead(self, row: Row | None) -> None:
+    async def _lead(self, row: VersionedValue | None) -> None:
         assert row is not None
         node, candidacy = self.node, self.candidacy
         node.leader = node.settings.member
-        await node.lead(row[0]["token"], row[1], candidacy.lease_id, candidacy.sent, self.ttl)
+        await node.lead(
+            row.value["token"], row.revision, candidacy.lease_id, candidacy.sent, self.ttl
+        )
         candidacy.nonce = ""
         node.leader = None
         await node.rest(RETRY_S)
 
-    async def _follow(self, row: Row) -> None:
+    async def _follow(self, row: VersionedValue) -> None:
         holder, revision = row
         self.node.leader = holder.get("member")
         self.node.leader_fencing_token = int(holder.get("token", 0))
-        await self.node.store.changes(records.LEAD, revision, WATCH_S)
+        await self.node.state_store.watch(records.LEAD, revision, WATCH_S)
 
-    async def _stand(self, row: Row | None) -> None:
+    async def _stand(self, row: VersionedValue | None) -> None:
         """There is no leader, or an ended process of this member is named as one."""
         node = self.node
         node.leader = None
         own = self._is_own(row)
-        fencing_token_row = await node.store.get(records.FENCING_TOKEN, urgent=True)
+        fencing_token_row = await node.state_store.get(records.FENCING_TOKEN, urgent=True)
         if node.abstention.in_doubt:
             # Without its lease an earlier try can't be carried out any more.
-            await node.store.revoke_lease(self.candidacy.lease_id)
+            await node.state_store.revoke_lease(self.candidacy.lease_id)
             node.abstention.in_doubt = False
         if not self._may_take_lead(own, fencing_token_row is None):
             await node.rest(RETRY_S)
             return
         self.candidacy.sent = node.now()
-        self.candidacy.lease_id = await node.store.grant_lease(self.ttl)
+        self.candidacy.lease_id = await node.state_store.grant_lease(self.ttl)
         # Once more, with nothing awaited between this and the request to take the lead.
         if not self._may_take_lead(own, fencing_token_row is None):
-            await node.store.revoke_lease(self.candidacy.lease_id)
+            await node.state_store.revoke_lease(self.candidacy.lease_id)
             await node.rest(RETRY_S)
             return
         await self._take_lead(row, fencing_token_row)
@@ -107,10 +109,12 @@
         held = Fact.STATE_SERVICE | (Fact(0) if promised else Fact.NO_PROMISE)
         return permits(Action.TAKE_LEAD, held)
 
-    async def _take_lead(self, row: Row | None, fencing_token_row: Row | None) -> None:
+    async def _take_lead(
+        self, row: VersionedValue | None, fencing_token_row: VersionedValue | None
+    ) -> None:
         """Ask for the lead in one transaction that also raises the fencing token."""
         node, candidacy = self.node, self.candidacy
-        fencing_token = (fencing_token_row[0]["n"] if fencing_token_row else 0) + 1
+        fencing_token = (fencing_token_row.value["n"] if fencing_token_row else 0) + 1
         candidacy.nonce = uuid.uuid4().hex[:12]
         value: dict[str, Any] = {
             "member": node.settings.member,
@@ -120,10 +124,10 @@
         }
         node.abstention.in_doubt = True
         try:
-            await node.store.txn(
+            await node.state_store.transaction(
                 {
-                    records.LEAD: row[1] if row else 0,
-                    records.FENCING_TOKEN: fencing_token_row[1] if fencing_token_row else 0,
+                    records.LEAD: row.revision if row else 0,
+                    records.FENCING_TOKEN: fencing_token_row.revision if fencing_token_row else 0,
                 },
                 [
                     put(records.LEAD, value, candidacy.lease_id),
--- a/src/salthead/node/handlers.py
+++ b/src/salthead/node/handlers.py
@@ -72,17 +72,17 @@
         return Router(
             self.node.now,
             {
-                names.HELLO: Route("POST", "report", self.heartbeat),
-                names.UP: Route("GET", "up", self.up),
-                names.WORK: Route("POST", "submit", self.submit),
-                names.OVERVIEW: Route("GET", "overview", self.overview),
-                names.METRICS: Route("GET", "metrics", self.metrics),
+                names.HEARTBEAT_PATH: Route("POST", "report", self.heartbeat),
+                names.READY_PATH: Route("GET", "up", self.up),
+                names.JOBS_PATH: Route("POST", "submit", self.submit),
+                names.OVERVIEW_PATH: Route("GET", "overview", self.overview),
+                names.METRICS_PATH: Route("GET", "metrics", self.metrics),
             },
             PrefixRoutes(
-                names.WORK,
+                names.JOBS_PATH,
                 {
                     "": Route("GET", "poll", self.poll),
-                    names.CANCEL: Route("POST", "cancel", self.cancel),
+                    names.CANCEL_SUFFIX: Route("POST", "cancel", self.cancel),
                 },
             ),
         )
@@ -144,12 +144,12 @@
         return Router(
             self.node.now,
             {
-                names.PEER_SUBMIT: Route("POST", "peer submit", self.submit),
-                names.PEER_POLL: Route("POST", "peer poll", self.poll),
-                names.PEER_CANCEL: Route("POST", "peer cancel", self.cancel),
+                names.PEER_SUBMIT_PATH: Route("POST", "peer submit", self.submit),
+                names.PEER_STATUS_PATH: Route("POST", "peer poll", self.poll),
+                names.PEER_CANCEL_PATH: Route("POST", "peer cancel", self.cancel),
                 names.PEER_PROMISE: Route("POST", "peer promise", self.promise),
-                names.PEER_REDIRECTED: Route("POST", "peer redirected", self.redirected),
-                names.PEER_OVERVIEW: Route("POST", "peer overview", self.overview),
+                names.PEER_CONNECTIVITY_PATH: Route("POST", "peer redirected", self.redirected),
+                names.PEER_OVERVIEW_PATH: Route("POST", "peer overview", self.overview),
             },
         )
 
--- a/src/salthead/node/job_lookups.py
+++ b/src/salthead/node/job_lookups.py
@@ -12,7 +12,7 @@
 from salthead.protocol import names
 from salthead.protocol.messages import Submission, status_body
 from salthead.state_store import records
-from salthead.state_store.client import Row
+from salthead.state_store.client import VersionedValue
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
@@ -32,10 +32,10 @@
         """A job with all that it awaits, where its record is continued in further values."""
         depends_on = list(spec.depends_on or [])
         for n in range(spec.more):
-            row = await self.node.store.get(records.awaits_key(spec.job_id, n))
+            row = await self.node.state_store.get(records.awaits_key(spec.job_id, n))
             if row is None:
                 raise Unanswered("job record: a part is missing")
-            depends_on += records.awaits_from(row[0])
+            depends_on += records.awaits_from(row.value)
         return msgspec.structs.replace(spec, depends_on=depends_on or None)
 
     async def depends_on_cancelled(
@@ -56,7 +56,7 @@
         """
         seen, line = set(depends_on), deque(depends_on)
         named, cut = set(depends_on), False
-        active: dict[str, Row] | None = None
+        active: dict[str, VersionedValue] | None = None
         reads = 0
         while line:
             job_id = line.popleft()
@@ -67,7 +67,7 @@
             known, found = self._in_memory(job_id)
             if not known:
                 if reads == LOOK_UPS:  # deep or wide: all jobs that are not over at once
-                    active, _ = await self.node.store.rows(records.JOBS)
+                    active, _ = await self.node.state_store.list_prefix(records.JOBS)
                 reads += 1
                 row = active.get(records.job_key(job_id)) if active is not None else None
                 found = await self.look_up(job_id, row)
@@ -94,36 +94,36 @@
         self.node.remember(job.spec)
         return True, job.over or (names.ABORTED if job.dependency_cancelled else None)
 
-    async def look_up(self, job_id: str, row: Row | None) -> str | None:
+    async def look_up(self, job_id: str, row: VersionedValue | None) -> str | None:
         """A job's outcome, or None when it is not over and what it awaits is known."""
         if row is None:
             if (ended := await self.ended(job_id)) is not None:
                 return ended[0]
             if job_id in self.node.accepted:
                 return None
-            row = await self.node.store.get(records.job_key(job_id))
+            row = await self.node.state_store.get(records.job_key(job_id))
         if row is None:  # it has ended since, or was never accepted
             if (ended := await self.ended(job_id)) is not None:
                 return ended[0]
             raise Rejected(f"awaits: {job_id} was never accepted")
         if job_id not in self.node.accepted:
-            self.node.remember(await self.whole(records.job_from(row[0])))
+            self.node.remember(await self.whole(records.job_from(row.value)))
         return None
 
     async def ended(self, job_id: str) -> tuple[str, int, float | None] | None:
         """The outcome of a job, if it has one."""
-        row = await self.node.store.get(records.over_key(job_id))
+        row = await self.node.state_store.get(records.over_key(job_id))
         if row is None:
             return None
-        phase, spec = records.over_from(row[0])
-        self.node.final(job_id, phase, spec.task_count, records.ended_at(row[0]))
+        phase, spec = records.over_from(row.value)
+        self.node.final(job_id, phase, spec.task_count, records.ended_at(row.value))
         return self.node.finals[job_id]
 
     async def read(self, job_id: str) -> dict[str, Any] | None:
         """A job's state by a consistent read; None when it was never accepted."""
-        row = await self.node.store.get(records.job_key(job_id))
+        row = await self.node.state_store.get(records.job_key(job_id))
         if row is not None:
-            spec = await self.whole(records.job_from(row[0]))
+            spec = await self.whole(records.job_from(row.value))
             self.node.remember(spec)
             try:
                 cut = spec.depends_on is not None and await self.depends_on_cancelled(
--- a/src/salthead/node/machine_types.py
+++ b/src/salthead/node/machine_types.py
@@ -39,17 +39,17 @@
             await self.node.rest(RETRY_S)
 
     async def _from_cloud(self) -> list[MachineType]:
-        answer = await self.node.cloud.call("GET", names.FLAVORS, timeout=3.0)
+        answer = await self.node.cloud.call("GET", names.MACHINE_TYPES_PATH, timeout=3.0)
         if answer.status != 200:
             raise Refused(answer.status, "flavors")
         return shape(answer.body, MachineTypes).machine_types
 
     async def _as_stored(self) -> list[MachineType]:
-        rows, _ = await self.node.store.rows(records.MORE_FLAVORS)
-        found = records.machine_types_from({key: row[0] for key, row in rows.items()})
+        rows, _ = await self.node.state_store.list_prefix(records.MORE_FLAVORS)
+        found = records.machine_types_from({key: row.value for key, row in rows.items()})
         if found is None:
-            row = await self.node.store.get(records.FLAVORS)
-            found = None if row is None else row[0]
+            row = await self.node.state_store.get(records.FLAVORS)
+            found = None if row is None else row.value
         return [] if found is None else shape(found, MachineTypes).machine_types
 
     def take(self, machine_types: list[MachineType]) -> None:
--- a/src/salthead/node/node.py
+++ b/src/salthead/node/node.py
@@ -36,7 +36,7 @@
 from salthead.state_store import records
 from salthead.state_store.client import (
     Refused,
-    Store,
+    StateStore,
 )
 from salthead.transport.client import Caller, Unanswered
 
@@ -66,9 +66,13 @@
         self.now = now
         self.run_id = uuid.uuid4().hex[:12]
         # The limits of the state service that all requests keep to.
-        self.kept = self.limits.state.kept()
-        self.store = Store(
-            settings.endpoints.state, self.kept.rps, self.kept.write_rps, self.now, dial
+        self.state_limits = self.limits.state.effective()
+        self.state_store = StateStore(
+            settings.endpoints.state,
+            self.state_limits.rps,
+            self.state_limits.write_rps,
+            self.now,
+            dial,
         )
         self.sockets = Sockets(self.limits.quota.max_connections, len(settings.seeds))
         self.cloud = dial(settings.endpoints.cloud, Sockets.CLOUD)
@@ -159,7 +163,7 @@
         More submissions in progress than the state service takes writes in a second can't be
         answered in time anyway.
         """
-        return self.lag > LAG_MOST_S or self.submitting >= max(4.0, self.kept.write_rps)
+        return self.lag > LAG_MOST_S or self.submitting >= max(4.0, self.state_limits.write_rps)
 
     async def promise(self, member: str) -> bool:
         """Promise a leader that lost the state service not to stand for a while.
@@ -170,7 +174,7 @@
         if self.term is not None or self.leader != member:
             return False
         try:
-            await self.store.get(records.LEAD, timeout=0.5, urgent=True)
+            await self.state_store.get(records.LEAD, timeout=0.5, urgent=True)
             return False
         except (Refused, Unanswered):
             pass
@@ -286,7 +290,7 @@
         """GET /work/ID; None is 404."""
         found = self.status_in_memory(job_id)
         if found is None and self.leading() is None:
-            found = await self.ask_leader(names.PEER_POLL, job_id, 0.8)
+            found = await self.ask_leader(names.PEER_STATUS_PATH, job_id, 0.8)
         return found if found is not None else await self.lookups.read(job_id)
 
     async def cancel(self, job_id: str) -> dict[str, Any] | None:
@@ -297,7 +301,7 @@
         term = self.leading()
         if term is not None:
             return await term.cancel(job_id)
-        found = await self.ask_leader(names.PEER_CANCEL, job_id, 3.0)
+        found = await self.ask_leader(names.PEER_CANCEL_PATH, job_id, 3.0)
         if found is not None:
             return found
         # Only the leader may decide it, but what is decided, or unknown, anyone can read.
@@ -314,7 +318,7 @@
         peer = self.peers.get(self.leader or "")
         if peer is None:
             raise Later("no leader")
-        answer = await peer.call("POST", names.PEER_OVERVIEW, timeout=2.0)
+        answer = await peer.call("POST", names.PEER_OVERVIEW_PATH, timeout=2.0)
         if answer.status != 200:
             raise Later("no leader")
         return answer.body
--- a/src/salthead/node/reach.py
+++ b/src/salthead/node/reach.py
@@ -53,10 +53,10 @@
         """Whether this node reaches the state service or any other node, and they the service."""
         while True:
             await self.node.rest(REACH_S)
-            if self.node.store.answered >= self.node.now() - REACH_S:
+            if self.node.state_store.last_response_at >= self.node.now() - REACH_S:
                 continue
             try:
-                await self.node.store.get(records.LEAD, timeout=REACH_S, urgent=True)
+                await self.node.state_store.get(records.LEAD, timeout=REACH_S, urgent=True)
             except (Refused, Unanswered):
                 await asyncio.gather(
                     *(self.ask(peer) for peer in self.node.peers.values()), return_exceptions=True
@@ -75,7 +75,7 @@
         """What a peer is told of this node's reach; a leader also, which workers it has missed."""
         told: dict[str, Any] = {
             "knocks": self.redirected_count(),
-            "served_s": self.node.now() - self.node.store.answered,
+            "served_s": self.node.now() - self.node.state_store.last_response_at,
         }
         if to_leader:
             self._forget_old()
@@ -89,7 +89,7 @@
         """Whether the state service serves others, but not this node: it can take no job."""
         now = self.node.now()
         return (
-            now - self.node.store.answered > 2.0 * REACH_S
+            now - self.node.state_store.last_response_at > 2.0 * REACH_S
             and now - self.others_served < 4.0 * REACH_S
         )
 
@@ -97,7 +97,9 @@
         """Whether this node lost the state service and all others, though workers and users may
         reach it: what it knows of the lead is old, and it can decide nothing."""
         patience = 2.0 * lease.leader_ttl(self.node.limits.workers.lease_s)
-        return self.node.now() - max(self.node.store.answered, self.reached) > patience
+        return (
+            self.node.now() - max(self.node.state_store.last_response_at, self.reached) > patience
+        )
 
     def note_redirected(self, who: str) -> None:
         """A worker came here although another node leads."""
--- a/src/salthead/node/sockets.py
+++ b/src/salthead/node/sockets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from salthead.state_store.client import Store
+from salthead.state_store.client import StateStore
 
 
 class Sockets:
@@ -26,6 +26,11 @@
         # A peer that was cut off leaves as many half open as it opens anew.
         self.peers_in = 2 * self.PEER * peers if most else 0
         own = (
-            Store.SLOTS + self.CLOUD + self.PEER * peers + self.workers + self.peers_in + self.SPARE
+            StateStore.SLOTS
+            + self.CLOUD
+            + self.PEER * peers
+            + self.workers
+            + self.peers_in
+            + self.SPARE
         )
         self.clients = max(self.SPARE, most - own) if most else 0
--- a/src/salthead/node/submissions.py
+++ b/src/salthead/node/submissions.py
@@ -67,7 +67,7 @@
                 return 200, found
             raise
         try:
-            revision = await self.node.store.txn(
+            revision = await self.node.state_store.transaction(
                 {records.job_key(job.job_id): 0, records.over_key(job.job_id): 0},
                 [put(key, value) for key, value in rows],
             )
@@ -99,14 +99,14 @@
         dependency_cancelled = bool(job.depends_on) and await self._check_awaits(job)
         # The time is noted before the record is made, for what it takes up in it.
         job.at = time.time()
-        kept = self.node.kept
+        limits = self.node.state_limits
         try:
-            rows = records.job_rows(job, kept.value_kb, kept.txn_ops)
+            rows = records.job_rows(job, limits.value_kb, limits.txn_ops)
         except records.TooLong as error:
             raise Rejected(str(error)) from None
         if dependency_cancelled:
             # What it needs was cancelled, so its outcome is known before it is written.
-            value = records.over_value(job, names.ABORTED, job.at, kept.value_kb)
+            value = records.over_value(job, names.ABORTED, job.at, limits.value_kb)
             rows = [(records.over_key(job.job_id), value)]
         return rows, dependency_cancelled
 
@@ -140,7 +140,7 @@
         for peer in self.node.peers.values() if self.node.reach.refused_alone() else ():
             try:
                 answer = await peer.call(
-                    "POST", names.PEER_SUBMIT, msgspec.to_builtins(job), timeout=0.8
+                    "POST", names.PEER_SUBMIT_PATH, msgspec.to_builtins(job), timeout=0.8
                 )
             except Unanswered as error:
                 self.node.note("pass on", error)
--- a/src/salthead/node/zone_keeper.py
+++ b/src/salthead/node/zone_keeper.py
@@ -10,7 +10,7 @@
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat
 from salthead.state_store import records
-from salthead.state_store.client import TROUBLES, Conflict, drop, put
+from salthead.state_store.client import TROUBLES, Conflict, delete, put
 from salthead.transport.client import Unanswered
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
         if self.node.term is not None or peer is None:
             return True
         try:
-            await peer.call("POST", names.PEER_REDIRECTED, timeout=self.lease.ttl / 8.0)
+            await peer.call("POST", names.PEER_CONNECTIVITY_PATH, timeout=self.lease.ttl / 8.0)
         except Unanswered:
             return False
         return True
@@ -64,20 +64,22 @@
             self.node.settings.area,
             self.node.now(),
         )
-        await self.node.store.txn({}, [put(records.KEEP + member, question)], urgent=True)
+        await self.node.state_store.transaction(
+            {}, [put(records.KEEP + member, question)], urgent=True
+        )
         for _ in range(4):
             await self.node.rest(self.lease.ttl / 24.0)
-            row = await self.node.store.get(records.KEPT + member, urgent=True)
-            if row is not None and self.lease.allowed(row[0]):
+            row = await self.node.state_store.get(records.KEPT + member, urgent=True)
+            if row is not None and self.lease.allowed(row.value):
                 return
 
     async def _withdraw(self) -> None:
         key = records.KEEP + self.node.settings.member
-        row = await self.node.store.get(key, urgent=True)
+        row = await self.node.state_store.get(key, urgent=True)
         if row is not None:
             # On condition of its stamp: carried out late, it must not take away a later question,
             # by which the next leader knows of what was allowed.
-            await self.node.store.txn({key: row[1]}, [drop(key)], urgent=True)
+            await self.node.state_store.transaction({key: row.revision}, [delete(key)], urgent=True)
 
     def keeps(self, heartbeat: Heartbeat) -> bool:
         """Whether to answer a worker in the name of a leader that it can't reach."""
--- a/src/salthead/protocol/names.py
+++ b/src/salthead/protocol/names.py
@@ -1,31 +1,31 @@
 """Every name that crosses the wire. The other layers use the Python names."""
 
 # paths, users and workers
-WORK = "/work"
-UP = "/up"
-HELLO = "/hello"
+JOBS_PATH = "/work"
+READY_PATH = "/up"
+HEARTBEAT_PATH = "/hello"
 # the last segment of a cancellation's path
-CANCEL = "cancel"
+CANCEL_SUFFIX = "cancel"
 # paths, operators
-OVERVIEW = "/overview"
-METRICS = "/metrics"
+OVERVIEW_PATH = "/overview"
+METRICS_PATH = "/metrics"
 # paths, workers
-DO = "/do"
+COMMAND_PATH = "/do"
 # paths, cloud
-FLAVORS = "/flavors"
-HOSTS = "/hosts"
-HOSTS_RETURN = "/hosts/return"
+MACHINE_TYPES_PATH = "/flavors"
+MACHINES_PATH = "/hosts"
+MACHINES_TERMINATE_PATH = "/hosts/return"
 # paths, state service
-KEYS = "/keys"
-TXN = "/txn"
-GRANTS = "/grants"
-CHANGES = "/changes"
+KEYS_PATH = "/keys"
+TRANSACTIONS_PATH = "/txn"
+LEASES_PATH = "/grants"
+CHANGES_PATH = "/changes"
 # paths between controllers
-PEER_SUBMIT = "/peer/submit"
-PEER_POLL = "/peer/poll"
-PEER_CANCEL = "/peer/cancel"
-PEER_REDIRECTED = "/peer/knocks"
-PEER_OVERVIEW = "/peer/overview"
+PEER_SUBMIT_PATH = "/peer/submit"
+PEER_STATUS_PATH = "/peer/poll"
+PEER_CANCEL_PATH = "/peer/cancel"
+PEER_CONNECTIVITY_PATH = "/peer/knocks"
+PEER_OVERVIEW_PATH = "/peer/overview"
 PEER_PROMISE = "/peer/promise"
 
 # phases of a job
--- a/src/salthead/settings.py
+++ b/src/salthead/settings.py
@@ -74,7 +74,7 @@
     txn_ops: int
     next: NextState | None = None
 
-    def kept(self) -> State:
+    def effective(self) -> State:
         """What every request keeps to: the smaller of the limits that are and those to come.
 
         They come without notice, and what is refused then would be refused for ever.
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -3,14 +3,19 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from salthead.protocol import names
 from salthead.protocol.messages import Malformed
 from salthead.transport.client import Answer, Caller, Unanswered
 from salthead.transport.limits import Budget
 
-Row = tuple[Any, int]  # value, stamp
+
+class VersionedValue(NamedTuple):
+    """A value of the state service, with the revision at which it was last written."""
+
+    value: Any
+    revision: int
 
 
 class Refused(Exception):
@@ -48,7 +53,7 @@
     return value
 
 
-class Store:
+class StateStore:
     """Calls to the state service, within the limits that its settings name."""
 
     URGENT, BULK, WATCHES = 4, 8, 4
@@ -72,32 +77,34 @@
         # The roster and done tasks: submissions and outcomes never wait behind them.
         self.bulk_writes = Budget(write_rps * 0.25, write_rps * 0.5, now)
         self.now = now
-        self.answered = -1e9  # when the service last did something for this node
+        self.last_response_at = -1e9  # when the service last did something for this node
 
     def _check(self, answer: Answer, what: str, *expected: int) -> Answer:
         if answer.status in expected:
-            self.answered = self.now()
+            self.last_response_at = self.now()
             return answer
         raise Refused(answer.status, what)
 
-    async def get(self, key: str, timeout: float = 1.5, urgent: bool = False) -> Row | None:
+    async def get(
+        self, key: str, timeout: float = 1.5, urgent: bool = False
+    ) -> VersionedValue | None:
         """One value and its stamp, or None if there is no such key."""
         if not urgent:
             await self.reads.wait()
         caller = self.urgent if urgent else self.bulk
-        answer = await caller.call("GET", f"{names.KEYS}/{key}", timeout=timeout)
+        answer = await caller.call("GET", f"{names.KEYS_PATH}/{key}", timeout=timeout)
         self._check(answer, key, 200, 404)
         if answer.status == 404:
             return None
-        return answer.body.get("value"), _int(answer.body, "stamp")
+        return VersionedValue(answer.body.get("value"), _int(answer.body, "stamp"))
 
-    async def rows(self, prefix: str) -> tuple[dict[str, Row], int]:
+    async def list_prefix(self, prefix: str) -> tuple[dict[str, VersionedValue], int]:
         """All rows below a prefix, and the epoch from which to watch for what changes after.
 
         Pages are read one after the other; the first page's epoch is returned, so that a
         watch from there repeats changes rather than missing any.
         """
-        rows: dict[str, Row] = {}
+        rows: dict[str, VersionedValue] = {}
         start = ""
         first: int | None = None
         while True:
@@ -106,33 +113,33 @@
             if start:
                 query["from"] = start
             answer = self._check(
-                await self.bulk.call("GET", names.KEYS, query=query, timeout=3.0), prefix, 200
+                await self.bulk.call("GET", names.KEYS_PATH, query=query, timeout=3.0), prefix, 200
             )
             if first is None:
                 first = _int(answer.body, "epoch")
             for row in answer.body.get("rows") or []:
-                rows[row["path"]] = (row.get("value"), row["stamp"])
+                rows[row["path"]] = VersionedValue(row.get("value"), row["stamp"])
                 start = row["path"]
             if not answer.body.get("truncated"):
                 return rows, first
 
-    async def txn(
+    async def transaction(
         self,
-        when: dict[str, int],
-        apply: list[dict[str, Any]],
+        conditions: dict[str, int],
+        operations: list[dict[str, Any]],
         timeout: float = 2.0,
         urgent: bool = False,
         bulk: bool = False,
     ) -> int:
         """Make changes on condition of stamps; the epoch after. Conflict if a condition fails."""
         if not urgent:
-            await (self.bulk_writes if bulk else self.writes).wait(len(apply))
+            await (self.bulk_writes if bulk else self.writes).wait(len(operations))
         caller = self.urgent if urgent else self.bulk
         body = {
-            "when": [{"path": key, "stamp": revision} for key, revision in when.items()],
-            "apply": apply,
+            "when": [{"path": key, "stamp": revision} for key, revision in conditions.items()],
+            "apply": operations,
         }
-        answer = await caller.call("POST", names.TXN, body, timeout=timeout)
+        answer = await caller.call("POST", names.TRANSACTIONS_PATH, body, timeout=timeout)
         if answer.status == 400 and "lease" in str(answer.body.get("error", "")):
             raise NoLease("txn")
         self._check(answer, "txn", 200, 409)
@@ -143,7 +150,7 @@
     async def grant_lease(self, ttl_s: float, timeout: float = 1.5) -> int:
         """A new lease; its number."""
         answer = await self.urgent.call(
-            "POST", names.GRANTS, {"ttl_ms": round(ttl_s * 1000)}, timeout=timeout
+            "POST", names.LEASES_PATH, {"ttl_ms": round(ttl_s * 1000)}, timeout=timeout
         )
         self._check(answer, "grant", 200)
         return _int(answer.body, "tether")
@@ -151,7 +158,7 @@
     async def renew_lease(self, lease_id: int, timeout: float) -> None:
         """Renew a lease; NoLease if it has ended."""
         answer = await self.urgent.call(
-            "POST", f"{names.GRANTS}/{lease_id}/extend", timeout=timeout
+            "POST", f"{names.LEASES_PATH}/{lease_id}/extend", timeout=timeout
         )
         self._check(answer, "extend", 200, 404)
         if answer.status == 404:
@@ -159,16 +166,16 @@
 
     async def revoke_lease(self, lease_id: int) -> None:
         """End a lease at once."""
-        answer = await self.urgent.call("DELETE", f"{names.GRANTS}/{lease_id}", timeout=1.0)
+        answer = await self.urgent.call("DELETE", f"{names.LEASES_PATH}/{lease_id}", timeout=1.0)
         self._check(answer, "end", 200, 404)
 
-    async def changes(
+    async def watch(
         self, prefix: str, since: int, wait_s: float
     ) -> tuple[list[dict[str, Any]], int]:
         """Changes below a prefix since an epoch, and the epoch up to which they are known."""
         answer = await self.watches.call(
             "GET",
-            names.CHANGES,
+            names.CHANGES_PATH,
             timeout=wait_s + 2.0,
             query={"prefix": prefix, "from": since, "wait_ms": round(wait_s * 1000)},
         )
@@ -186,6 +193,6 @@
     return change
 
 
-def drop(key: str) -> dict[str, Any]:
+def delete(key: str) -> dict[str, Any]:
     """A change that removes a key."""
     return {"drop": key}
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -91,12 +91,12 @@
 class Rows:
     """Just enough of the state service's client: whatever is written is taken at once."""
 
-    answered = float("inf")
+    last_response_at = float("inf")
 
     async def get(self, key: str, **_: Any) -> None:
         """No record is there."""
 
-    async def txn(self, *_: Any, **__: Any) -> int:
+    async def transaction(self, *_: Any, **__: Any) -> int:
         """Every transaction is carried out, after the one that took the lead."""
         return REVISION
 
@@ -187,7 +187,7 @@
         own = settings(member, (other,))
         own.seeds[0].endpoint = other_endpoint
         node = Node(own, random.Random(1))
-        node.store = Rows()  # type: ignore[assignment]
+        node.state_store = Rows()  # type: ignore[assignment]
         node.machine_types = {machine_type.name: machine_type for machine_type in FLAVORS}
         return node
 
@@ -211,7 +211,7 @@
     async def of_reports(self, sequence: int, ended: int) -> Cost:
         """Of reports, of which so many tasks have ended."""
         requests = [
-            ("POST", names.HELLO, encode(shown(self.ledger, f"m{n}", sequence, ended)))
+            ("POST", names.HEARTBEAT_PATH, encode(shown(self.ledger, f"m{n}", sequence, ended)))
             for n in range(REQUESTS)
         ]
         return await self.of_requests(self.endpoints[0], requests, 200)
@@ -219,14 +219,14 @@
     async def of_polls(self, endpoint: str) -> Cost:
         """Of polls at one node."""
         requests: list[HttpRequest] = [
-            ("GET", f"{names.WORK}/req-{n % JOBS_IN_LINE}", None) for n in range(REQUESTS)
+            ("GET", f"{names.JOBS_PATH}/req-{n % JOBS_IN_LINE}", None) for n in range(REQUESTS)
         ]
         return await self.of_requests(endpoint, requests, 200)
 
     async def of_submissions(self) -> Cost:
         """Of new jobs."""
         requests: list[HttpRequest] = [
-            ("POST", names.WORK, encode(given(spec(job_id=f"req-{9000 + n}"))))
+            ("POST", names.JOBS_PATH, encode(given(spec(job_id=f"req-{9000 + n}"))))
             for n in range(REQUESTS)
         ]
         return await self.of_requests(self.endpoints[0], requests, 201)
@@ -234,10 +234,10 @@
     async def of_peer_calls(self) -> Cost:
         """Of calls between nodes."""
         peer = self.leader.peers["n1"]
-        await peer.call("POST", names.PEER_REDIRECTED)
+        await peer.call("POST", names.PEER_CONNECTIVITY_PATH)
         with Meter(with_calls=not self.with_seconds) as meter:
             for _ in range(REQUESTS):
-                await peer.call("POST", names.PEER_REDIRECTED)
+                await peer.call("POST", names.PEER_CONNECTIVITY_PATH)
         return Cost(meter.calls / REQUESTS, meter.seconds / REQUESTS)
 
     def of_burst(self) -> Cost:
@@ -324,7 +324,9 @@
         ("submission", await bench.of_submissions(), SUBMISSIONS_PER_S),
         (
             "health check",
-            await bench.of_requests(bench.endpoints[0], [("GET", names.UP, None)] * REQUESTS, 200),
+            await bench.of_requests(
+                bench.endpoints[0], [("GET", names.READY_PATH, None)] * REQUESTS, 200
+            ),
             PROBES_PER_S,
         ),
         ("call to a peer (both nodes)", await bench.of_peer_calls(), CALLS_PER_S),
