--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -48,7 +48,7 @@
 NOTHING_IN_DOUBT = int(Fact.NOTHING_IN_DOUBT)
 
 
-class Node:
+class Controller:
     """One controller: what it knows, and what it answers."""
 
     def __init__(
@@ -108,7 +108,7 @@
             log.warning("%s: %s", kind, error)
 
     async def rest(self, seconds: float) -> None:
-        """A pause with jitter, so that nodes do not ask in step."""
+        """A pause with jitter, so that controllers do not ask in step."""
         await asyncio.sleep(seconds * self.rng.uniform(0.8, 1.2))
 
     def final(self, job_id: str, phase: str, task_count: int, at: float | None = None) -> None:
@@ -125,14 +125,14 @@
             self.accepted.popitem(last=False)
 
     def leading(self) -> Term | None:
-        """The term, while this node is entitled to act for the controllers."""
+        """The term, while this controller is entitled to act for the controllers."""
         term = self.term
         return term if term is not None and term.valid() else None
 
     # -- loops --------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """All loops of the node, until it is killed."""
+        """All loops of the controller, until it is killed."""
         async with asyncio.TaskGroup() as group:
             group.create_task(Election(self).loop())
             group.create_task(MachineTypesLoop(self).loop())
@@ -148,7 +148,7 @@
             self.lag = self.now() - due
 
     def knocks_body(self, to_leader: bool = False) -> dict[str, Any]:
-        """What a peer is told of this node's reach."""
+        """What a peer is told of this controller's reach."""
         return self.reach.as_told(to_leader)
 
     def up(self) -> bool:
@@ -168,8 +168,8 @@
     async def promise(self, member: str) -> bool:
         """Promise a leader that lost the state service not to stand for a while.
 
-        Only when this node can't reach the service either: where the leader alone is refused,
-        another node has to take over, since outcomes could not be written otherwise.
+        Only when this controller can't reach the service either: where the leader alone is refused,
+        another controller has to take over, since outcomes could not be written otherwise.
         """
         if self.term is not None or self.leader != member:
             return False
@@ -214,7 +214,7 @@
     # -- what workers ask ---------------------------------------------------------------
 
     def redirect(self, who: str) -> tuple[int, dict[str, Any]]:
-        """The answer to a report of a node that may not act on it."""
+        """The answer to a report of a controller that may not act on it."""
         self.reach.note_redirected(who)
         if self.leader not in (None, self.settings.member) and not self.reach.cut_off():
             return 421, {"herder": self.leader}
@@ -264,7 +264,7 @@
         )
 
     def status_in_term(self, term: Term, job_id: str) -> dict[str, Any] | None:
-        """A job's status as this node's term knows it; None where only a read can tell."""
+        """A job's status as this controller's term knows it; None where only a read can tell."""
         job = term.ledger.jobs.get(job_id)
         if job is None:
             return None
@@ -279,7 +279,7 @@
         return self.status_in_term(term, job_id) or await self.lookups.read(job_id)
 
     def status_in_memory(self, job_id: str) -> dict[str, Any] | None:
-        """A job's status where this node can tell it without asking anybody, else None."""
+        """A job's status where this controller can tell it without asking anybody, else None."""
         known = self.finals.get(job_id)
         if known is not None:
             return status_body(job_id, known[0], known[1] if known[0] == names.DONE else 0)
--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -1,4 +1,5 @@
-"""How a node comes to lead: the key in the state service, and the abstentions that hold it back."""
+"""How a controller comes to lead: the key in the state service, and the abstentions that hold it
+back."""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 )
 
 if TYPE_CHECKING:
-    from salthead.controller.controller import Node
+    from salthead.controller.controller import Controller
 
 WATCH_S = 8.0  # one watch of the leader's key
 RETRY_S, CONFLICT_RETRY_S, TROUBLE_RETRY_S = 0.2, 0.05, 0.4
@@ -35,18 +36,19 @@
 
 
 class Election:
-    """One node's part in the election of a leader, for as long as its process lives."""
+    """One controller's part in the election of a leader, for as long as its process lives."""
 
-    def __init__(self, node: Node) -> None:
-        self.node = node
-        self.ttl = lease.leader_ttl(node.limits.workers.lease_s)
+    def __init__(self, controller: Controller) -> None:
+        self.controller = controller
+        self.ttl = lease.leader_ttl(controller.limits.workers.lease_s)
         self.candidacy = Candidacy()
 
     async def loop(self) -> None:
-        """Watch the leader's key, stand when there is no leader, and lead when this node won."""
+        """Watch the leader's key, stand when there is no leader, and lead when this controller
+        won."""
         while True:
             try:
-                row = await self.node.state_store.get(records.LEAD, urgent=True)
+                row = await self.controller.state_store.get(records.LEAD, urgent=True)
                 if self._won(row):
                     await self._lead(row)
                 elif row is not None and not self._of_ended_process(row):
@@ -54,13 +56,13 @@
                 else:
                     await self._stand(row)
             except ConflictError:
-                await self.node.rest(CONFLICT_RETRY_S)
+                await self.controller.rest(CONFLICT_RETRY_S)
             except RETRYABLE_ERRORS as error:
-                self.node.note("election", error)
-                await self.node.rest(TROUBLE_RETRY_S)
+                self.controller.note("election", error)
+                await self.controller.rest(TROUBLE_RETRY_S)
 
     def _is_own(self, row: VersionedValue | None) -> bool:
-        return row is not None and row.value.get("member") == self.node.settings.member
+        return row is not None and row.value.get("member") == self.controller.settings.member
 
     def _won(self, row: VersionedValue | None) -> bool:
         if row is None or not self.candidacy.nonce:
@@ -69,50 +71,50 @@
 
     def _of_ended_process(self, row: VersionedValue) -> bool:
         """Whether an earlier process of this very member led: its key can be replaced at once."""
-        return self._is_own(row) and row.value.get("run") != self.node.run_id
+        return self._is_own(row) and row.value.get("run") != self.controller.run_id
 
     async def _lead(self, row: VersionedValue | None) -> None:
         assert row is not None
-        node, candidacy = self.node, self.candidacy
-        node.leader = node.settings.member
-        await node.lead(
+        controller, candidacy = self.controller, self.candidacy
+        controller.leader = controller.settings.member
+        await controller.lead(
             row.value["token"], row.revision, candidacy.lease_id, candidacy.sent, self.ttl
         )
         candidacy.nonce = ""
-        node.leader = None
-        await node.rest(RETRY_S)
+        controller.leader = None
+        await controller.rest(RETRY_S)
 
     async def _follow(self, row: VersionedValue) -> None:
         holder, revision = row
-        self.node.leader = holder.get("member")
-        self.node.leader_fencing_token = int(holder.get("token", 0))
-        await self.node.state_store.watch(records.LEAD, revision, WATCH_S)
+        self.controller.leader = holder.get("member")
+        self.controller.leader_fencing_token = int(holder.get("token", 0))
+        await self.controller.state_store.watch(records.LEAD, revision, WATCH_S)
 
     async def _stand(self, row: VersionedValue | None) -> None:
         """There is no leader, or an ended process of this member is named as one."""
-        node = self.node
-        node.leader = None
+        controller = self.controller
+        controller.leader = None
         own = self._is_own(row)
-        fencing_token_row = await node.state_store.get(records.FENCING_TOKEN, urgent=True)
-        if node.abstention.in_doubt:
+        fencing_token_row = await controller.state_store.get(records.FENCING_TOKEN, urgent=True)
+        if controller.abstention.in_doubt:
             # Without its lease an earlier try can't be carried out any more.
-            await node.state_store.revoke_lease(self.candidacy.lease_id)
-            node.abstention.in_doubt = False
+            await controller.state_store.revoke_lease(self.candidacy.lease_id)
+            controller.abstention.in_doubt = False
         if not self._may_take_lead(own, fencing_token_row is None):
-            await node.rest(RETRY_S)
+            await controller.rest(RETRY_S)
             return
-        self.candidacy.sent = node.now()
-        self.candidacy.lease_id = await node.state_store.grant_lease(self.ttl)
+        self.candidacy.sent = controller.now()
+        self.candidacy.lease_id = await controller.state_store.grant_lease(self.ttl)
         # Once more, with nothing awaited between this and the request to take the lead.
         if not self._may_take_lead(own, fencing_token_row is None):
-            await node.state_store.revoke_lease(self.candidacy.lease_id)
-            await node.rest(RETRY_S)
+            await controller.state_store.revoke_lease(self.candidacy.lease_id)
+            await controller.rest(RETRY_S)
             return
         await self._take_lead(row, fencing_token_row)
 
     def _may_take_lead(self, own: bool, first_ever: bool) -> bool:
         """Asked right after the state service has answered."""
-        promised = not self.node.abstention.may_stand(self.node.now(), own, first_ever)
+        promised = not self.controller.abstention.may_stand(self.controller.now(), own, first_ever)
         held = Fact.STATE_SERVICE | (Fact(0) if promised else Fact.NO_PROMISE)
         return permits(Action.TAKE_LEAD, held)
 
@@ -120,18 +122,18 @@
         self, row: VersionedValue | None, fencing_token_row: VersionedValue | None
     ) -> None:
         """Ask for the lead in one transaction that also raises the fencing token."""
-        node, candidacy = self.node, self.candidacy
+        controller, candidacy = self.controller, self.candidacy
         fencing_token = (fencing_token_row.value["n"] if fencing_token_row else 0) + 1
         candidacy.nonce = uuid.uuid4().hex[:12]
         value: dict[str, Any] = {
-            "member": node.settings.member,
-            "run": node.run_id,
+            "member": controller.settings.member,
+            "run": controller.run_id,
             "token": fencing_token,
             "nonce": candidacy.nonce,
         }
-        node.abstention.in_doubt = True
+        controller.abstention.in_doubt = True
         try:
-            await node.state_store.transaction(
+            await controller.state_store.transaction(
                 {
                     records.LEAD: row.revision if row else 0,
                     records.FENCING_TOKEN: fencing_token_row.revision if fencing_token_row else 0,
@@ -142,7 +144,7 @@
                 ],
                 urgent=True,
             )
-            node.abstention.in_doubt = False
+            controller.abstention.in_doubt = False
         except (ConflictError, RequestRefusedError, LeaseExpiredError):
-            node.abstention.in_doubt = False
+            controller.abstention.in_doubt = False
             raise
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -1,4 +1,5 @@
-"""What the two HTTP interfaces of a node answer: users, workers and operators, and its peers."""
+"""What the two HTTP interfaces of a controller answer: users, workers and operators, and its
+peers."""
 
 from __future__ import annotations
 
@@ -7,7 +8,7 @@
 from typing import Any
 
 from salthead import metrics
-from salthead.controller.controller import Node
+from salthead.controller.controller import Controller
 from salthead.errors import InvalidJobError, UnavailableError
 from salthead.leader.peer_calls import LEADS_FIELD
 from salthead.leader.term import Term
@@ -54,10 +55,10 @@
     return _error(404, "no such job") if found is None else Reply(200, found)
 
 
-async def _submit_reply(node: Node, request: Request, forwarded: bool) -> Reply:
+async def _submit_reply(controller: Controller, request: Request, forwarded: bool) -> Reply:
     try:
         submission = decode_submission(request.body, forwarded)
-        return Reply(*await node.submit(submission, forwarded))
+        return Reply(*await controller.submit(submission, forwarded))
     except MalformedMessageError as error:
         log.info("submission refused: %s", error)
         return _error(400, error)
@@ -70,13 +71,13 @@
 class ClientHandlers:
     """Requests of users, workers, operators and the load balancer."""
 
-    def __init__(self, node: Node) -> None:
-        self.node = node
+    def __init__(self, controller: Controller) -> None:
+        self.controller = controller
 
     def router(self) -> Router:
         """The routes of the address that the platform names ``client_listen``."""
         return Router(
-            self.node.now,
+            self.controller.now,
             {
                 names.HEARTBEAT_PATH: Route("POST", "report", self.heartbeat),
                 names.READY_PATH: Route("GET", "up", self.up),
@@ -98,39 +99,39 @@
         try:
             heartbeat = decode_heartbeat(request.body)
         except MalformedMessageError as error:
-            self.node.note("report", error)
+            self.controller.note("report", error)
             return _error(400, error)
         if request.connections is not None and request.stream is not None:
             request.connections.heartbeat_received(
                 heartbeat.worker, (heartbeat.incarnation, heartbeat.sequence), request.stream
             )
-        return Reply(*self.node.handle_heartbeat(heartbeat, request.remote_ip))
+        return Reply(*self.controller.handle_heartbeat(heartbeat, request.remote_ip))
 
     def up(self, request: Request) -> Reply:
-        """GET /up: whether this node can take requests."""
-        if self.node.up():
+        """GET /up: whether this controller can take requests."""
+        if self.controller.up():
             return Reply(200, {"up": True})
         return _error(503, "machine types not known, or cut off")
 
     async def submit(self, request: Request) -> Reply:
         """POST /work: a new job, or a repeated submission of one."""
-        return await _submit_reply(self.node, request, forwarded=False)
+        return await _submit_reply(self.controller, request, forwarded=False)
 
     def poll(self, request: Request) -> Reply | Awaitable[Reply]:
         """GET /work/ID: a job's status, from memory where that is certain."""
-        status = self.node.status_in_memory(request.parameter)
+        status = self.controller.status_in_memory(request.parameter)
         if status is not None:
             return Reply(200, status)
-        return _job_reply(request.parameter, self.node.poll)
+        return _job_reply(request.parameter, self.controller.poll)
 
     async def cancel(self, request: Request) -> Reply:
         """POST /work/ID/cancel."""
-        return await _job_reply(request.parameter, self.node.cancel)
+        return await _job_reply(request.parameter, self.controller.cancel)
 
     async def overview(self, request: Request) -> Reply:
         """GET /overview: queue and fleet, for operators."""
         try:
-            return Reply(200, await self.node.overview())
+            return Reply(200, await self.controller.overview())
         except UNDECIDED_ERRORS as error:
             return _error(503, error)
 
@@ -140,15 +141,15 @@
 
 
 class PeerHandlers:
-    """Requests of the other controller nodes."""
+    """Requests of the other controllers."""
 
-    def __init__(self, node: Node) -> None:
-        self.node = node
+    def __init__(self, controller: Controller) -> None:
+        self.controller = controller
 
     def router(self) -> Router:
         """The routes of the address that the platform names ``cluster_listen``."""
         return Router(
-            self.node.now,
+            self.controller.now,
             {
                 names.PEER_SUBMIT_PATH: Route("POST", "peer submit", self.submit),
                 names.PEER_STATUS_PATH: Route("POST", "peer poll", self.poll),
@@ -160,22 +161,22 @@
         )
 
     async def submit(self, request: Request) -> Reply:
-        """A submission that another node can't write to the state service."""
-        return await _submit_reply(self.node, request, forwarded=True)
+        """A submission that another controller can't write to the state service."""
+        return await _submit_reply(self.controller, request, forwarded=True)
 
     def poll(self, request: Request) -> Reply | Awaitable[Reply]:
-        """A poll that another node forwards to the leader."""
+        """A poll that another controller forwards to the leader."""
         return self._as_leader(request, self._poll)
 
     def cancel(self, request: Request) -> Reply | Awaitable[Reply]:
-        """A cancellation that another node forwards to the leader."""
+        """A cancellation that another controller forwards to the leader."""
         return self._as_leader(request, self._cancel)
 
     def _poll(self, term: Term, job_id: str) -> Reply | Awaitable[Reply]:
-        status = self.node.status_in_term(term, job_id)
+        status = self.controller.status_in_term(term, job_id)
         if status is not None:
             return Reply(200, status)
-        return _job_reply(job_id, self.node.lookups.read)
+        return _job_reply(job_id, self.controller.lookups.read)
 
     @staticmethod
     def _cancel(term: Term, job_id: str) -> Awaitable[Reply]:
@@ -188,31 +189,31 @@
             job_id = str(decode_map(request.body).get("uid"))
         except MalformedMessageError as error:
             return _error(400, error)
-        term = self.node.leading()
+        term = self.controller.leading()
         if term is None:
             return _error(503, "not the leader")
         return act(term, job_id)
 
     async def promise(self, request: Request) -> Reply:
-        """Another node leads and lost the state service: whether this one will not stand."""
+        """Another controller leads and lost the state service: whether this one will not stand."""
         try:
             member = str(decode_map(request.body).get("member"))
         except MalformedMessageError as error:
             return _error(400, error)
-        given = await self.node.promise(member)
+        given = await self.controller.promise(member)
         return Reply(200 if given else 409, {"promise": given})
 
     def redirected(self, request: Request) -> Reply:
-        """How many workers came here although another node leads."""
+        """How many workers came here although another controller leads."""
         try:
             asked = decode_map(request.body) if request.body else {}
         except MalformedMessageError as error:
             return _error(400, error)
-        return Reply(200, self.node.knocks_body(asked.get(LEADS_FIELD) is True))
+        return Reply(200, self.controller.knocks_body(asked.get(LEADS_FIELD) is True))
 
     def overview(self, request: Request) -> Reply:
         """The operators' view, forwarded to the leader."""
-        term = self.node.leading()
+        term = self.controller.leading()
         if term is None:
             return _error(503, "not the leader")
         return Reply(200, term.views.overview())
--- a/src/salthead/controller/job_lookups.py
+++ b/src/salthead/controller/job_lookups.py
@@ -1,4 +1,4 @@
-"""What a node reads of jobs in the state service, for answers that its memory can't give."""
+"""What a controller reads of jobs in the state service, for answers that its memory can't give."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.controller.controller import Node
+    from salthead.controller.controller import Controller
 
 # Single reads in a walk over what a job needs, before all active jobs are read at once.
 LOOK_UPS = 12
 
 
 class JobLookups:
-    """Consistent reads of one node."""
+    """Consistent reads of one controller."""
 
-    def __init__(self, node: Node) -> None:
-        self.node = node
+    def __init__(self, controller: Controller) -> None:
+        self.controller = controller
 
     async def whole(self, spec: Submission) -> Submission:
         """A job with all that it awaits, where its record is continued in further values."""
         depends_on = list(spec.depends_on or [])
         for n in range(spec.more):
-            row = await self.node.state_store.get(records.awaits_key(spec.job_id, n))
+            row = await self.controller.state_store.get(records.awaits_key(spec.job_id, n))
             if row is None:
                 raise UnansweredError("job record: a part is missing")
             depends_on += records.awaits_from(row.value)
@@ -62,12 +62,12 @@
             job_id = line.popleft()
             if cut and job_id not in named:
                 break  # those that are named come first
-            if self.node.now() > end:
+            if self.controller.now() > end:
                 raise UnavailableError("still looking up the jobs that it awaits")
             known, found = self._in_memory(job_id)
             if not known:
                 if reads == LOOK_UPS:  # deep or wide: all jobs that are not over at once
-                    active, _ = await self.node.state_store.list_prefix(records.JOBS)
+                    active, _ = await self.controller.state_store.list_prefix(records.JOBS)
                 reads += 1
                 row = active.get(records.job_key(job_id)) if active is not None else None
                 found = await self.look_up(job_id, row)
@@ -75,23 +75,24 @@
                 if not every:
                     return True
                 cut = True
-            for before in self.node.accepted.get(job_id, ()) if found is None else ():
+            for before in self.controller.accepted.get(job_id, ()) if found is None else ():
                 if before not in seen:
                     seen.add(before)
                     line.append(before)
         return cut
 
     def _in_memory(self, job_id: str) -> tuple[bool, str | None]:
-        """Whether this node knows the job's outcome, or that it has none; and that outcome."""
-        if job_id in self.node.finals:
-            return True, self.node.finals[job_id][0]
-        term = self.node.leading()
+        """Whether this controller knows the job's outcome, or that it has none; and that
+        outcome."""
+        if job_id in self.controller.finals:
+            return True, self.controller.finals[job_id][0]
+        term = self.controller.leading()
         if term is None or job_id in term.outcomes.in_doubt:
             return False, None
         job = term.ledger.jobs.get(job_id)
         if job is None:
             return False, None
-        self.node.remember(job.spec)
+        self.controller.remember(job.spec)
         return True, job.over or (names.ABORTED if job.dependency_cancelled else None)
 
     async def look_up(self, job_id: str, row: VersionedValue | None) -> str | None:
@@ -99,32 +100,32 @@
         if row is None:
             if (ended := await self.ended(job_id)) is not None:
                 return ended[0]
-            if job_id in self.node.accepted:
+            if job_id in self.controller.accepted:
                 return None
-            row = await self.node.state_store.get(records.job_key(job_id))
+            row = await self.controller.state_store.get(records.job_key(job_id))
         if row is None:  # it has ended since, or was never accepted
             if (ended := await self.ended(job_id)) is not None:
                 return ended[0]
             raise InvalidJobError(f"awaits: {job_id} was never accepted")
-        if job_id not in self.node.accepted:
-            self.node.remember(await self.whole(records.job_from(row.value)))
+        if job_id not in self.controller.accepted:
+            self.controller.remember(await self.whole(records.job_from(row.value)))
         return None
 
     async def ended(self, job_id: str) -> tuple[str, int, float | None] | None:
         """The outcome of a job, if it has one."""
-        row = await self.node.state_store.get(records.over_key(job_id))
+        row = await self.controller.state_store.get(records.over_key(job_id))
         if row is None:
             return None
         phase, spec = records.over_from(row.value)
-        self.node.final(job_id, phase, spec.task_count, records.ended_at(row.value))
-        return self.node.finals[job_id]
+        self.controller.final(job_id, phase, spec.task_count, records.ended_at(row.value))
+        return self.controller.finals[job_id]
 
     async def read(self, job_id: str) -> dict[str, Any] | None:
         """A job's state by a consistent read; None when it was never accepted."""
-        row = await self.node.state_store.get(records.job_key(job_id))
+        row = await self.controller.state_store.get(records.job_key(job_id))
         if row is not None:
             spec = await self.whole(records.job_from(row.value))
-            self.node.remember(spec)
+            self.controller.remember(spec)
             try:
                 cut = spec.depends_on is not None and await self.depends_on_cancelled(
                     spec.depends_on
--- a/src/salthead/controller/reach.py
+++ b/src/salthead/controller/reach.py
@@ -1,4 +1,5 @@
-"""What a node reaches, and who reaches it: the state service, the other nodes, workers."""
+"""What a controller reaches, and who reaches it: the state service, the other controllers,
+workers."""
 
 from __future__ import annotations
 
@@ -15,9 +16,9 @@
 from salthead.transport.client import Caller, UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.controller.controller import Node
+    from salthead.controller.controller import Controller
 
-# A worker whose leader hangs tries the next node after its time-out of 4 s and 1 s more.
+# A worker whose leader hangs tries the next controller after its time-out of 4 s and 1 s more.
 REDIRECT_WINDOW_S = 6.0
 # The load balancer's probes are about this far apart.
 REACH_S = 1.0
@@ -29,7 +30,8 @@
 
 
 class RedirectedHeartbeat(NamedTuple):
-    """Which report a worker sent here although another node leads, and the token that it showed."""
+    """Which report a worker sent here although another controller leads, and the token that it
+    showed."""
 
     incarnation: int
     sequence: int
@@ -38,28 +40,30 @@
 
 
 class Reach:
-    """One node's evidence on its own links, for as long as its process lives."""
+    """One controller's evidence on its own links, for as long as its process lives."""
 
-    def __init__(self, node: Node) -> None:
-        self.node = node
-        self.reached = node.now()  # when another node last answered
+    def __init__(self, controller: Controller) -> None:
+        self.controller = controller
+        self.reached = controller.now()  # when another controller last answered
         self.others_served = -1e9  # when one last said that the state service serves it
-        # Workers that this node sent to the leader, and when; who came last stands last.
+        # Workers that this controller sent to the leader, and when; who came last stands last.
         self.redirected: OrderedDict[str, float] = OrderedDict()
         # Their latest reports, in the same order.
         self.seen: OrderedDict[str, RedirectedHeartbeat] = OrderedDict()
 
     async def loop(self) -> None:
-        """Whether this node reaches the state service or any other node, and they the service."""
+        """Whether this controller reaches the state service or any other controller, and they the
+        service."""
         while True:
-            await self.node.rest(REACH_S)
-            if self.node.state_store.last_response_at >= self.node.now() - REACH_S:
+            await self.controller.rest(REACH_S)
+            if self.controller.state_store.last_response_at >= self.controller.now() - REACH_S:
                 continue
             try:
-                await self.node.state_store.get(records.LEAD, timeout=REACH_S, urgent=True)
+                await self.controller.state_store.get(records.LEAD, timeout=REACH_S, urgent=True)
             except (RequestRefusedError, UnansweredError):
                 await asyncio.gather(
-                    *(self.ask(peer) for peer in self.node.peers.values()), return_exceptions=True
+                    *(self.ask(peer) for peer in self.controller.peers.values()),
+                    return_exceptions=True,
                 )
 
     async def ask(self, peer: Caller) -> None:
@@ -67,15 +71,16 @@
         found = await ask_reach(peer)
         if found is None:
             return
-        self.reached = self.node.now()
+        self.reached = self.controller.now()
         if found.state_service_s is not None and found.state_service_s < 2.0 * REACH_S:
-            self.others_served = self.node.now()
+            self.others_served = self.controller.now()
 
     def as_told(self, to_leader: bool = False) -> dict[str, Any]:
-        """What a peer is told of this node's reach; a leader also, which workers it has missed."""
+        """What a peer is told of this controller's reach; a leader also, which workers it has
+        missed."""
         told: dict[str, Any] = {
             "knocks": self.redirected_count(),
-            "served_s": self.node.now() - self.node.state_store.last_response_at,
+            "served_s": self.controller.now() - self.controller.state_store.last_response_at,
         }
         if to_leader:
             self._forget_old()
@@ -86,45 +91,50 @@
         return told
 
     def refused_alone(self) -> bool:
-        """Whether the state service serves others, but not this node: it can take no job."""
-        now = self.node.now()
+        """Whether the state service serves others, but not this controller: it can take no job."""
+        now = self.controller.now()
         return (
-            now - self.node.state_store.last_response_at > 2.0 * REACH_S
+            now - self.controller.state_store.last_response_at > 2.0 * REACH_S
             and now - self.others_served < 4.0 * REACH_S
         )
 
     def cut_off(self) -> bool:
-        """Whether this node lost the state service and all others, though workers and users may
+        """Whether this controller lost the state service and all others, though workers and users
+        may
         reach it: what it knows of the lead is old, and it can decide nothing."""
-        patience = 2.0 * lease.leader_ttl(self.node.limits.workers.lease_s)
+        patience = 2.0 * lease.leader_ttl(self.controller.limits.workers.lease_s)
         return (
-            self.node.now() - max(self.node.state_store.last_response_at, self.reached) > patience
+            self.controller.now() - max(self.controller.state_store.last_response_at, self.reached)
+            > patience
         )
 
     def note_redirected(self, who: str) -> None:
-        """A worker came here although another node leads."""
-        self.redirected[who] = self.node.now()
+        """A worker came here although another controller leads."""
+        self.redirected[who] = self.controller.now()
         self.redirected.move_to_end(who)
 
     def record_redirected_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """A worker reported here although another node leads."""
+        """A worker reported here although another controller leads."""
         self.seen[heartbeat.worker] = RedirectedHeartbeat(
-            heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token, self.node.now()
+            heartbeat.incarnation,
+            heartbeat.sequence,
+            heartbeat.fencing_token,
+            self.controller.now(),
         )
         self.seen.move_to_end(heartbeat.worker)
         self._forget_old()
 
     def _forget_old(self) -> None:
-        since = self.node.now() - SEEN_WINDOW_S
+        since = self.controller.now() - SEEN_WINDOW_S
         while self.seen and next(iter(self.seen.values())).at < since:
             self.seen.popitem(last=False)
 
     def redirected_count(self) -> int:
-        """How many workers came here lately although another node leads.
+        """How many workers came here lately although another controller leads.
 
         Asked at reports, so it looks only at those that have left since it was asked last.
         """
-        since = self.node.now() - REDIRECT_WINDOW_S
+        since = self.controller.now() - REDIRECT_WINDOW_S
         while self.redirected and next(iter(self.redirected.values())) < since:
             self.redirected.popitem(last=False)
         return len(self.redirected)
--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -1,4 +1,4 @@
-"""The listening sockets of a node, with a bound on the connections that each may hold."""
+"""The listening sockets of a controller, with a bound on the connections that each may hold."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tornado.iostream import IOStream
 
 from salthead import metrics
-from salthead.controller.controller import Node
+from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers, PeerHandlers
 from salthead.coordination.placement import FRESH_PERIODS
 from salthead.protocol.messages import MAX_BODY
@@ -38,7 +38,7 @@
         self.open.closed(server_conn.stream)  # type: ignore[attr-defined]
 
 
-def listen(node: Node, router: Router, endpoint: str, most: int = 0) -> BoundServer:
+def listen(controller: Controller, router: Router, endpoint: str, most: int = 0) -> BoundServer:
     """Serve a router's paths on an address, with at most so many connections; 0: no bound."""
     host, port = split_endpoint(endpoint)
     # A body and what follows it: all connections that the sockets allow, with their buffers full,
@@ -48,7 +48,7 @@
     # now and then does as well.
     server.conn_params.header_timeout = None
     server.open = Connections(
-        most, FRESH_PERIODS * node.limits.workers.heartbeat_interval_s, node.now
+        most, FRESH_PERIODS * controller.limits.workers.heartbeat_interval_s, controller.now
     )
     PeriodicCallback(server.open.sweep, SWEEP_S * 1000.0).start()
     router.connections = server.open
@@ -58,8 +58,8 @@
     return server
 
 
-def listen_on_all(node: Node) -> None:
+def listen_on_all(controller: Controller) -> None:
     """Open both addresses that the settings name."""
-    settings, sockets = node.settings, node.sockets
-    listen(node, ClientHandlers(node).router(), settings.client_listen, sockets.clients)
-    listen(node, PeerHandlers(node).router(), settings.cluster_listen, sockets.peers_in)
+    settings, sockets = controller.settings, controller.sockets
+    listen(controller, ClientHandlers(controller).router(), settings.client_listen, sockets.clients)
+    listen(controller, PeerHandlers(controller).router(), settings.cluster_listen, sockets.peers_in)
--- a/src/salthead/controller/sockets.py
+++ b/src/salthead/controller/sockets.py
@@ -8,8 +8,8 @@
 class Sockets:
     """How the platform's number of sockets is divided; 0 where it names none.
 
-    What the node itself opens is kept free of what is opened to it: a leader that can't reach the
-    state service, because workers and users hold all sockets, loses the lead.
+    What the controller itself opens is kept free of what is opened to it: a leader that can't reach
+    the state service, because workers and users hold all sockets, loses the lead.
     """
 
     PEER, CLOUD = 16, 4
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -16,7 +16,7 @@
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.controller.controller import Node
+    from salthead.controller.controller import Controller
 
 log = logging.getLogger("salthead.submissions")
 
@@ -25,21 +25,21 @@
 
 
 class Submissions:
-    """Submissions to one node."""
+    """Submissions to one controller."""
 
-    def __init__(self, node: Node) -> None:
-        self.node = node
+    def __init__(self, controller: Controller) -> None:
+        self.controller = controller
 
     def _check(self, job: Submission) -> None:
         """422 and 503 by what is known of teams and machine types."""
-        team = next((team for team in self.node.limits.teams if team.name == job.team), None)
+        team = next((team for team in self.controller.limits.teams if team.name == job.team), None)
         if team is None:
             raise InvalidJobError(f"unknown team {job.team[:60]}")
         many = job.task_count if job.shape == names.GANG else 1
         gpus = job.accelerators * many
         if job.vcpus * many > team.cpus_max + 1e-6 or gpus > team.gpus_max + 1e-6:
             raise InvalidJobError("more than the team's limit")
-        if not self.node.machine_types:
+        if not self.controller.machine_types:
             raise UnavailableError("machine types not known yet")
         if not any(
             job.vcpus <= f.vcpus
@@ -47,12 +47,12 @@
             and job.ram_gb <= f.ram_gb
             and (job.machine_types is None or f.name in job.machine_types)
             and (job.zone is None or job.zone in f.zones)
-            for f in self.node.machine_types.values()
+            for f in self.controller.machine_types.values()
         ):
             raise InvalidJobError("a task fits no allowed machine type")
         if job.machine_types is not None:  # only names that exist are kept
             job.machine_types = sorted(
-                {name for name in job.machine_types if name in self.node.machine_types}
+                {name for name in job.machine_types if name in self.controller.machine_types}
             )
 
     async def accept(self, job: Submission, forwarded: bool) -> tuple[int, dict[str, Any]]:
@@ -63,11 +63,11 @@
             rows, dependency_cancelled = await self._rows_of(job)
         except InvalidJobError:
             # A repeat of a job that was accepted must not be refused, whatever changed since.
-            if (found := await self.node.lookups.read(job.job_id)) is not None:
+            if (found := await self.controller.lookups.read(job.job_id)) is not None:
                 return 200, found
             raise
         try:
-            revision = await self.node.state_store.transaction(
+            revision = await self.controller.state_store.transaction(
                 {records.job_key(job.job_id): 0, records.over_key(job.job_id): 0},
                 [put(key, value) for key, value in rows],
             )
@@ -76,7 +76,7 @@
                 raise
             return await self._forward(job)
         except ConflictError:
-            found = await self.node.lookups.read(job.job_id)
+            found = await self.controller.lookups.read(job.job_id)
             if found is None:
                 raise UnavailableError("in doubt") from None
             return 200, found
@@ -84,13 +84,13 @@
         return 201, self._accepted(job, len(rows) - 1, dependency_cancelled, revision)
 
     async def _known(self, job_id: str) -> dict[str, Any] | None:
-        """The state of a job that this node knows, in its memory or as the leader."""
-        known = self.node.finals.get(job_id)
+        """The state of a job that this controller knows, in its memory or as the leader."""
+        known = self.controller.finals.get(job_id)
         if known is not None:
             return status_body(job_id, known[0], known[1] if known[0] == names.DONE else 0)
-        term = self.node.leading()
+        term = self.controller.leading()
         if term is not None and job_id in term.ledger.jobs:
-            return await self.node.poll_here(term, job_id)
+            return await self.controller.poll_here(term, job_id)
         return None
 
     async def _rows_of(self, job: Submission) -> tuple[list[tuple[str, dict[str, Any]]], bool]:
@@ -99,7 +99,7 @@
         dependency_cancelled = bool(job.depends_on) and await self._check_awaits(job)
         # The time is noted before the record is made, for what it takes up in it.
         job.at = time.time()
-        limits = self.node.state_limits
+        limits = self.controller.state_limits
         try:
             rows = records.job_rows(job, limits.value_kb, limits.txn_ops)
         except records.RecordTooLargeError as error:
@@ -113,13 +113,13 @@
     def _accepted(
         self, job: Submission, more: int, dependency_cancelled: bool, revision: int
     ) -> dict[str, Any]:
-        """The job is durable: what this node remembers of it, and what its user is told."""
+        """The job is durable: what this controller remembers of it, and what its user is told."""
         if dependency_cancelled:
-            self.node.final(job.job_id, names.ABORTED, job.task_count, job.at)
+            self.controller.final(job.job_id, names.ABORTED, job.task_count, job.at)
             return {"uid": job.job_id, "phase": names.ABORTED}
         job.more = more
-        self.node.remember(job)
-        term = self.node.leading()
+        self.controller.remember(job)
+        term = self.controller.leading()
         if term is not None and term.ledger.loaded:
             term.job_records.add_job(job, revision)
         return {"uid": job.job_id, "phase": names.QUEUED}
@@ -130,20 +130,21 @@
         for job_id in depends_on:
             if job_id == job.job_id or not JOB_ID.match(job_id):
                 raise InvalidJobError(f"awaits: {job_id[:60]!r} is no job that was accepted")
-        return await self.node.lookups.depends_on_cancelled(
-            depends_on, self.node.now() + LOOK_UP_S, every=True
+        return await self.controller.lookups.depends_on_cancelled(
+            depends_on, self.controller.now() + LOOK_UP_S, every=True
         )
 
     async def _forward(self, job: Submission) -> tuple[int, dict[str, Any]]:
-        """Let another node accept a job that this one can't write: the service may refuse this
-        node alone. A job has one id, so that two nodes may try to accept it."""
-        for peer in self.node.peers.values() if self.node.reach.refused_alone() else ():
+        """Let another controller accept a job that this one can't write: the service may refuse
+        this
+        controller alone. A job has one id, so that two controllers may try to accept it."""
+        for peer in self.controller.peers.values() if self.controller.reach.refused_alone() else ():
             try:
                 answer = await peer.call(
                     "POST", names.PEER_SUBMIT_PATH, msgspec.to_builtins(job), timeout=0.8
                 )
             except UnansweredError as error:
-                self.node.note("pass on", error)
+                self.controller.note("pass on", error)
                 continue
             if answer.status in (200, 201) and answer.body.get("uid") == job.job_id:
                 return answer.status, answer.body
--- a/src/salthead/controller/zone_keeper.py
+++ b/src/salthead/controller/zone_keeper.py
@@ -14,24 +14,24 @@
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.controller.controller import Node
+    from salthead.controller.controller import Controller
 
 MISSED_MOST = 2  # calls to the leader in a row without an answer, before the zone is kept
 
 
 class ZoneKeeper:
-    """One node's side of that: what it asks the leader for, and what it then answers."""
+    """One controller's side of that: what it asks the leader for, and what it then answers."""
 
-    def __init__(self, node: Node) -> None:
-        self.node = node
-        self.lease = ZoneLease(lease.leader_ttl(node.limits.workers.lease_s))
+    def __init__(self, controller: Controller) -> None:
+        self.controller = controller
+        self.lease = ZoneLease(lease.leader_ttl(controller.limits.workers.lease_s))
 
     async def loop(self) -> None:
         """Behind a cut from the leader, with the state service in reach: keep workers' leases."""
         written = True  # an earlier process of this member may have left its question behind
         missed = 0
         while True:
-            await self.node.rest(self.lease.ttl / 8.0)
+            await self.controller.rest(self.lease.ttl / 8.0)
             missed = 0 if await self._reaches_leader() else missed + 1
             try:
                 if missed >= MISSED_MOST:
@@ -42,12 +42,12 @@
                     await self._withdraw()
                     written = False
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.node.note("keep", error)
+                self.controller.note("keep", error)
 
     async def _reaches_leader(self) -> bool:
-        """Whether the leader answers; also where there is none, or this node leads."""
-        peer = self.node.peers.get(self.node.leader or "")
-        if self.node.term is not None or peer is None:
+        """Whether the leader answers; also where there is none, or this controller leads."""
+        peer = self.controller.peers.get(self.controller.leader or "")
+        if self.controller.term is not None or peer is None:
             return True
         try:
             await peer.call("POST", names.PEER_CONNECTIVITY_PATH, timeout=self.lease.ttl / 8.0)
@@ -57,40 +57,42 @@
 
     async def _ask(self) -> None:
         """Ask the leader through the state service, and wait a little for its permission."""
-        member = self.node.settings.member
+        member = self.controller.settings.member
         question = self.lease.ask(
-            self.node.leader_fencing_token,
+            self.controller.leader_fencing_token,
             uuid.uuid4().hex[:12],
-            self.node.settings.area,
-            self.node.now(),
+            self.controller.settings.area,
+            self.controller.now(),
         )
-        await self.node.state_store.transaction(
+        await self.controller.state_store.transaction(
             {}, [put(records.KEEP + member, question)], urgent=True
         )
         for _ in range(4):
-            await self.node.rest(self.lease.ttl / 24.0)
-            row = await self.node.state_store.get(records.KEPT + member, urgent=True)
+            await self.controller.rest(self.lease.ttl / 24.0)
+            row = await self.controller.state_store.get(records.KEPT + member, urgent=True)
             if row is not None and self.lease.allowed(row.value):
                 return
 
     async def _withdraw(self) -> None:
-        key = records.KEEP + self.node.settings.member
-        row = await self.node.state_store.get(key, urgent=True)
+        key = records.KEEP + self.controller.settings.member
+        row = await self.controller.state_store.get(key, urgent=True)
         if row is not None:
             # On condition of its stamp: carried out late, it must not take away a later question,
             # by which the next leader knows of what was allowed.
-            await self.node.state_store.transaction({key: row.revision}, [delete(key)], urgent=True)
+            await self.controller.state_store.transaction(
+                {key: row.revision}, [delete(key)], urgent=True
+            )
 
     def keeps(self, heartbeat: Heartbeat) -> bool:
         """Whether to answer a worker in the name of a leader that it can't reach."""
-        now = self.node.now()
+        now = self.controller.now()
         back = self.lease.came_back(heartbeat.worker, now)
         return (
-            self.node.leader not in (None, self.node.settings.member)
-            and self.lease.valid(self.node.leader_fencing_token, now)
-            and heartbeat.zone == self.node.settings.area
-            and heartbeat.fencing_token <= self.node.leader_fencing_token
+            self.controller.leader not in (None, self.controller.settings.member)
+            and self.lease.valid(self.controller.leader_fencing_token, now)
+            and heartbeat.zone == self.controller.settings.area
+            and heartbeat.fencing_token <= self.controller.leader_fencing_token
             # A worker may be here by chance. A second one, or one that was sent on before and is
             # here again, can't reach it, and their leases may not last for another round.
-            and (back or self.node.reach.redirected_count() > 0)
+            and (back or self.controller.reach.redirected_count() > 0)
         )
--- a/src/salthead/coordination/fleet_room.py
+++ b/src/salthead/coordination/fleet_room.py
@@ -141,7 +141,7 @@
         return False
     if machine.unresponsive_since is not None:
         return False  # so that another is hired in its place
-    # Behind a cut, its lease kept by another node, it is no place to start anything.
+    # Behind a cut, its lease kept by another controller, it is no place to start anything.
     return not machine.joined or now - machine.heard <= ledger.limits.workers.lease_s
 
 
--- a/src/salthead/coordination/heartbeats.py
+++ b/src/salthead/coordination/heartbeats.py
@@ -148,9 +148,10 @@
 def heartbeat_seen_by_peer(
     ledger: Ledger, worker: str, number: tuple[int, int], shows_fencing_token: bool, now: float
 ) -> None:
-    """A report, by session and sequence, came to another node: it missed this one's answer.
+    """A report, by session and sequence, came to another controller: it missed this one's answer.
 
-    A deaf worker asks all nodes in turn, so that its next report here may be three time-outs away.
+    A deaf worker asks all controllers in turn, so that its next report here may be three time-outs
+    away.
     """
     machine = ledger.machines.get(worker)
     if machine is None:
--- a/src/salthead/coordination/lease.py
+++ b/src/salthead/coordination/lease.py
@@ -49,8 +49,8 @@
 class LeaseClock:
     """The leader's own view of how long it may act, counted from the sending of its requests.
 
-    It may act on its lease in the state service. While that service is down for every node, it
-    may also act on promises of all its peers not to stand. These have to follow on the lease
+    It may act on its lease in the state service. While that service is down for every controller,
+    it may also act on promises of all its peers not to stand. These have to follow on the lease
     without a gap: in a gap a peer may have stood, so after one only the lease itself counts.
     """
 
@@ -80,7 +80,8 @@
 
 
 class Abstention:
-    """When a node may not stand for leader, by its own promises and by those it may forget."""
+    """When a controller may not stand for leader, by its own promises and by those it may
+    forget."""
 
     def __init__(self, ttl: float, started: float) -> None:
         self.length = promise_s(ttl) * (1.0 + DRIFT) + 0.1
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -275,7 +275,8 @@
         """A user has asked to cancel the job: nothing of it starts any more, and what runs stops.
 
         That is no outcome, and is not told; but whatever a job does after its user has asked is of
-        no use to anybody, and the outcome may be told by another node before this one knows of it.
+        no use to anybody, and the outcome may be told by another controller before this one knows
+        of it.
         """
         if job.cancel_requested:
             return
--- a/src/salthead/coordination/worker_leases.py
+++ b/src/salthead/coordination/worker_leases.py
@@ -21,7 +21,7 @@
         # An earlier leader may have answered workers until it lost the lead, and this one answers
         # them before it has read the roster: no lease is counted from before this.
         self.counted_from = now
-        # Zones whose workers another node may be answering for this leader, and until when.
+        # Zones whose workers another controller may be answering for this leader, and until when.
         self.kept_until: dict[int, float] = {}
 
     def over_at(self, machine: Machine) -> float:
--- a/src/salthead/coordination/zone_leases.py
+++ b/src/salthead/coordination/zone_leases.py
@@ -1,10 +1,10 @@
-"""Leases of a zone that the leader can't reach, kept alive by a node that is in there.
+"""Leases of a zone that the leader can't reach, kept alive by a controller that is in there.
 
 A cut between zones lasts longer than a worker's lease, and all that runs beyond it would be lost.
-The state service is cut from nobody, so a node behind the cut asks the leader through it, and the
-leader allows it, to answer that zone's reports in its name: with its token and without orders.
-What is allowed ends by itself after a time that both sides know. The leader counts no lease of
-the zone from before that time, and it stops allowing when something in the zone has to end.
+The state service is cut from nobody, so a controller behind the cut asks the leader through it, and
+the leader allows it, to answer that zone's reports in its name: with its token and without orders.
+What is allowed ends by itself after a time that both sides know. The leader counts no lease of the
+zone from before that time, and it stops allowing when something in the zone has to end.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class ZoneLease:
-    """The node's side: when it may answer in the leader's name."""
+    """The controller's side: when it may answer in the leader's name."""
 
     # A worker that comes back within this long after it was sent to the leader can't reach it.
     BACK_S = 15.0
--- a/src/salthead/evidence/gate.py
+++ b/src/salthead/evidence/gate.py
@@ -23,13 +23,13 @@
     ANSWERS_HEARD = auto()  # answers to the worker are not known to be lost
     IN_ROSTER = auto()  # the state service knows the machine
     TOKEN_ACCEPTED = auto()  # the worker has shown this term's token
-    WORKER_LEASE_OVER = auto()  # the worker's lease must have ended, by this node's clock
+    WORKER_LEASE_OVER = auto()  # the worker's lease must have ended, by this controller's clock
     TASK_NOWHERE = auto()  # no machine can be running the task
     OUTCOME_DURABLE = auto()  # the state service holds the outcome
     NOTHING_IN_DOUBT = auto()  # no outcome that the job depends on was sent with its fate unknown
     REASON_HOLDS = auto()  # what a decision was made for has not changed since
-    STATE_SERVICE = auto()  # the state service has just answered this node
-    NO_PROMISE = auto()  # this node has promised nobody not to stand
+    STATE_SERVICE = auto()  # the state service has just answered this controller
+    NO_PROMISE = auto()  # this controller has promised nobody not to stand
     PEER_HEARS_MORE = auto()  # clearly more workers report to a peer than are heard here
 
 
--- a/src/salthead/evidence/links.py
+++ b/src/salthead/evidence/links.py
@@ -2,8 +2,8 @@
 
 A report that arrives confirms that direction alone. That an answer arrived is known only from what
 the worker does next, by two rules of the protocol: a worker has one report in flight at a time and
-drops answers after its time-out, and it stays with a node that answers 200 but tries the next one
-after a time-out.
+drops answers after its time-out, and it stays with a controller that answers 200 but tries the next
+one after a time-out.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class WorkerLinks:
-    """Evidence on one worker's link, by this node's steady clock in seconds.
+    """Evidence on one worker's link, by this controller's steady clock in seconds.
 
     ``answers_at`` and ``commands_at`` count from the sending of what was confirmed; when a report
     was sent is known to its worker alone, so that ``last_received_at`` is when it came.
@@ -63,10 +63,11 @@
     def turned_away(
         self, incarnation: int, sequence: int, shows_fencing_token: bool, now: float
     ) -> bool:
-        """A report came to another node; whether it shows that the answer given here was lost.
+        """A report came to another controller; whether it shows that the answer given here was
+        lost.
 
-        A worker stays with the node that answers it. One that has shown the token may have left for
-        another reason than the last answer, unless this is the very next report.
+        A worker stays with the controller that answers it. One that has shown the token may have
+        left for another reason than the last answer, unless this is the very next report.
         """
         if (incarnation, sequence) <= (self.acknowledged_incarnation, self.acknowledged_sequence):
             return False
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -144,7 +144,7 @@
                     for job_id in records.awaits_from(rest.get(records.awaits_key(spec.job_id, n)))
                 ]
         except MalformedMessageError as error:
-            self.term.node.note("job record", f"{key}: {error}")
+            self.term.controller.note("job record", f"{key}: {error}")
             return
         # What is loaded is not over, though its outcome may have been derived, and told, before it
         # is written.
@@ -152,7 +152,7 @@
             self.ledger.add_job(spec, self.now(), fresh=revision > self.term.revision)
 
     def add_job(self, spec: Submission, revision: int) -> None:
-        """A job whose record this node has written, with the revision of that write."""
+        """A job whose record this controller has written, with the revision of that write."""
         if self._is_news(spec.job_id, revision):
             self.ledger.add_job(spec, self.now(), fresh=True)
 
@@ -160,15 +160,15 @@
         """Whether a record that an event or an answer brings is of a job that is not over.
 
         Either may come late. What was written before this term was read when it began: what is not
-        in the ledger by that had ended before, though this node may never have read its outcome
-        (a job that an earlier leader had ended was started again by the late answer to its
+        in the ledger by that had ended before, though this controller may never have read its
+        outcome (a job that an earlier leader had ended was started again by the late answer to its
         submission). Of this term's own outcomes ``finals`` holds many more than are written in the
         time for which an answer is waited for.
         """
-        return revision > self.term.revision and job_id not in self.term.node.finals
+        return revision > self.term.revision and job_id not in self.term.controller.finals
 
     async def watch_loop(self) -> None:
-        """Jobs that any node accepted."""
+        """Jobs that any controller accepted."""
         while True:
             try:
                 events, self.since = await self.term.state_store.watch(
@@ -183,11 +183,11 @@
                     for key, (value, revision) in rows.items():
                         self.take_row(key, value, revision)
                 except RETRYABLE_ERRORS as error:
-                    self.term.node.note("job list", error)
-                    await self.term.node.rest(1.0)
+                    self.term.controller.note("job list", error)
+                    await self.term.controller.rest(1.0)
             except RETRYABLE_ERRORS as error:
-                self.term.node.note("job watch", error)
-                await self.term.node.rest(0.5)
+                self.term.controller.note("job watch", error)
+                await self.term.controller.rest(0.5)
 
     async def await_loop(self) -> None:
         """What became of awaited jobs of which this term knows nothing, and long records."""
@@ -196,16 +196,16 @@
                 try:
                     await self.look_up(job_id)
                 except RETRYABLE_ERRORS as error:
-                    self.term.node.note("awaited job", error)
-                    await self.term.node.rest(0.5)
-            await self.term.node.rest(AWAIT_GAP_S)
+                    self.term.controller.note("awaited job", error)
+                    await self.term.controller.rest(0.5)
+            await self.term.controller.rest(AWAIT_GAP_S)
 
     async def look_up(self, job_id: str) -> None:
         """Find out what became of a job that another depends on."""
         unsure = self.ledger.pipelines.unsure
-        found = self.term.node.finals.get(job_id)
+        found = self.term.controller.finals.get(job_id)
         if found is None or (found[0] == names.DONE and found[2] is None):
-            found = await self.term.node.lookups.ended(job_id)
+            found = await self.term.controller.lookups.ended(job_id)
         if found is not None:
             self.incomplete.pop(job_id, None)
             if job_id in unsure:
@@ -215,6 +215,6 @@
         if row is None:
             raise UnansweredError(f"no record of {job_id}")
         if job_id not in self.ledger.jobs:
-            spec = await self.term.node.lookups.whole(records.job_from(row.value))
+            spec = await self.term.controller.lookups.whole(records.job_from(row.value))
             self.incomplete.pop(job_id, None)
             self.ledger.add_job(spec, self.now(), fresh=row.revision > self.term.revision)
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/lead.py
@@ -47,8 +47,8 @@
                 return
             except RETRYABLE_ERRORS as error:
                 self.renewal_failed = True
-                self.term.node.note("renew", error)
-                await self.term.node.rest(ttl / 12)
+                self.term.controller.note("renew", error)
+                await self.term.controller.rest(ttl / 12)
 
     def _ending(self, why: str, **facts: int) -> None:
         ledger = self.term.ledger
@@ -65,7 +65,7 @@
 
     async def promise_loop(self) -> None:
         """While renewals fail, ask all peers for their promise not to stand."""
-        peers = self.term.node.peers
+        peers = self.term.controller.peers
         every = promise_s(self.term.clock.ttl) / 5
         while True:
             await asyncio.sleep(every)
@@ -77,7 +77,7 @@
             sent = self.term.now()
             given = await asyncio.gather(
                 *(
-                    ask_promise(peer, self.term.node.settings.member, every * 2)
+                    ask_promise(peer, self.term.controller.settings.member, every * 2)
                     for peer in peers.values()
                 )
             )
@@ -90,7 +90,7 @@
                 )
 
     async def show_loop(self) -> None:
-        """Show this node as leading only while its lease is certain.
+        """Show this controller as leading only while its lease is certain.
 
         A leader that the state service refused alone had shown itself, and a stale picture of the
         fleet, for nine seconds after the next one had begun.
@@ -109,19 +109,19 @@
             )
 
     async def resign_loop(self) -> None:
-        """Give the lead up when the workers reach another node, but not this one.
+        """Give the lead up when the workers reach another controller, but not this one.
 
         A leader that is cut off from the workers alone would keep its lease while theirs end.
         """
         grace_s = 3.0 * self.term.limits.workers.heartbeat_interval_s
         while True:
-            await self.term.node.rest(1.0)
+            await self.term.controller.rest(1.0)
             now = self.term.now()
             heard, silent = self.term.ledger.hearing(now)
             if silent <= heard or now - self.term.ledger.took_over < grace_s + 1.0:
                 continue
             found = await asyncio.gather(
-                *(ask_reach(peer) for peer in self.term.node.peers.values())
+                *(ask_reach(peer) for peer in self.term.controller.peers.values())
             )
             elsewhere = max((reach.redirected for reach in found if reach is not None), default=0)
             held = Fact.PEER_HEARS_MORE if self.clearly_more(elsewhere, heard) else Fact(0)
@@ -129,17 +129,18 @@
                 self._ending(
                     "resigning", heard=heard, silent=silent, heartbeats_elsewhere=elsewhere
                 )
-                # Longer than an election, so that a node that hears the workers wins it.
-                self.term.node.abstention.promise(self.term.now())
+                # Longer than an election, so that a controller that hears the workers wins it.
+                self.term.controller.abstention.promise(self.term.now())
                 return
 
     def clearly_more(self, elsewhere: int, heard: int) -> bool:
         """Whether so many more workers report to a peer that it should lead.
 
-        Two nodes that each hear about half of the workers would hand the lead back and forth by
-        the noise of their counts. With a factor above 1 that takes a change of the links between:
-        the peer hears that many times as many as this node, and can't resign for the reverse.
+        Two controllers that each hear about half of the workers would hand the lead back and forth
+        by the noise of their counts. With a factor above 1 that takes a change of the links
+        between: the peer hears that many times as many as this controller, and can't resign for the
+        reverse.
         """
-        policy = self.term.node.policy.partial_cuts
+        policy = self.term.controller.policy.partial_cuts
         factor = policy.handover_factor if policy is not None and policy.enabled else 1.0
         return elsewhere > factor * heard
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -59,20 +59,22 @@
         return NetworkSilence(NetworkDirectory(networks))
 
     async def loop(self) -> None:
-        """Until the term ends; then this node confirms nothing any more."""
+        """Until the term ends; then this controller confirms nothing any more."""
         try:
             while True:
-                await asyncio.gather(*(self._ask(member) for member in self.term.node.peers))
+                await asyncio.gather(*(self._ask(member) for member in self.term.controller.peers))
                 began = self.term.now()
                 if self.term.valid():
                     self._show()
-                await self.term.node.rest(max(ASK_GAP_S, REST_FACTOR * (self.term.now() - began)))
+                await self.term.controller.rest(
+                    max(ASK_GAP_S, REST_FACTOR * (self.term.now() - began))
+                )
         finally:
             metrics.forget_links()
 
     async def _ask(self, member: str) -> None:
         sent = self.term.now()
-        found = await ask_reach(self.term.node.peers[member], leads=True)
+        found = await ask_reach(self.term.controller.peers[member], leads=True)
         if found is None:
             return
         self.peers[member] = PeerAnswer(sent, found)
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -1,9 +1,10 @@
 """What became of jobs: the one place that knows whether an outcome is open, in doubt or durable.
 
 An outcome is *open* until it is sent to the state service, *in doubt* from then on until its fate
-is known, and *durable* once the service or a record read there says so. In doubt, another node may
-have read it and told a user, so nothing is told from memory; and a job whose cancellation is asked
-for is marked so before anything is sent, so that its tasks are stopping whoever tells of it first.
+is known, and *durable* once the service or a record read there says so. In doubt, another
+controller may have read it and told a user, so nothing is told from memory; and a job whose
+cancellation is asked for is marked so before anything is sent, so that its tasks are stopping
+whoever tells of it first.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
     def __init__(self, term: Term) -> None:
         self.term = term
-        self.node = term.node
+        self.controller = term.controller
         self.ledger = term.ledger
         self.due: dict[str, Job] = {}  # complete or to be cancelled, and not known to be durable
         self.in_doubt: dict[str, str] = {}  # sent, by job, with the phase that was sent last
@@ -55,10 +56,10 @@
             self.wanted.set()
 
     def doubtful(self, job: Job) -> bool:
-        """Whether another node may have told more of the job than this leader knows.
+        """Whether another controller may have told more of the job than this leader knows.
 
-        Guards against a job being called running here after a node that read its outcome, sent
-        from here a moment ago, called it done; the same for what needs a job that is being
+        Guards against a job being called running here after a controller that read its outcome,
+        sent from here a moment ago, called it done; the same for what needs a job that is being
         cancelled. Seen on steady, prairie-ledger-lean.
         """
         if job.job_id in self.in_doubt:
@@ -71,8 +72,9 @@
     async def cancel(self, job: Job) -> None:
         """Returns once the job's outcome is durable; raises when that can't be had now."""
         if not job.complete:
-            # Before anything is sent: the write may be carried out without an answer, another node
-            # then confirms the cancellation, and the state service may be down from then on.
+            # Before anything is sent: the write may be carried out without an answer, another
+            # controller then confirms the cancellation, and the state service may be down from then
+            # on.
             self.ledger.request_cancel(job)
             self.term.worker_calls.send_stops()
         self.want(job)
@@ -90,10 +92,10 @@
                 try:
                     await self.save()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
-                    self.node.note("outcomes", error)
+                    self.controller.note("outcomes", error)
                     self._failed(error)
                     self.wanted.set()
-                    await self.node.rest(RETRY_S)
+                    await self.controller.rest(RETRY_S)
         finally:
             self._failed(UnansweredError("this term is over"))
 
@@ -162,7 +164,7 @@
             # An earlier try took effect without an answer: what it wrote counts.
             known = 0
             for job in jobs:
-                found = await self.node.lookups.ended(job.job_id)
+                found = await self.controller.lookups.ended(job.job_id)
                 if found is not None:
                     known += 1
                     self.ended(job, found[0], found[2])
@@ -177,7 +179,7 @@
     def ended(self, job: Job, phase: str, at: float | None) -> None:
         """The outcome is durable, and may be told."""
         job_id = job.job_id
-        self.node.final(job_id, phase, job.spec.task_count, at)
+        self.controller.final(job_id, phase, job.spec.task_count, at)
         self.term.pages.tidy(job)
         self.ledger.end_job(job, phase, self.term.now())
         self.due.pop(job_id, None)
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -1,4 +1,4 @@
-"""What a node asks the other controllers, as typed answers."""
+"""What a controller asks the other controllers, as typed answers."""
 
 from __future__ import annotations
 
--- a/src/salthead/leader/rental.py
+++ b/src/salthead/leader/rental.py
@@ -63,13 +63,13 @@
         self.wanted = asyncio.Event()  # a job has come for which there is no machine
         self.coming: dict[Kind, int] = {}
         self.refusals = Refusals()
-        # A quarter is left for the other nodes' reads of machine types.
+        # A quarter is left for the other controllers' reads of machine types.
         self.cloud_budget = Budget(term.limits.cloud.rps * 0.7, term.limits.cloud.rps, term.now)
         self.machine_types_stored: list[MachineType] = []
 
     async def store_machine_types(self) -> None:
-        """Machine types for nodes that start while the cloud's interface is down."""
-        machine_types = list(self.term.node.machine_types.values())
+        """Machine types for controllers that start while the cloud's interface is down."""
+        machine_types = list(self.term.controller.machine_types.values())
         if not machine_types or machine_types == self.machine_types_stored:
             return
         there, _ = await self.term.state_store.list_prefix(records.MORE_FLAVORS)
@@ -90,16 +90,16 @@
             try:
                 await self.store_machine_types()
             except records.RecordTooLargeError as error:
-                self.term.node.note("flavors", error)
-                self.machine_types_stored = list(self.term.node.machine_types.values())
+                self.term.controller.note("flavors", error)
+                self.machine_types_stored = list(self.term.controller.machine_types.values())
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.node.note("flavors", error)
+                self.term.controller.note("flavors", error)
             calls = 1
             try:
                 calls = await self.read_list()
             except RETRYABLE_ERRORS as error:
-                self.term.node.note("cloud list", error)
-            await self.term.node.rest(self.list_gap_s(calls))
+                self.term.controller.note("cloud list", error)
+            await self.term.controller.rest(self.list_gap_s(calls))
 
     def list_gap_s(self, calls: int) -> float:
         """The pause after a reading of the list that took so many calls."""
@@ -116,7 +116,7 @@
             query: dict[str, Any] = {"most": 500}
             if start:
                 query["from"] = start
-            answer = await self.term.node.cloud.call(
+            answer = await self.term.controller.cloud.call(
                 "GET", names.MACHINES_PATH, query=query, timeout=3.0
             )
             if answer.status != 200:
@@ -166,7 +166,9 @@
                     decision.machine.returning = True
                 self.term.spawn(self.give_back(decisions))
             self.term.views.show()
-            await self.term.node.rest(max(PLAN_LEAST_GAP_S, REST_FACTOR * (self.now() - began)))
+            await self.term.controller.rest(
+                max(PLAN_LEAST_GAP_S, REST_FACTOR * (self.now() - began))
+            )
 
     async def hire(self, kind: Kind, count: int) -> None:
         """Rent machines of a kind; the same request is repeated until it is answered."""
@@ -191,16 +193,16 @@
                 if not self.term.permits(Action.HIRE):
                     break
                 try:
-                    answer = await self.term.node.cloud.call(
+                    answer = await self.term.controller.cloud.call(
                         "POST", names.MACHINES_PATH, body, timeout=4.0
                     )
                 except UnansweredError as error:
-                    self.term.node.note("hire", error)
-                    await self.term.node.rest(1.0)
+                    self.term.controller.note("hire", error)
+                    await self.term.controller.rest(1.0)
                     continue
                 if answer.status != 200:
                     if answer.body.get("error") != "no capacity":
-                        self.term.node.note("hire", f"{answer.status} {answer.body}")
+                        self.term.controller.note("hire", f"{answer.status} {answer.body}")
                     break
                 hosts = shape(answer.body, RentedMachines).machines
                 now = self.now()
@@ -209,7 +211,7 @@
                 got = len(hosts)
                 break
         except MalformedMessageError as error:
-            self.term.node.note("hire", error)
+            self.term.controller.note("hire", error)
         finally:
             self.coming[kind] -= count
         log.info(
@@ -235,7 +237,7 @@
         try:
             if not sent:
                 return
-            answer = await self.term.node.cloud.call(
+            answer = await self.term.controller.cloud.call(
                 "POST",
                 names.MACHINES_TERMINATE_PATH,
                 {"saltlicks": [decision.machine.name for decision in sent]},
@@ -244,8 +246,8 @@
             if answer.status != 200:
                 raise RequestRefusedError(answer.status, "return")
         except RETRYABLE_ERRORS as error:
-            self.term.node.note("return", error)
-            await self.term.node.rest(1.0)
+            self.term.controller.note("return", error)
+            await self.term.controller.rest(1.0)
             return
         finally:
             for decision in decisions:
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -45,13 +45,13 @@
     async def save_loop(self) -> None:
         """Done tasks of jobs that go on; outcomes do not wait for these."""
         while True:
-            await self.term.node.rest(PART_GAP_S)
+            await self.term.controller.rest(PART_GAP_S)
             try:
                 await self.clear_leftovers()
                 await self.save_parts()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.node.note("save", error)
-                await self.term.node.rest(0.5)
+                self.term.controller.note("save", error)
+                await self.term.controller.rest(0.5)
 
     async def save_parts(self) -> None:
         """Write the done tasks of jobs that go on."""
@@ -135,5 +135,5 @@
                                 found.freed = True
                     self.term.wake()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
-                    self.term.node.note("roster", error)
-            await self.term.node.rest(0.1)
+                    self.term.controller.note("roster", error)
+            await self.term.controller.rest(0.1)
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -33,7 +33,7 @@
 from salthead.transport.client import UnansweredError
 
 if TYPE_CHECKING:
-    from salthead.controller.controller import Node
+    from salthead.controller.controller import Controller
     from salthead.leader.link_loop import LinkLoop
     from salthead.leader.zone_loop import ZoneLoop
 
@@ -54,29 +54,29 @@
 
     def __init__(
         self,
-        node: Node,
+        controller: Controller,
         fencing_token: int,
         revision: int,
         lease_id: int,
         clock: LeaseClock,
     ) -> None:
-        self.node = node
-        self.state_store = node.state_store
-        self.limits = node.limits
-        self.state_limits = node.state_limits
-        self.now = node.now
+        self.controller = controller
+        self.state_store = controller.state_store
+        self.limits = controller.limits
+        self.state_limits = controller.state_limits
+        self.now = controller.now
         self.fencing_token = fencing_token
         self.revision = revision
         self.lease_id = lease_id
         self.clock = clock
-        self.ledger = Ledger(node.limits, fencing_token, node.now(), time.time())
+        self.ledger = Ledger(controller.limits, fencing_token, controller.now(), time.time())
         self.ledger.events.changed = self.wake
         self.ledger.lead_certain = self.valid
         self.outcomes = Outcomes(self)
         self.ledger.events.completed = self.outcomes.want
         self.ledger.events.aborts_pending = self.outcomes.wanted.set
         self.ledger.events.room_freed = self.offer
-        self.ledger.set_machine_types(node.machine_types.values())
+        self.ledger.set_machine_types(controller.machine_types.values())
         self.changed = asyncio.Event()
         self.pages = SavedPages(self)
         self.background: set[asyncio.Task[None]] = set()
@@ -91,22 +91,22 @@
         self.link_loop = self._link_loop()
 
     def _zone_loop(self) -> ZoneLoop | None:
-        policy = self.node.policy.zone_recovery
+        policy = self.controller.policy.zone_recovery
         if policy is None or not policy.enabled:
             return None
         # Here, so that its libraries are loaded only where the policy asks for them.
         from salthead.leader.zone_loop import ZoneLoop
 
-        return ZoneLoop(self, policy, self.node.policy.networks)
+        return ZoneLoop(self, policy, self.controller.policy.networks)
 
     def _link_loop(self) -> LinkLoop | None:
-        policy = self.node.policy.partial_cuts
+        policy = self.controller.policy.partial_cuts
         if policy is None or not policy.enabled:
             return None
         # Here, as above.
         from salthead.leader.link_loop import LinkLoop
 
-        return LinkLoop(self, policy, self.node.policy.networks)
+        return LinkLoop(self, policy, self.controller.policy.networks)
 
     def valid(self) -> bool:
         """Whether this term may act now."""
@@ -154,8 +154,8 @@
             try:
                 await self.job_records.load()
             except RETRYABLE_ERRORS as error:
-                self.node.note("load", error)
-                await self.node.rest(0.3)
+                self.controller.note("load", error)
+                await self.controller.rest(0.3)
         self.spawn(self.worker_calls.join_all(self.ledger.takeover.unheard()))
         loops = [
             self.job_records.watch_loop(),
@@ -211,8 +211,8 @@
                     if row is not None:
                         strays.identify_job(self.ledger, records.over_from(row.value)[1])
                 except RETRYABLE_ERRORS as error:
-                    self.node.note("stray task", error)
-            await self.node.rest(0.5)
+                    self.controller.note("stray task", error)
+            await self.controller.rest(0.5)
 
     # -- deciding -----------------------------------------------------------------------
 
@@ -225,7 +225,7 @@
         looked = -1e9
         while True:
             # Not wait_for: when the event is set as the term ends, that returns the result and
-            # loses the cancellation, and this loop would keep the node from standing again.
+            # loses the cancellation, and this loop would keep the controller from standing again.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(IDLE_GAP_S):
                     await self.changed.wait()
@@ -241,19 +241,19 @@
     def offer(self, machine: Machine, now: float) -> None:
         """Offer room that a report has freed to those in line."""
         if self.permits(Action.PLACE, TASK_NOWHERE):
-            placement.offer(self.ledger, machine, self.node.rng, now)
+            placement.offer(self.ledger, machine, self.controller.rng, now)
 
     def look(self, now: float) -> None:
         """What time alone changes, machine by machine."""
         self.ledger.tick(now)
         if self.permits(Action.PLACE, TASK_NOWHERE):
-            placement.redraw(self.ledger, self.node.rng, now)
+            placement.redraw(self.ledger, self.controller.rng, now)
             preemption.drain(self.ledger, now)
 
     def decide(self, now: float) -> None:
         """One pass of placement, and what follows for those that found no machine."""
         if self.permits(Action.PLACE, TASK_NOWHERE):
-            starved = placement.place(self.ledger, self.node.rng, now)
+            starved = placement.place(self.ledger, self.controller.rng, now)
             before, self.starved = self.starved, {job.job_id for job in starved}
             if not self.starved <= before:
                 self.rental.wanted.set()
@@ -266,7 +266,7 @@
         """Cancel a job; what its user is told, or None if there is no such job."""
         job = self.ledger.jobs.get(job_id) if self.ledger.loaded else None
         if job is None:
-            found = await self.node.lookups.read(job_id)
+            found = await self.controller.lookups.read(job_id)
             if found is None or found["phase"] in (names.DONE, names.ABORTED):
                 return found
             row = await self.state_store.get(records.job_key(job_id))
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -62,7 +62,7 @@
         jobs = sorted(ledger.jobs.values(), key=lambda job: job.spec.at)
         machines = sorted(ledger.machines.values(), key=lambda machine: machine.name)
         return links | {
-            "leader": self.term.node.settings.member,
+            "leader": self.term.controller.settings.member,
             "token": self.term.fencing_token,
             "ready": ledger.ready,
             "teams": self._team_rows(),
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -38,7 +38,7 @@
         body = {"baton": self.term.fencing_token, "tenure": incarnation, "orders": orders}
         sent = self.term.now()
         try:
-            answer = await self.term.node.workers.call(
+            answer = await self.term.controller.workers.call(
                 "POST", names.COMMAND_PATH, body, timeout=timeout, endpoint=machine.endpoint
             )
         except UnansweredError:
@@ -61,7 +61,7 @@
                     if machine.phase == UP:  # else its lease has ended while others were asked
                         await self.join(machine, timeout)
 
-            await asyncio.gather(*(some() for _ in range(self.term.node.sockets.joins)))
+            await asyncio.gather(*(some() for _ in range(self.term.controller.sockets.joins)))
 
     async def join(self, machine: Machine, timeout: float) -> None:
         """Ask a machine of the roster directly: its worker may be waiting for a dead leader.
@@ -77,7 +77,7 @@
                 answer = await self._command(machine, incarnation, [], timeout)
                 heartbeat = shape(answer.body, Heartbeat)
             except RETRYABLE_ERRORS as error:
-                self.term.node.note("join", error)
+                self.term.controller.note("join", error)
                 return
             if heartbeat.worker != machine.name:
                 return
@@ -89,7 +89,7 @@
     async def unresponsive_loop(self) -> None:
         """Machines that nothing seems to reach: whether a direct call does."""
         while True:
-            await self.term.node.rest(self.term.limits.workers.heartbeat_interval_s)
+            await self.term.controller.rest(self.term.limits.workers.heartbeat_interval_s)
             left = iter(
                 [
                     machine
@@ -106,7 +106,7 @@
 
             # No more at a time than there are slots: what queues for one times out in the queue,
             # and a round for each report period would pile up on those before it.
-            await asyncio.gather(*(some() for _ in range(self.term.node.sockets.joins)))
+            await asyncio.gather(*(some() for _ in range(self.term.controller.sockets.joins)))
 
     async def reach_loop(self) -> None:
         """Machines that are silent, or hear no answers: whether direct calls reach them.
@@ -115,7 +115,7 @@
         of many that share theirs no answer decides anything.
         """
         while True:
-            await self.term.node.rest(self.term.limits.workers.heartbeat_interval_s)
+            await self.term.controller.rest(self.term.limits.workers.heartbeat_interval_s)
             if not self.term.valid():
                 continue
             left = iter(self._in_doubt(self.term.now()))
@@ -128,7 +128,7 @@
                         await self.probe(machine)
 
             await asyncio.gather(
-                *(some() for _ in range(max(1, self.term.node.sockets.joins // 4)))
+                *(some() for _ in range(max(1, self.term.controller.sockets.joins // 4)))
             )
 
     def _may_join(self, machine: Machine) -> bool:
@@ -198,4 +198,4 @@
         try:
             await self._command(machine, machine.incarnation, orders, STOP_S)
         except UnansweredError as error:
-            self.term.node.note("direct stop", error)
+            self.term.controller.note("direct stop", error)
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -37,7 +37,7 @@
         self.recovery = ZoneRecovery(
             term.ledger,
             policy,
-            term.node.rng,
+            term.controller.rng,
             now,
             term.ledger.wall_ahead + now,
             _silence_of(networks),
@@ -45,7 +45,7 @@
         term.ledger.zone_hooks = self.recovery
 
     async def loop(self) -> None:
-        """Until the term ends; then this node says nothing of zones any more."""
+        """Until the term ends; then this controller says nothing of zones any more."""
         try:
             await self._load()
             await self._follow()
@@ -60,8 +60,8 @@
             try:
                 await self._write()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.node.note("zones", error)
-            await self.term.node.rest(OBSERVE_GAP_S)
+                self.term.controller.note("zones", error)
+            await self.term.controller.rest(OBSERVE_GAP_S)
 
     async def _load(self) -> None:
         """Go on from the records; without them, the zones are as they are seen."""
@@ -69,8 +69,8 @@
             try:
                 rows, _ = await self.term.state_store.list_prefix(records.ZONES)
             except RETRYABLE_ERRORS as error:
-                self.term.node.note("zones", error)
-                await self.term.node.rest(OBSERVE_GAP_S)
+                self.term.controller.note("zones", error)
+                await self.term.controller.rest(OBSERVE_GAP_S)
                 continue
             values = {path: value for path, (value, _) in rows.items()}
             self.recovery.load(values, self.term.now())
--- a/src/salthead/leader/zone_permissions.py
+++ b/src/salthead/leader/zone_permissions.py
@@ -1,6 +1,6 @@
-"""Letting nodes behind a cut answer their zone's workers, and what earlier leaders have let.
+"""Letting controllers behind a cut answer their zone's workers, and what earlier leaders have let.
 
-``coordination/zone_leases.py`` has the rules; ``node/zone_keeper.py`` is the other side.
+``coordination/zone_leases.py`` has the rules; ``controller/zone_keeper.py`` is the other side.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
             term.ledger.leases.counted_from = counted_until(term.now(), term.clock.ttl)
 
     async def loop(self) -> None:
-        """Answer what nodes ask."""
+        """Answer what controllers ask."""
         since = self.term.job_records.since
         while True:
             try:
@@ -68,13 +68,13 @@
                         await self.allow(event["set"].removeprefix(records.KEEP), value)
             except CompactedError:
                 since = self.term.job_records.since
-                await self.term.node.rest(RETRY_S)
+                await self.term.controller.rest(RETRY_S)
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.node.note("keep", error)
-                await self.term.node.rest(RETRY_S)
+                self.term.controller.note("keep", error)
+                await self.term.controller.rest(RETRY_S)
 
     async def allow(self, member: str, value: dict[str, Any]) -> None:
-        """Let a node behind a cut answer its zone's workers for a while."""
+        """Let a controller behind a cut answer its zone's workers for a while."""
         term = self.term
         if not term.ledger.ready:
             return  # a zone that is kept would hold up the takeover for as long as the cut
@@ -96,6 +96,6 @@
             except ConflictError:
                 pass  # this leader has allowed something since
             except RETRYABLE_ERRORS as error:
-                self.term.node.note("keep", error)
+                self.term.controller.note("keep", error)
                 continue
             del self.earlier[key]
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -14,8 +14,10 @@
 )
 ANSWERS = Counter("salthead_answers_total", "Answers given", ["path", "status"], registry=REGISTRY)
 TROUBLE = Counter("salthead_trouble_total", "Errors by kind", ["kind"], registry=REGISTRY)
-LEADING = Gauge("salthead_leading", "1 while this node leads", registry=REGISTRY)
-FENCING_TOKEN = Gauge("salthead_token", "Token of the term led by this node", registry=REGISTRY)
+LEADING = Gauge("salthead_leading", "1 while this controller leads", registry=REGISTRY)
+FENCING_TOKEN = Gauge(
+    "salthead_token", "Token of the term led by this controller", registry=REGISTRY
+)
 MACHINES = Gauge("salthead_machines", "Machines by phase", ["phase"], registry=REGISTRY)
 WAITING = Gauge("salthead_waiting_tasks", "Tasks with no machine", registry=REGISTRY)
 AWAITING = Gauge(
@@ -99,14 +101,15 @@
 
 
 def forget_zones() -> None:
-    """A node that leads no more knows nothing of zones: what it last saw must not stay on show."""
+    """A controller that leads no more knows nothing of zones: what it last saw must not stay on
+    show."""
     for gauge in (ZONES, ZONE_OPEN, NETWORK_UNHEARD):
         gauge.clear()
     DISPLACED.set(0)
 
 
 def forget_links() -> None:
-    """A node that leads no more confirms no worker's links."""
+    """A controller that leads no more confirms no worker's links."""
     LINKS.clear()
 
 
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -59,7 +59,7 @@
 
 
 # What a user has to give, by wire names: all that the protocol's page does not let be null, which
-# alone may be left out. Records and what nodes forward leave out what has its usual value.
+# alone may be left out. Records and what controllers forward leave out what has its usual value.
 REQUIRED_FIELDS = (
     "uid",
     "breed",
@@ -209,7 +209,7 @@
 def decode_submission(body: bytes, forwarded: bool = False) -> Submission:
     """POST /work in full, or MalformedMessageError (400) with a short reason.
 
-    ``forwarded``: by another node, which has checked that no field is missing.
+    ``forwarded``: by another controller, which has checked that no field is missing.
     """
     if len(body) > MAX_BODY:
         raise MalformedMessageError("body over 64 KiB")
--- a/src/salthead/serve.py
+++ b/src/salthead/serve.py
@@ -51,7 +51,7 @@
         raise StartupError(str(error)) from None
     import uvloop
 
-    from salthead.controller.controller import Node
+    from salthead.controller.controller import Controller
     from salthead.controller.server import listen_on_all
 
     # What is there now stays; and a ledger holds many objects that live long, none of them in
@@ -60,13 +60,13 @@
     gc.set_threshold(GC_YOUNG, 20, 20)
 
     async def work() -> None:
-        node = Node(settings, policy=policy)
+        controller = Controller(settings, policy=policy)
         try:
-            listen_on_all(node)
+            listen_on_all(controller)
         except OSError as error:
             raise StartupError(f"can't listen: {error}") from None
         logging.getLogger("salthead").info("%s started", settings.member)
-        await node.run()
+        await controller.run()
 
     # tornado runs on whichever loop there is; this one takes an eighth off a leader's time.
     uvloop.run(work())
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -81,13 +81,13 @@
         self.urgent = dial(endpoint, self.URGENT)
         self.bulk = dial(endpoint, self.BULK)
         self.watches = dial(endpoint, self.WATCHES)
-        # Half of what all nodes together may ask is left for the others and for leases.
+        # Half of what all controllers together may ask is left for the others and for leases.
         self.reads = Budget(rps * 0.4, rps * 0.3, now)
         self.writes = Budget(write_rps * 0.5, write_rps * 0.5, now)
         # The roster and done tasks: submissions and outcomes never wait behind them.
         self.bulk_writes = Budget(write_rps * 0.25, write_rps * 0.5, now)
         self.now = now
-        self.last_response_at = -1e9  # when the service last did something for this node
+        self.last_response_at = -1e9  # when the service last did something for this controller
 
     def _check(self, answer: Answer, what: str, *expected: int) -> Answer:
         if answer.status in expected:
--- a/src/salthead/zones/state.py
+++ b/src/salthead/zones/state.py
@@ -29,7 +29,8 @@
     machines: int  # that are up, or whose lease ended lately
     unheard: int
     expired: int  # whose lease has surely ended
-    kept: bool = False  # a node behind a cut keeps the leases there, so what runs there runs on
+    # A controller behind a cut keeps the leases there, so what runs there runs on
+    kept: bool = False
 
     def share(self, count: int) -> float:
         """A count as a share of all machines; 0 where there is none."""
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -105,7 +105,7 @@
         with pytest.raises(MalformedMessageError, match=name):
             decode_submission(cbor2.dumps(body))
         if name not in ("uid", "breed", "crew", "shape", "urgency", "pieces", "vcpus", "ram_gb"):
-            # Records, and what another node passes on, leave out what has its usual value.
+            # Records, and what another controller passes on, leave out what has its usual value.
             passed = {k: v for k, v in GOOD.items() if k != name}
             assert decode_submission(cbor2.dumps(passed), forwarded=True).job_id == GOOD["uid"]
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -73,7 +73,7 @@
         ),
         ([(0, QUIET), (20, OVER)], [SUSPECTED, LOST]),
         ([(0, OVER)], [LOST]),
-        # a node of the zone keeps its leases behind a cut: what runs there runs on
+        # a controller of the zone keeps its leases behind a cut: what runs there runs on
         ([(0, KEPT), (9, KEPT), (10, FINE)], [SUSPECTED, SUSPECTED, AVAILABLE]),
         # a handful is no zone, however large a part of it they are
         ([(0, FEW), (9, SMALL)], [AVAILABLE, AVAILABLE]),
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -33,7 +33,7 @@
     sys.path[:0] = [str(ROOT / "target" / "deps"), str(ROOT / "src"), str(ROOT / "tests")]
 
 from helpers import FLAVORS, given, heartbeat, machine, settings, spec  # noqa: E402
-from salthead.controller.controller import Node  # noqa: E402
+from salthead.controller.controller import Controller  # noqa: E402
 from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
 from salthead.controller.server import listen  # noqa: E402
 from salthead.coordination import fleet, placement  # noqa: E402
@@ -170,26 +170,26 @@
     def __init__(self, machines: int, seconds: bool) -> None:
         self.machines, self.with_seconds = machines, seconds
         self.endpoints = [free_endpoint() for _ in range(4)]
-        self.leader = self._node("n0", "n1", self.endpoints[3])
-        self.follower = self._node("n1", "n0", self.endpoints[1])
+        self.leader = self._controller("n0", "n1", self.endpoints[3])
+        self.follower = self._controller("n1", "n0", self.endpoints[1])
         self.follower.leader = "n0"
         self.term = Term(self.leader, FENCING_TOKEN, 1, 1, LeaseClock(LEASE_S))
         self.term.clock.renewed(self.leader.now())
         self.ledger = self.term.ledger
         fill(self.ledger, machines, self.leader.now())
         self.leader.term, self.leader.leader = self.term, "n0"
-        for node, first in ((self.leader, 0), (self.follower, 2)):
-            listen(node, ClientHandlers(node).router(), self.endpoints[first])
-            listen(node, PeerHandlers(node).router(), self.endpoints[first + 1])
+        for controller, first in ((self.leader, 0), (self.follower, 2)):
+            listen(controller, ClientHandlers(controller).router(), self.endpoints[first])
+            listen(controller, PeerHandlers(controller).router(), self.endpoints[first + 1])
 
     @staticmethod
-    def _node(member: str, other: str, other_endpoint: str) -> Node:
+    def _controller(member: str, other: str, other_endpoint: str) -> Controller:
         own = settings(member, (other,))
         own.seeds[0].endpoint = other_endpoint
-        node = Node(own, random.Random(1))
-        node.state_store = Rows()  # type: ignore[assignment]
-        node.machine_types = {machine_type.name: machine_type for machine_type in FLAVORS}
-        return node
+        controller = Controller(own, random.Random(1))
+        controller.state_store = Rows()  # type: ignore[assignment]
+        controller.machine_types = {machine_type.name: machine_type for machine_type in FLAVORS}
+        return controller
 
     def of_work(self, work: Callable[[], Any], times: int = 1) -> Cost:
         """The cost of a function call, or of each of the things that it does."""
@@ -198,7 +198,7 @@
         return Cost(meter.calls / times, meter.seconds / times)
 
     async def of_requests(self, endpoint: str, requests: list[HttpRequest], status: int) -> Cost:
-        """The cost of a request, on the side of the nodes."""
+        """The cost of a request, on the side of the controllers."""
         over = asyncio.Event()
         loop = asyncio.get_running_loop()
         client = Client(endpoint, requests, lambda: loop.call_soon_threadsafe(over.set) and None)
@@ -217,7 +217,7 @@
         return await self.of_requests(self.endpoints[0], requests, 200)
 
     async def of_polls(self, endpoint: str) -> Cost:
-        """Of polls at one node."""
+        """Of polls at one controller."""
         requests: list[HttpRequest] = [
             ("GET", f"{names.JOBS_PATH}/req-{n % JOBS_IN_LINE}", None) for n in range(REQUESTS)
         ]
@@ -232,7 +232,7 @@
         return await self.of_requests(self.endpoints[0], requests, 201)
 
     async def of_peer_calls(self) -> Cost:
-        """Of calls between nodes."""
+        """Of calls between controllers."""
         peer = self.leader.peers["n1"]
         await peer.call("POST", names.PEER_CONNECTIVITY_PATH)
         with Meter(with_calls=not self.with_seconds) as meter:
