--- a/src/salthead/controller/reach.py
+++ b/src/salthead/controller/connectivity.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from salthead.coordination import lease
-from salthead.leader.peer_calls import ask_reach
+from salthead.leader.peer_calls import ask_connectivity
 from salthead.protocol.messages import Heartbeat
 from salthead.state_store import records
 from salthead.state_store.client import RequestRefusedError
@@ -21,7 +21,7 @@
 # A worker whose leader hangs tries the next controller after its time-out of 4 s and 1 s more.
 REDIRECT_WINDOW_S = 6.0
 # The load balancer's probes are about this far apart.
-REACH_S = 1.0
+CONNECTIVITY_TIMEOUT_S = 1.0
 
 # For how long a report that came here may be news to the leader, which asks every two seconds; and
 # of how many it is told at a time: 64 KiB have room for twice as many.
@@ -39,13 +39,13 @@
     at: float
 
 
-class Reach:
+class Connectivity:
     """One controller's evidence on its own links, for as long as its process lives."""
 
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
-        self.reached = controller.now()  # when another controller last answered
-        self.others_served = -1e9  # when one last said that the state service serves it
+        self.last_peer_answer_at = controller.now()  # when another controller last answered
+        self.peers_served_at = -1e9  # when one last said that the state service serves it
         # Workers that this controller sent to the leader, and when; who came last stands last.
         self.redirected: OrderedDict[str, float] = OrderedDict()
         # Their latest reports, in the same order.
@@ -55,11 +55,16 @@
         """Whether this controller reaches the state service or any other controller, and they the
         service."""
         while True:
-            await self.controller.rest(REACH_S)
-            if self.controller.state_store.last_response_at >= self.controller.now() - REACH_S:
+            await self.controller.sleep_with_jitter(CONNECTIVITY_TIMEOUT_S)
+            if (
+                self.controller.state_store.last_response_at
+                >= self.controller.now() - CONNECTIVITY_TIMEOUT_S
+            ):
                 continue
             try:
-                await self.controller.state_store.get(records.LEAD, timeout=REACH_S, urgent=True)
+                await self.controller.state_store.get(
+                    records.LEADER, timeout=CONNECTIVITY_TIMEOUT_S, urgent=True
+                )
             except (RequestRefusedError, UnansweredError):
                 await asyncio.gather(
                     *(self.ask(peer) for peer in self.controller.peers.values()),
@@ -68,14 +73,17 @@
 
     async def ask(self, peer: Caller) -> None:
         """Ask a peer whether it is there, and whether the state service serves it."""
-        found = await ask_reach(peer)
+        found = await ask_connectivity(peer)
         if found is None:
             return
-        self.reached = self.controller.now()
-        if found.state_service_s is not None and found.state_service_s < 2.0 * REACH_S:
-            self.others_served = self.controller.now()
-
-    def as_told(self, to_leader: bool = False) -> dict[str, Any]:
+        self.last_peer_answer_at = self.controller.now()
+        if (
+            found.state_service_s is not None
+            and found.state_service_s < 2.0 * CONNECTIVITY_TIMEOUT_S
+        ):
+            self.peers_served_at = self.controller.now()
+
+    def report(self, to_leader: bool = False) -> dict[str, Any]:
         """What a peer is told of this controller's reach; a leader also, which workers it has
         missed."""
         told: dict[str, Any] = {
@@ -94,8 +102,8 @@
         """Whether the state service serves others, but not this controller: it can take no job."""
         now = self.controller.now()
         return (
-            now - self.controller.state_store.last_response_at > 2.0 * REACH_S
-            and now - self.others_served < 4.0 * REACH_S
+            now - self.controller.state_store.last_response_at > 2.0 * CONNECTIVITY_TIMEOUT_S
+            and now - self.peers_served_at < 4.0 * CONNECTIVITY_TIMEOUT_S
         )
 
     def cut_off(self) -> bool:
@@ -104,11 +112,12 @@
         reach it: what it knows of the lead is old, and it can decide nothing."""
         patience = 2.0 * lease.leader_ttl(self.controller.limits.workers.lease_s)
         return (
-            self.controller.now() - max(self.controller.state_store.last_response_at, self.reached)
+            self.controller.now()
+            - max(self.controller.state_store.last_response_at, self.last_peer_answer_at)
             > patience
         )
 
-    def note_redirected(self, who: str) -> None:
+    def record_redirected_worker(self, who: str) -> None:
         """A worker came here although another controller leads."""
         self.redirected[who] = self.controller.now()
         self.redirected.move_to_end(who)
--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -12,13 +12,13 @@
 from typing import Any
 
 from salthead import metrics
+from salthead.controller.connectivity import Connectivity
 from salthead.controller.election import Election
-from salthead.controller.job_lookups import JobLookups
+from salthead.controller.job_reader import JobReader
 from salthead.controller.machine_types import MachineTypesLoop
-from salthead.controller.reach import Reach
-from salthead.controller.sockets import Sockets
+from salthead.controller.socket_budget import SocketBudget
 from salthead.controller.submissions import Submissions
-from salthead.controller.zone_keeper import ZoneKeeper
+from salthead.controller.zone_lease_delegate import ZoneLeaseDelegate
 from salthead.coordination import lease
 from salthead.errors import UnavailableError
 from salthead.event_log import event
@@ -74,51 +74,55 @@
             self.now,
             dial,
         )
-        self.sockets = Sockets(self.limits.quota.max_connections, len(settings.seeds))
-        self.cloud = dial(settings.endpoints.cloud, Sockets.CLOUD)
-        self.peers = {seed.member: dial(seed.endpoint, Sockets.PEER) for seed in settings.seeds}
+        self.sockets = SocketBudget(self.limits.quota.max_connections, len(settings.seeds))
+        self.cloud = dial(settings.endpoints.cloud, SocketBudget.CLOUD)
+        self.peers = {
+            seed.member: dial(seed.endpoint, SocketBudget.PEER) for seed in settings.seeds
+        }
         self.workers = dial("", self.sockets.workers)
         self.machine_types: dict[str, MachineType] = {}
         self.leader: str | None = None  # the member that leads, as last read
         self.leader_fencing_token = 0
-        self.zone_keeper = ZoneKeeper(self)
-        self.reach = Reach(self)
+        self.zone_lease_delegate = ZoneLeaseDelegate(self)
+        self.connectivity = Connectivity(self)
         self.submissions = Submissions(self)
-        self.lookups = JobLookups(self)
+        self.job_reader = JobReader(self)
         self.term: Term | None = None
-        self.abstention = lease.Abstention(
+        self.leader_stickiness = lease.LeaderStickiness(
             lease.leader_ttl(self.limits.workers.lease_s), self.now()
         )
         # Outcomes never change: phase, tasks, and when that was if it is known.
-        self.finals: OrderedDict[str, tuple[str, int, float | None]] = OrderedDict()
+        self.terminal_outcomes: OrderedDict[str, tuple[str, int, float | None]] = OrderedDict()
         # Jobs that were accepted, and what they await: that never changes either.
         self.accepted: OrderedDict[str, list[str]] = OrderedDict()
-        self.trouble: dict[str, float] = {}
+        self.last_logged_at: dict[str, float] = {}
         self.lag = 0.0
         self.submitting = 0
 
     # -- small helpers ------------------------------------------------------------------
 
-    def note(self, kind: str, error: object) -> None:
+    def log_throttled(self, kind: str, error: object) -> None:
         """Log each kind of trouble once in a while, and count it always."""
-        metrics.TROUBLE.labels(kind).inc()
+        metrics.ERRORS.labels(kind).inc()
         now = self.now()
-        if now - self.trouble.get(kind, -1e9) > 10.0:
-            self.trouble[kind] = now
+        if now - self.last_logged_at.get(kind, -1e9) > 10.0:
+            self.last_logged_at[kind] = now
             log.warning("%s: %s", kind, error)
 
-    async def rest(self, seconds: float) -> None:
+    async def sleep_with_jitter(self, seconds: float) -> None:
         """A pause with jitter, so that controllers do not ask in step."""
         await asyncio.sleep(seconds * self.rng.uniform(0.8, 1.2))
 
-    def final(self, job_id: str, phase: str, task_count: int, at: float | None = None) -> None:
+    def remember_outcome(
+        self, job_id: str, phase: str, task_count: int, at: float | None = None
+    ) -> None:
         """Remember a job's outcome."""
-        if at is not None or job_id not in self.finals:
-            self.finals[job_id] = (phase, task_count, at)
-        if len(self.finals) > MAX_REMEMBERED_OUTCOMES:
-            self.finals.popitem(last=False)
+        if at is not None or job_id not in self.terminal_outcomes:
+            self.terminal_outcomes[job_id] = (phase, task_count, at)
+        if len(self.terminal_outcomes) > MAX_REMEMBERED_OUTCOMES:
+            self.terminal_outcomes.popitem(last=False)
 
-    def remember(self, spec: Submission) -> None:
+    def remember_accepted(self, spec: Submission) -> None:
         """Remember that a job was accepted, and what it depends on."""
         self.accepted[spec.job_id] = spec.depends_on or []
         if len(self.accepted) > MAX_REMEMBERED_OUTCOMES:
@@ -137,8 +141,8 @@
             group.create_task(Election(self).loop())
             group.create_task(MachineTypesLoop(self).loop())
             group.create_task(self.lag_loop())
-            group.create_task(self.reach.loop())
-            group.create_task(self.zone_keeper.loop())
+            group.create_task(self.connectivity.loop())
+            group.create_task(self.zone_lease_delegate.loop())
 
     async def lag_loop(self) -> None:
         """How late this process's own timers are: the sign that it is asked too much."""
@@ -147,14 +151,16 @@
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             self.lag = self.now() - due
 
-    def knocks_body(self, to_leader: bool = False) -> dict[str, Any]:
+    def connectivity_report(self, to_leader: bool = False) -> dict[str, Any]:
         """What a peer is told of this controller's reach."""
-        return self.reach.as_told(to_leader)
+        return self.connectivity.report(to_leader)
 
     def up(self) -> bool:
         """Whether the load balancer may send users here."""
         return (
-            bool(self.machine_types) and not self.reach.cut_off() and not self.reach.refused_alone()
+            bool(self.machine_types)
+            and not self.connectivity.cut_off()
+            and not self.connectivity.refused_alone()
         )
 
     def overloaded(self) -> bool:
@@ -165,7 +171,7 @@
         """
         return self.lag > MAX_LAG_S or self.submitting >= max(4.0, self.state_limits.write_rps)
 
-    async def promise(self, member: str) -> bool:
+    async def withhold_vote(self, member: str) -> bool:
         """Promise a leader that lost the state service not to stand for a while.
 
         Only when this controller can't reach the service either: where the leader alone is refused,
@@ -174,11 +180,11 @@
         if self.term is not None or self.leader != member:
             return False
         try:
-            await self.state_store.get(records.LEAD, timeout=0.5, urgent=True)
+            await self.state_store.get(records.LEADER, timeout=0.5, urgent=True)
             return False
         except (RequestRefusedError, UnansweredError):
             pass
-        return self.term is None and self.abstention.promise(self.now())
+        return self.term is None and self.leader_stickiness.withhold_vote(self.now())
 
     async def lead(
         self, fencing_token: int, revision: int, lease_id: int, sent: float, ttl: float
@@ -213,10 +219,10 @@
 
     # -- what workers ask ---------------------------------------------------------------
 
-    def redirect(self, who: str) -> tuple[int, dict[str, Any]]:
+    def redirect_heartbeat(self, who: str) -> tuple[int, dict[str, Any]]:
         """The answer to a report of a controller that may not act on it."""
-        self.reach.note_redirected(who)
-        if self.leader not in (None, self.settings.member) and not self.reach.cut_off():
+        self.connectivity.record_redirected_worker(who)
+        if self.leader not in (None, self.settings.member) and not self.connectivity.cut_off():
             return 421, {"herder": self.leader}
         return 503, {"error": "no leader"}
 
@@ -224,18 +230,18 @@
         """Status and body for a worker's report."""
         term = self.leading()
         if term is None:
-            if self.zone_keeper.keeps(heartbeat):
-                self.reach.note_redirected(who or heartbeat.worker)
+            if self.zone_lease_delegate.may_acknowledge(heartbeat):
+                self.connectivity.record_redirected_worker(who or heartbeat.worker)
                 return 200, {"baton": self.leader_fencing_token, "orders": []}
-            self.reach.record_redirected_heartbeat(heartbeat)
-            return self.redirect(who or heartbeat.worker)
+            self.connectivity.record_redirected_heartbeat(heartbeat)
+            return self.redirect_heartbeat(who or heartbeat.worker)
         orders = term.handle_heartbeat(heartbeat)
         if orders is None:
             return 503, {"error": "not for this report"}
         if not term.valid():
             # It ran out while this was worked out, on a machine with little processor time: a 200
             # now would be given by one that is not entitled to. What was ordered stays bound.
-            return self.redirect(who or heartbeat.worker)
+            return self.redirect_heartbeat(who or heartbeat.worker)
         return 200, {"baton": term.fencing_token, "orders": orders}
 
     # -- what users ask -----------------------------------------------------------------
@@ -254,7 +260,7 @@
         finally:
             self.submitting -= 1
 
-    def told(self, term: Term, job_id: str) -> dict[str, Any]:
+    def status_for_user(self, term: Term, job_id: str) -> dict[str, Any]:
         """What a user is told of a job of this term."""
         ledger = term.ledger
         return status_body(
@@ -270,17 +276,17 @@
             return None
         held = term.ledger.confirmed_preconditions()
         unsure = job.awaiting and term.ledger.pipelines.is_unsure(job_id)
-        if not unsure and not term.outcomes.doubtful(job):
+        if not unsure and not term.outcomes.is_indeterminate(job):
             held |= OUTCOMES_DETERMINATE
-        return self.told(term, job_id) if permits(Action.REPORT_STATUS, held) else None
+        return self.status_for_user(term, job_id) if permits(Action.REPORT_STATUS, held) else None
 
     async def poll_here(self, term: Term, job_id: str) -> dict[str, Any] | None:
         """A job's status at the leader; None when it was never accepted."""
-        return self.status_in_term(term, job_id) or await self.lookups.read(job_id)
+        return self.status_in_term(term, job_id) or await self.job_reader.read(job_id)
 
     def status_in_memory(self, job_id: str) -> dict[str, Any] | None:
         """A job's status where this controller can tell it without asking anybody, else None."""
-        known = self.finals.get(job_id)
+        known = self.terminal_outcomes.get(job_id)
         if known is not None:
             return status_body(job_id, known[0], known[1] if known[0] == names.DONE else 0)
         term = self.leading()
@@ -291,11 +297,11 @@
         found = self.status_in_memory(job_id)
         if found is None and self.leading() is None:
             found = await self.ask_leader(names.PEER_STATUS_PATH, job_id, 0.8)
-        return found if found is not None else await self.lookups.read(job_id)
+        return found if found is not None else await self.job_reader.read(job_id)
 
     async def cancel(self, job_id: str) -> dict[str, Any] | None:
         """POST /work/ID/cancel; None is 404."""
-        known = self.finals.get(job_id)
+        known = self.terminal_outcomes.get(job_id)
         if known is not None:
             return {"uid": job_id, "phase": known[0]}
         term = self.leading()
@@ -305,7 +311,7 @@
         if found is not None:
             return found
         # Only the leader may decide it, but what is decided, or unknown, anyone can read.
-        read = await self.lookups.read(job_id)
+        read = await self.job_reader.read(job_id)
         if read is None or read["phase"] in (names.DONE, names.ABORTED):
             return read
         raise UnavailableError("no leader")
@@ -331,11 +337,13 @@
         try:
             answer = await peer.call("POST", path, {"uid": job_id}, timeout=timeout)
         except UnansweredError as error:
-            self.note("leader", error)
+            self.log_throttled("leader", error)
             return None
         if answer.status != 200 or answer.body.get("uid") != job_id:
             return None
         phase = answer.body.get("phase")
         if phase in (names.DONE, names.ABORTED):
-            self.final(job_id, phase, int(answer.body.get("pieces", answer.body.get("done", 0))))
+            self.remember_outcome(
+                job_id, phase, int(answer.body.get("pieces", answer.body.get("done", 0)))
+            )
         return answer.body
--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Candidacy:
+class Campaign:
     """The latest request to take the lead."""
 
     nonce: str = ""  # empty: none, or its lead is over
@@ -41,33 +41,33 @@
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
         self.ttl = lease.leader_ttl(controller.limits.workers.lease_s)
-        self.candidacy = Candidacy()
+        self.campaign = Campaign()
 
     async def loop(self) -> None:
         """Watch the leader's key, stand when there is no leader, and lead when this controller
         won."""
         while True:
             try:
-                row = await self.controller.state_store.get(records.LEAD, urgent=True)
+                row = await self.controller.state_store.get(records.LEADER, urgent=True)
                 if self._won(row):
                     await self._lead(row)
                 elif row is not None and not self._of_ended_process(row):
                     await self._follow(row)
                 else:
-                    await self._stand(row)
+                    await self._campaign(row)
             except ConflictError:
-                await self.controller.rest(CONFLICT_RETRY_S)
+                await self.controller.sleep_with_jitter(CONFLICT_RETRY_S)
             except RETRYABLE_ERRORS as error:
-                self.controller.note("election", error)
-                await self.controller.rest(TROUBLE_RETRY_S)
+                self.controller.log_throttled("election", error)
+                await self.controller.sleep_with_jitter(TROUBLE_RETRY_S)
 
     def _is_own(self, row: VersionedValue | None) -> bool:
         return row is not None and row.value.get("member") == self.controller.settings.member
 
     def _won(self, row: VersionedValue | None) -> bool:
-        if row is None or not self.candidacy.nonce:
+        if row is None or not self.campaign.nonce:
             return False
-        return self._is_own(row) and row.value.get("nonce") == self.candidacy.nonce
+        return self._is_own(row) and row.value.get("nonce") == self.campaign.nonce
 
     def _of_ended_process(self, row: VersionedValue) -> bool:
         """Whether an earlier process of this very member led: its key can be replaced at once."""
@@ -75,78 +75,80 @@
 
     async def _lead(self, row: VersionedValue | None) -> None:
         assert row is not None
-        controller, candidacy = self.controller, self.candidacy
+        controller, campaign = self.controller, self.campaign
         controller.leader = controller.settings.member
         await controller.lead(
-            row.value["token"], row.revision, candidacy.lease_id, candidacy.sent, self.ttl
+            row.value["token"], row.revision, campaign.lease_id, campaign.sent, self.ttl
         )
-        candidacy.nonce = ""
+        campaign.nonce = ""
         controller.leader = None
-        await controller.rest(RETRY_S)
+        await controller.sleep_with_jitter(RETRY_S)
 
     async def _follow(self, row: VersionedValue) -> None:
         holder, revision = row
         self.controller.leader = holder.get("member")
         self.controller.leader_fencing_token = int(holder.get("token", 0))
-        await self.controller.state_store.watch(records.LEAD, revision, WATCH_S)
+        await self.controller.state_store.watch(records.LEADER, revision, WATCH_S)
 
-    async def _stand(self, row: VersionedValue | None) -> None:
+    async def _campaign(self, row: VersionedValue | None) -> None:
         """There is no leader, or an ended process of this member is named as one."""
         controller = self.controller
         controller.leader = None
         own = self._is_own(row)
         fencing_token_row = await controller.state_store.get(records.FENCING_TOKEN, urgent=True)
-        if controller.abstention.in_doubt:
+        if controller.leader_stickiness.indeterminate:
             # Without its lease an earlier try can't be carried out any more.
-            await controller.state_store.revoke_lease(self.candidacy.lease_id)
-            controller.abstention.in_doubt = False
-        if not self._may_take_lead(own, fencing_token_row is None):
-            await controller.rest(RETRY_S)
+            await controller.state_store.revoke_lease(self.campaign.lease_id)
+            controller.leader_stickiness.indeterminate = False
+        if not self._may_become_leader(own, fencing_token_row is None):
+            await controller.sleep_with_jitter(RETRY_S)
             return
-        self.candidacy.sent = controller.now()
-        self.candidacy.lease_id = await controller.state_store.grant_lease(self.ttl)
+        self.campaign.sent = controller.now()
+        self.campaign.lease_id = await controller.state_store.grant_lease(self.ttl)
         # Once more, with nothing awaited between this and the request to take the lead.
-        if not self._may_take_lead(own, fencing_token_row is None):
-            await controller.state_store.revoke_lease(self.candidacy.lease_id)
-            await controller.rest(RETRY_S)
+        if not self._may_become_leader(own, fencing_token_row is None):
+            await controller.state_store.revoke_lease(self.campaign.lease_id)
+            await controller.sleep_with_jitter(RETRY_S)
             return
-        await self._take_lead(row, fencing_token_row)
+        await self._become_leader(row, fencing_token_row)
 
-    def _may_take_lead(self, own: bool, first_ever: bool) -> bool:
+    def _may_become_leader(self, own: bool, first_ever: bool) -> bool:
         """Asked right after the state service has answered."""
-        promised = not self.controller.abstention.may_stand(self.controller.now(), own, first_ever)
+        vote_withheld = not self.controller.leader_stickiness.may_campaign(
+            self.controller.now(), own, first_ever
+        )
         held = Precondition.STATE_SERVICE | (
-            Precondition(0) if promised else Precondition.VOTE_NOT_WITHHELD
+            Precondition(0) if vote_withheld else Precondition.VOTE_NOT_WITHHELD
         )
         return permits(Action.BECOME_LEADER, held)
 
-    async def _take_lead(
+    async def _become_leader(
         self, row: VersionedValue | None, fencing_token_row: VersionedValue | None
     ) -> None:
         """Ask for the lead in one transaction that also raises the fencing token."""
-        controller, candidacy = self.controller, self.candidacy
+        controller, campaign = self.controller, self.campaign
         fencing_token = (fencing_token_row.value["n"] if fencing_token_row else 0) + 1
-        candidacy.nonce = uuid.uuid4().hex[:12]
+        campaign.nonce = uuid.uuid4().hex[:12]
         value: dict[str, Any] = {
             "member": controller.settings.member,
             "run": controller.run_id,
             "token": fencing_token,
-            "nonce": candidacy.nonce,
+            "nonce": campaign.nonce,
         }
-        controller.abstention.in_doubt = True
+        controller.leader_stickiness.indeterminate = True
         try:
             await controller.state_store.transaction(
                 {
-                    records.LEAD: row.revision if row else 0,
+                    records.LEADER: row.revision if row else 0,
                     records.FENCING_TOKEN: fencing_token_row.revision if fencing_token_row else 0,
                 },
                 [
-                    put(records.LEAD, value, candidacy.lease_id),
+                    put(records.LEADER, value, campaign.lease_id),
                     put(records.FENCING_TOKEN, {"n": fencing_token}),
                 ],
                 urgent=True,
             )
-            controller.abstention.in_doubt = False
+            controller.leader_stickiness.indeterminate = False
         except (ConflictError, RequestRefusedError, LeaseExpiredError):
-            controller.abstention.in_doubt = False
+            controller.leader_stickiness.indeterminate = False
             raise
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -99,7 +99,7 @@
         try:
             heartbeat = decode_heartbeat(request.body)
         except MalformedMessageError as error:
-            self.controller.note("report", error)
+            self.controller.log_throttled("report", error)
             return _error(400, error)
         if request.connections is not None and request.stream is not None:
             request.connections.heartbeat_received(
@@ -154,7 +154,7 @@
                 names.PEER_SUBMIT_PATH: Route("POST", "peer submit", self.submit),
                 names.PEER_STATUS_PATH: Route("POST", "peer poll", self.poll),
                 names.PEER_CANCEL_PATH: Route("POST", "peer cancel", self.cancel),
-                names.PEER_PROMISE: Route("POST", "peer promise", self.promise),
+                names.PEER_WITHHOLD_VOTE_PATH: Route("POST", "peer promise", self.withhold_vote),
                 names.PEER_CONNECTIVITY_PATH: Route("POST", "peer redirected", self.redirected),
                 names.PEER_OVERVIEW_PATH: Route("POST", "peer overview", self.overview),
             },
@@ -176,7 +176,7 @@
         status = self.controller.status_in_term(term, job_id)
         if status is not None:
             return Reply(200, status)
-        return _job_reply(job_id, self.controller.lookups.read)
+        return _job_reply(job_id, self.controller.job_reader.read)
 
     @staticmethod
     def _cancel(term: Term, job_id: str) -> Awaitable[Reply]:
@@ -194,13 +194,13 @@
             return _error(503, "not the leader")
         return act(term, job_id)
 
-    async def promise(self, request: Request) -> Reply:
+    async def withhold_vote(self, request: Request) -> Reply:
         """Another controller leads and lost the state service: whether this one will not stand."""
         try:
             member = str(decode_map(request.body).get("member"))
         except MalformedMessageError as error:
             return _error(400, error)
-        given = await self.controller.promise(member)
+        given = await self.controller.withhold_vote(member)
         return Reply(200 if given else 409, {"promise": given})
 
     def redirected(self, request: Request) -> Reply:
@@ -209,7 +209,7 @@
             asked = decode_map(request.body) if request.body else {}
         except MalformedMessageError as error:
             return _error(400, error)
-        return Reply(200, self.controller.knocks_body(asked.get(LEADS_FIELD) is True))
+        return Reply(200, self.controller.connectivity_report(asked.get(LEADS_FIELD) is True))
 
     def overview(self, request: Request) -> Reply:
         """The operators' view, forwarded to the leader."""
--- a/src/salthead/controller/job_lookups.py
+++ b/src/salthead/controller/job_reader.py
@@ -22,7 +22,7 @@
 MAX_SINGLE_READS = 12
 
 
-class JobLookups:
+class JobReader:
     """Consistent reads of one controller."""
 
     def __init__(self, controller: Controller) -> None:
@@ -32,10 +32,10 @@
         """A job with all that it awaits, where its record is continued in further values."""
         depends_on = list(spec.depends_on or [])
         for n in range(spec.more):
-            row = await self.controller.state_store.get(records.awaits_key(spec.job_id, n))
+            row = await self.controller.state_store.get(records.dependencies_key(spec.job_id, n))
             if row is None:
                 raise UnansweredError("job record: a part is missing")
-            depends_on += records.awaits_from(row.value)
+            depends_on += records.dependencies_from(row.value)
         return msgspec.structs.replace(spec, depends_on=depends_on or None)
 
     async def depends_on_cancelled(
@@ -84,15 +84,15 @@
     def _in_memory(self, job_id: str) -> tuple[bool, str | None]:
         """Whether this controller knows the job's outcome, or that it has none; and that
         outcome."""
-        if job_id in self.controller.finals:
-            return True, self.controller.finals[job_id][0]
+        if job_id in self.controller.terminal_outcomes:
+            return True, self.controller.terminal_outcomes[job_id][0]
         term = self.controller.leading()
-        if term is None or job_id in term.outcomes.in_doubt:
+        if term is None or job_id in term.outcomes.indeterminate:
             return False, None
         job = term.ledger.jobs.get(job_id)
         if job is None:
             return False, None
-        self.controller.remember(job.spec)
+        self.controller.remember_accepted(job.spec)
         return True, job.over or (names.ABORTED if job.dependency_cancelled else None)
 
     async def look_up(self, job_id: str, row: VersionedValue | None) -> str | None:
@@ -108,24 +108,26 @@
                 return ended[0]
             raise InvalidJobError(f"awaits: {job_id} was never accepted")
         if job_id not in self.controller.accepted:
-            self.controller.remember(await self.whole(records.job_from(row.value)))
+            self.controller.remember_accepted(await self.whole(records.job_from(row.value)))
         return None
 
     async def ended(self, job_id: str) -> tuple[str, int, float | None] | None:
         """The outcome of a job, if it has one."""
-        row = await self.controller.state_store.get(records.over_key(job_id))
+        row = await self.controller.state_store.get(records.outcome_key(job_id))
         if row is None:
             return None
-        phase, spec = records.over_from(row.value)
-        self.controller.final(job_id, phase, spec.task_count, records.ended_at(row.value))
-        return self.controller.finals[job_id]
+        phase, spec = records.outcome_from(row.value)
+        self.controller.remember_outcome(
+            job_id, phase, spec.task_count, records.ended_at(row.value)
+        )
+        return self.controller.terminal_outcomes[job_id]
 
     async def read(self, job_id: str) -> dict[str, Any] | None:
         """A job's state by a consistent read; None when it was never accepted."""
         row = await self.controller.state_store.get(records.job_key(job_id))
         if row is not None:
             spec = await self.whole(records.job_from(row.value))
-            self.controller.remember(spec)
+            self.controller.remember_accepted(spec)
             try:
                 cut = spec.depends_on is not None and await self.depends_on_cancelled(
                     spec.depends_on
--- a/src/salthead/controller/machine_types.py
+++ b/src/salthead/controller/machine_types.py
@@ -30,17 +30,17 @@
         while True:
             try:
                 self.take(await self._from_cloud())
-                await self.controller.rest(REFRESH_INTERVAL_S)
+                await self.controller.sleep_with_jitter(REFRESH_INTERVAL_S)
                 continue
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.controller.note("cloud flavors", error)
+                self.controller.log_throttled("cloud flavors", error)
             if not self.controller.machine_types:
                 try:
                     if found := await self._as_stored():
                         self.take(found)
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
-                    self.controller.note("stored flavors", error)
-            await self.controller.rest(RETRY_S)
+                    self.controller.log_throttled("stored flavors", error)
+            await self.controller.sleep_with_jitter(RETRY_S)
 
     async def _from_cloud(self) -> list[MachineType]:
         answer = await self.controller.cloud.call("GET", names.MACHINE_TYPES_PATH, timeout=3.0)
@@ -49,10 +49,10 @@
         return shape(answer.body, MachineTypes).machine_types
 
     async def _as_stored(self) -> list[MachineType]:
-        rows, _ = await self.controller.state_store.list_prefix(records.MORE_FLAVORS)
+        rows, _ = await self.controller.state_store.list_prefix(records.MACHINE_TYPE_PARTS)
         found = records.machine_types_from({key: row.value for key, row in rows.items()})
         if found is None:
-            row = await self.controller.state_store.get(records.FLAVORS)
+            row = await self.controller.state_store.get(records.MACHINE_TYPES)
             found = None if row is None else row.value
         return [] if found is None else shape(found, MachineTypes).machine_types
 
--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -19,7 +19,7 @@
 BACKLOG = 512  # where the platform names no number of sockets
 
 
-class BoundServer(HTTPServer):
+class BoundedServer(HTTPServer):
     """A server that holds no more connections than its part of the process's sockets."""
 
     open: Connections
@@ -29,7 +29,7 @@
         if self.open.opened(stream):
             super().handle_stream(stream, address)
         else:
-            metrics.TROUBLE.labels("connections").inc()
+            metrics.ERRORS.labels("connections").inc()
             stream.close()
 
     def on_close(self, server_conn: object) -> None:
@@ -38,12 +38,12 @@
         self.open.closed(server_conn.stream)  # type: ignore[attr-defined]
 
 
-def listen(controller: Controller, router: Router, endpoint: str, most: int = 0) -> BoundServer:
+def listen(controller: Controller, router: Router, endpoint: str, most: int = 0) -> BoundedServer:
     """Serve a router's paths on an address, with at most so many connections; 0: no bound."""
     host, port = split_endpoint(endpoint)
     # A body and what follows it: all connections that the sockets allow, with their buffers full,
     # still fit into the memory that the platform gives for that many.
-    server = BoundServer(router, max_body_size=MAX_BODY, max_buffer_size=2 * MAX_BODY)
+    server = BoundedServer(router, max_body_size=MAX_BODY, max_buffer_size=2 * MAX_BODY)
     # Tornado's own time-outs set and drop two timers for each request; one look at all connections
     # now and then does as well.
     server.conn_params.header_timeout = None
--- a/src/salthead/controller/sockets.py
+++ b/src/salthead/controller/socket_budget.py
@@ -5,7 +5,7 @@
 from salthead.state_store.client import StateStore
 
 
-class Sockets:
+class SocketBudget:
     """How the platform's number of sockets is divided; 0 where it names none.
 
     What the controller itself opens is kept free of what is opened to it: a leader that can't reach
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -63,12 +63,12 @@
             rows, dependency_cancelled = await self._rows_of(job)
         except InvalidJobError:
             # A repeat of a job that was accepted must not be refused, whatever changed since.
-            if (found := await self.controller.lookups.read(job.job_id)) is not None:
+            if (found := await self.controller.job_reader.read(job.job_id)) is not None:
                 return 200, found
             raise
         try:
             revision = await self.controller.state_store.transaction(
-                {records.job_key(job.job_id): 0, records.over_key(job.job_id): 0},
+                {records.job_key(job.job_id): 0, records.outcome_key(job.job_id): 0},
                 [put(key, value) for key, value in rows],
             )
         except (RequestRefusedError, UnansweredError):
@@ -76,7 +76,7 @@
                 raise
             return await self._forward(job)
         except ConflictError:
-            found = await self.controller.lookups.read(job.job_id)
+            found = await self.controller.job_reader.read(job.job_id)
             if found is None:
                 raise UnavailableError("in doubt") from None
             return 200, found
@@ -85,7 +85,7 @@
 
     async def _known(self, job_id: str) -> dict[str, Any] | None:
         """The state of a job that this controller knows, in its memory or as the leader."""
-        known = self.controller.finals.get(job_id)
+        known = self.controller.terminal_outcomes.get(job_id)
         if known is not None:
             return status_body(job_id, known[0], known[1] if known[0] == names.DONE else 0)
         term = self.controller.leading()
@@ -106,8 +106,8 @@
             raise InvalidJobError(str(error)) from None
         if dependency_cancelled:
             # What it needs was cancelled, so its outcome is known before it is written.
-            value = records.over_value(job, names.ABORTED, job.at, limits.value_kb)
-            rows = [(records.over_key(job.job_id), value)]
+            value = records.outcome_value(job, names.ABORTED, job.at, limits.value_kb)
+            rows = [(records.outcome_key(job.job_id), value)]
         return rows, dependency_cancelled
 
     def _accepted(
@@ -115,10 +115,10 @@
     ) -> dict[str, Any]:
         """The job is durable: what this controller remembers of it, and what its user is told."""
         if dependency_cancelled:
-            self.controller.final(job.job_id, names.ABORTED, job.task_count, job.at)
+            self.controller.remember_outcome(job.job_id, names.ABORTED, job.task_count, job.at)
             return {"uid": job.job_id, "phase": names.ABORTED}
         job.more = more
-        self.controller.remember(job)
+        self.controller.remember_accepted(job)
         term = self.controller.leading()
         if term is not None and term.ledger.loaded:
             term.job_records.add_job(job, revision)
@@ -130,7 +130,7 @@
         for job_id in depends_on:
             if job_id == job.job_id or not JOB_ID.match(job_id):
                 raise InvalidJobError(f"awaits: {job_id[:60]!r} is no job that was accepted")
-        return await self.controller.lookups.depends_on_cancelled(
+        return await self.controller.job_reader.depends_on_cancelled(
             depends_on, self.controller.now() + MAX_LOOKUP_S, every=True
         )
 
@@ -138,13 +138,15 @@
         """Let another controller accept a job that this one can't write: the service may refuse
         this
         controller alone. A job has one id, so that two controllers may try to accept it."""
-        for peer in self.controller.peers.values() if self.controller.reach.refused_alone() else ():
+        for peer in (
+            self.controller.peers.values() if self.controller.connectivity.refused_alone() else ()
+        ):
             try:
                 answer = await peer.call(
                     "POST", names.PEER_SUBMIT_PATH, msgspec.to_builtins(job), timeout=0.8
                 )
             except UnansweredError as error:
-                self.controller.note("pass on", error)
+                self.controller.log_throttled("pass on", error)
                 continue
             if answer.status in (200, 201) and answer.body.get("uid") == job.job_id:
                 return answer.status, answer.body
--- a/src/salthead/controller/zone_keeper.py
+++ b/src/salthead/controller/zone_lease_delegate.py
@@ -19,7 +19,7 @@
 MAX_MISSED_CALLS = 2  # calls to the leader in a row without an answer, before the zone is kept
 
 
-class ZoneKeeper:
+class ZoneLeaseDelegate:
     """One controller's side of that: what it asks the leader for, and what it then answers."""
 
     def __init__(self, controller: Controller) -> None:
@@ -31,7 +31,7 @@
         written = True  # an earlier process of this member may have left its question behind
         missed = 0
         while True:
-            await self.controller.rest(self.lease.ttl / 8.0)
+            await self.controller.sleep_with_jitter(self.lease.ttl / 8.0)
             missed = 0 if await self._reaches_leader() else missed + 1
             try:
                 if missed >= MAX_MISSED_CALLS:
@@ -42,7 +42,7 @@
                     await self._withdraw()
                     written = False
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.controller.note("keep", error)
+                self.controller.log_throttled("keep", error)
 
     async def _reaches_leader(self) -> bool:
         """Whether the leader answers; also where there is none, or this controller leads."""
@@ -65,16 +65,16 @@
             self.controller.now(),
         )
         await self.controller.state_store.transaction(
-            {}, [put(records.KEEP + member, question)], urgent=True
+            {}, [put(records.DELEGATION_REQUESTS + member, question)], urgent=True
         )
         for _ in range(4):
-            await self.controller.rest(self.lease.ttl / 24.0)
-            row = await self.controller.state_store.get(records.KEPT + member, urgent=True)
+            await self.controller.sleep_with_jitter(self.lease.ttl / 24.0)
+            row = await self.controller.state_store.get(records.DELEGATIONS + member, urgent=True)
             if row is not None and self.lease.allowed(row.value):
                 return
 
     async def _withdraw(self) -> None:
-        key = records.KEEP + self.controller.settings.member
+        key = records.DELEGATION_REQUESTS + self.controller.settings.member
         row = await self.controller.state_store.get(key, urgent=True)
         if row is not None:
             # On condition of its stamp: carried out late, it must not take away a later question,
@@ -83,7 +83,7 @@
                 {key: row.revision}, [delete(key)], urgent=True
             )
 
-    def keeps(self, heartbeat: Heartbeat) -> bool:
+    def may_acknowledge(self, heartbeat: Heartbeat) -> bool:
         """Whether to answer a worker in the name of a leader that it can't reach."""
         now = self.controller.now()
         back = self.lease.came_back(heartbeat.worker, now)
@@ -94,5 +94,5 @@
             and heartbeat.fencing_token <= self.controller.leader_fencing_token
             # A worker may be here by chance. A second one, or one that was sent on before and is
             # here again, can't reach it, and their leases may not last for another round.
-            and (back or self.controller.reach.redirected_count() > 0)
+            and (back or self.controller.connectivity.redirected_count() > 0)
         )
--- a/src/salthead/coordination/heartbeats.py
+++ b/src/salthead/coordination/heartbeats.py
@@ -53,7 +53,7 @@
         and machine.reconciled
         and heartbeat.warning_s is None
         and machine.warn_at is None
-        and not ledger.deposed_by
+        and not ledger.newer_fencing_token
     ):
         # Nearly all reports of a busy fleet are like this: all that an answer requires holds, as at
         # the last one, nothing is new and nothing is wanted. Inlined from what follows, since at
@@ -86,7 +86,7 @@
     # before the worker's first answer, may be a copy that comes late.
     current = heartbeat.fencing_token == ledger.fencing_token
     if heartbeat.fencing_token > ledger.fencing_token:
-        ledger.deposed_by = max(ledger.deposed_by, heartbeat.fencing_token)
+        ledger.newer_fencing_token = max(ledger.newer_fencing_token, heartbeat.fencing_token)
     if machine is not None and not direct:
         _record_acknowledgements(ledger, machine, heartbeat, current, now)
     missing = missing_preconditions(
@@ -177,7 +177,7 @@
     ``heeds``: it has shown this term's token, or it answers a call of ours.
     """
     held = ledger.confirmed_preconditions()
-    if now - ledger.term_started_at <= ledger.blind_s:
+    if now - ledger.term_started_at <= ledger.unloaded_grace_s:
         # Which jobs were cancelled may not be known here yet. In an outage of the state service
         # that may go on for longer than their tasks may be kept alive by answers.
         held |= JOBS_KNOWN
--- a/src/salthead/coordination/lease.py
+++ b/src/salthead/coordination/lease.py
@@ -26,22 +26,22 @@
     return sent + ttl * (1.0 - DRIFT) - min(0.1, ttl * 0.05)
 
 
-def surely_over(answered: float, lease_s: float) -> float:
+def certainly_expired_at(answered: float, lease_s: float) -> float:
     """When a worker whose last answered report came at ``answered`` has no tasks any more."""
     return answered + lease_s * (1.0 + DRIFT) + SLACK_S
 
 
-def blind_s(lease_s: float, cancel_s: float) -> float:
+def unloaded_grace_s(lease_s: float, cancel_s: float) -> float:
     """For how long a new leader that has not read the jobs yet may answer reports.
 
     A cancellation may have been confirmed just before the last leader ended, its tasks untold. A
     worker that is still alive was answered by that leader no longer than one lease before this one
     began; what it is answered here keeps its tasks for one more lease.
     """
-    return cancel_s - surely_over(0.0, lease_s) * 2.0
+    return cancel_s - certainly_expired_at(0.0, lease_s) * 2.0
 
 
-def promise_s(ttl: float) -> float:
+def stickiness_s(ttl: float) -> float:
     """How long one promise of a peer not to stand lasts; it is renewed several times in this."""
     return 0.6 * ttl
 
@@ -57,50 +57,52 @@
     def __init__(self, ttl: float) -> None:
         self.ttl = ttl
         self.until = -math.inf
-        self.promised = -math.inf
+        self.votes_withheld_until = -math.inf
 
     def renewed(self, sent: float) -> None:
         """The lease was renewed by a request sent then."""
         self.until = max(self.until, valid_until(sent, self.ttl))
 
-    def promised_by_all(self, sent: float, now: float) -> bool:
+    def votes_withheld_by_all(self, sent: float, now: float) -> bool:
         """All peers promised on a request sent at ``sent``; whether that counts."""
         if not self.valid(now):
             return False
-        self.promised = max(self.promised, valid_until(sent, promise_s(self.ttl)))
+        self.votes_withheld_until = max(
+            self.votes_withheld_until, valid_until(sent, stickiness_s(self.ttl))
+        )
         return True
 
     def valid(self, now: float) -> bool:
         """Whether the holder may act, by its lease or by the peers' promises."""
-        return now < self.until or now < self.promised
+        return now < self.until or now < self.votes_withheld_until
 
     def drop(self) -> None:
         """The holder may not act any more."""
-        self.until = self.promised = -math.inf
+        self.until = self.votes_withheld_until = -math.inf
 
 
-class Abstention:
+class LeaderStickiness:
     """When a controller may not stand for leader, by its own promises and by those it may
     forget."""
 
     def __init__(self, ttl: float, started: float) -> None:
-        self.length = promise_s(ttl) * (1.0 + DRIFT) + 0.1
+        self.length = stickiness_s(ttl) * (1.0 + DRIFT) + 0.1
         # An earlier process of this member may have promised just before it ended.
         self.until = started + self.length
-        self.promised_until = -math.inf
+        self.withheld_until = -math.inf
         # A request to take the lead that had no answer may still be carried out.
-        self.in_doubt = False
+        self.indeterminate = False
 
-    def promise(self, now: float) -> bool:
+    def withhold_vote(self, now: float) -> bool:
         """Promise not to stand for a while; whether that was possible."""
-        if self.in_doubt:
+        if self.indeterminate:
             return False
-        self.promised_until = max(self.promised_until, now + self.length)
+        self.withheld_until = max(self.withheld_until, now + self.length)
         return True
 
-    def may_stand(self, now: float, own_key: bool, first_ever: bool) -> bool:
+    def may_campaign(self, now: float, own_key: bool, first_ever: bool) -> bool:
         """``own_key``: the leader was this very member, whose process has ended, so nobody acts
         on promises. ``first_ever``: no leader was there before who could."""
-        if now < self.promised_until:
+        if now < self.withheld_until:
             return False
         return own_key or first_ever or now >= self.until
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/coordination/ledger.py
@@ -20,7 +20,7 @@
 from salthead.coordination.estimates import Arrivals, Estimates, Promptness
 from salthead.coordination.failover import Failover
 from salthead.coordination.invariants import Invariants
-from salthead.coordination.lease import blind_s
+from salthead.coordination.lease import unloaded_grace_s
 from salthead.coordination.machine_room import MachineRoom
 from salthead.coordination.model import (
     BOOTING,
@@ -103,7 +103,7 @@
         self.fencing_token = fencing_token
         self.term_started_at = now
         self.leases = WorkerLeases(self, now)
-        self.blind_s = blind_s(limits.workers.lease_s, limits.workers.cancel_s)
+        self.unloaded_grace_s = unloaded_grace_s(limits.workers.lease_s, limits.workers.cancel_s)
         self.counter = 0
         # Submission times are kept as times of day; here all else is in steady time.
         self.wall_ahead = 0.0 if wall is None else wall - now
@@ -141,7 +141,7 @@
         self.unknown_jobs: set[str] = set()
         self.team_of: dict[str, tuple[int, Vec]] = {}
         self.stray_jobs: dict[str, int] = {}  # stray tasks by job: such a job starts nothing
-        self.deposed_by = 0
+        self.newer_fencing_token = 0
         self.failover = Failover(self)
         self.invariants = Invariants(self)
         self.pipelines = Pipelines()
@@ -157,15 +157,15 @@
         # A worker whose report is not answered turns to one of them.
         self.other_controllers = limits.initial_size > 1
         # Whether the lease on the lead is certain now; the term knows.
-        self.lead_certain: Callable[[], bool] = lambda: True
+        self.leader_lease_valid: Callable[[], bool] = lambda: True
 
     # -- evidence -----------------------------------------------------------------------
 
     def confirmed_preconditions(self) -> int:
         """What is confirmed now of the lead, the jobs and the fleet, as bits of
         ``Precondition``."""
-        held = LEADER_LEASE if self.lead_certain() else 0
-        if not self.deposed_by:
+        held = LEADER_LEASE if self.leader_lease_valid() else 0
+        if not self.newer_fencing_token:
             held |= TOKEN_CURRENT
         if self.loaded:
             held |= JOBS_KNOWN
@@ -511,7 +511,7 @@
         # says nothing of them. It had judged 135 machines lost that reported to the next leader.
         if permits(Action.DECLARE_LOST, self.confirmed_preconditions() | WORKER_LEASE_OVER):
             for machine in self.machines.values():
-                if machine.phase == UP and now > self.leases.over_at(machine):
+                if machine.phase == UP and now > self.leases.expires_at(machine):
                     self._lose(machine, now)
         if self.loaded and not self.ready and self.failover.sweep(now):
             self.ready = True
--- a/src/salthead/coordination/worker_leases.py
+++ b/src/salthead/coordination/worker_leases.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from salthead.coordination.lease import surely_over
+from salthead.coordination.lease import certainly_expired_at
 from salthead.protocol import names
 
 if TYPE_CHECKING:
@@ -22,15 +22,15 @@
         # them before it has read the roster: no lease is counted from before this.
         self.counted_from = now
         # Zones whose workers another controller may be answering for this leader, and until when.
-        self.kept_until: dict[int, float] = {}
+        self.delegated_until: dict[int, float] = {}
 
-    def over_at(self, machine: Machine) -> float:
+    def expires_at(self, machine: Machine) -> float:
         """When the machine's worker has no tasks any more unless it is answered again."""
-        kept_until = self.kept_until.get(machine.zone, -math.inf)
-        answered = max(machine.acknowledged_at, self.counted_from, kept_until)
-        return surely_over(answered, self.ledger.limits.workers.lease_s)
+        delegated_until = self.delegated_until.get(machine.zone, -math.inf)
+        answered = max(machine.acknowledged_at, self.counted_from, delegated_until)
+        return certainly_expired_at(answered, self.ledger.limits.workers.lease_s)
 
-    def keep_zone(self, area: str, until: float) -> bool:
+    def delegate_zone(self, area: str, until: float) -> bool:
         """Count no lease of a zone from before ``until``; False if its tasks may not live on.
 
         A cancelled job's tasks have to be gone in time, and nothing but the end of their leases
@@ -42,7 +42,7 @@
         workers = self.ledger.limits.workers
         if workers.cancel_s < 2.0 * workers.lease_s:
             return False  # a cancel just after a permission would come too late for the leases
-        self.kept_until[zone] = max(until, self.kept_until.get(zone, -math.inf))
+        self.delegated_until[zone] = max(until, self.delegated_until.get(zone, -math.inf))
         return not self._has_to_end(zone)
 
     def _has_to_end(self, zone: int) -> bool:
--- a/src/salthead/evidence/diagnosis.py
+++ b/src/salthead/evidence/diagnosis.py
@@ -48,8 +48,10 @@
     if heartbeats_arrive:
         hears = machine.unresponsive_since is None and not links.unheard_answers
         return LinkState.BOTH_WAYS if hears else LinkState.HEARTBEATS_ONLY
-    reached = links.commands_at > links.command_failed_at and now - links.commands_at <= fresh_s
-    return LinkState.COMMANDS_ONLY if reached else LinkState.SILENT
+    last_peer_answer_at = (
+        links.commands_at > links.command_failed_at and now - links.commands_at <= fresh_s
+    )
+    return LinkState.COMMANDS_ONLY if last_peer_answer_at else LinkState.SILENT
 
 
 def link_views(
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -72,7 +72,7 @@
         machine_types = list(self.term.controller.machine_types.values())
         if not machine_types or machine_types == self.machine_types_stored:
             return
-        there, _ = await self.term.state_store.list_prefix(records.MORE_FLAVORS)
+        there, _ = await self.term.state_store.list_prefix(records.MACHINE_TYPE_PARTS)
         rows = dict(
             records.machine_type_rows(
                 msgspec.to_builtins(machine_types), self.term.state_limits.value_kb
@@ -90,16 +90,16 @@
             try:
                 await self.store_machine_types()
             except records.RecordTooLargeError as error:
-                self.term.controller.note("flavors", error)
+                self.term.controller.log_throttled("flavors", error)
                 self.machine_types_stored = list(self.term.controller.machine_types.values())
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.note("flavors", error)
+                self.term.controller.log_throttled("flavors", error)
             calls = 1
             try:
                 calls = await self.read_list()
             except RETRYABLE_ERRORS as error:
-                self.term.controller.note("cloud list", error)
-            await self.term.controller.rest(self.list_interval_s(calls))
+                self.term.controller.log_throttled("cloud list", error)
+            await self.term.controller.sleep_with_jitter(self.list_interval_s(calls))
 
     def list_interval_s(self, calls: int) -> float:
         """The pause after a reading of the list that took so many calls."""
@@ -174,7 +174,7 @@
                     decision.machine.terminating = True
                 self.term.spawn(self.terminate(decisions))
             self.term.views.show()
-            await self.term.controller.rest(
+            await self.term.controller.sleep_with_jitter(
                 max(MIN_PLAN_INTERVAL_S, PAUSE_FACTOR * (self.now() - began))
             )
 
@@ -205,12 +205,12 @@
                         "POST", names.MACHINES_PATH, body, timeout=4.0
                     )
                 except UnansweredError as error:
-                    self.term.controller.note("hire", error)
-                    await self.term.controller.rest(1.0)
+                    self.term.controller.log_throttled("hire", error)
+                    await self.term.controller.sleep_with_jitter(1.0)
                     continue
                 if answer.status != 200:
                     if answer.body.get("error") != "no capacity":
-                        self.term.controller.note("hire", f"{answer.status} {answer.body}")
+                        self.term.controller.log_throttled("hire", f"{answer.status} {answer.body}")
                     break
                 hosts = shape(answer.body, ProvisionedMachines).machines
                 now = self.now()
@@ -219,7 +219,7 @@
                 got = len(hosts)
                 break
         except MalformedMessageError as error:
-            self.term.controller.note("hire", error)
+            self.term.controller.log_throttled("hire", error)
         finally:
             self.provisioning[kind] -= count
         log.info(
@@ -254,8 +254,8 @@
             if answer.status != 200:
                 raise RequestRefusedError(answer.status, "return")
         except RETRYABLE_ERRORS as error:
-            self.term.controller.note("return", error)
-            await self.term.controller.rest(1.0)
+            self.term.controller.log_throttled("return", error)
+            await self.term.controller.sleep_with_jitter(1.0)
             return
         finally:
             for decision in decisions:
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -38,12 +38,12 @@
         """Read all that earlier leaders left."""
         ledger = self.ledger
         jobs, self.since = await self.term.state_store.list_prefix(records.JOBS)
-        parts, _ = await self.term.state_store.list_prefix(records.PARTS)
+        parts, _ = await self.term.state_store.list_prefix(records.DONE_TASKS)
         machine_registry, _ = await self.term.state_store.list_prefix(records.MACHINE_REGISTRY)
         now = self.now()
         self.term.pages.parts, self.term.pages.machine_registry = self.term.pages.new_pages()
         # After the jobs: a record and what continues it are written together.
-        rows, _ = await self.term.state_store.list_prefix(records.AWAITS)
+        rows, _ = await self.term.state_store.list_prefix(records.DEPENDENCIES)
         rest = {key: value for key, (value, _) in rows.items()}
         for key, (value, revision) in jobs.items():
             self.take_row(key, value, revision, rest, loading=True)
@@ -61,7 +61,7 @@
                     name, machine_type, zone, bool(spot), now, registered=True
                 )
                 machine.endpoint = machine.endpoint or str(endpoint or "")
-        await self.term.zone_permissions.load()
+        await self.term.zone_lease_delegations.load()
         ledger.loaded = True
         event(
             log,
@@ -89,9 +89,9 @@
                     ledger.load_done(job, done)
                     if not self.term.pages.stretches.own(item):
                         again.add(job_id)
-        again |= {records.part_from(name)[0] for name in self.term.pages.parts.twice}
+        again |= {records.done_item_from(name)[0] for name in self.term.pages.parts.twice}
         for name in list(self.term.pages.parts.where):
-            if records.part_from(name)[0] not in ledger.jobs:
+            if records.done_item_from(name)[0] not in ledger.jobs:
                 self.term.pages.parts.drop(name)
         for job_id in again & ledger.jobs.keys():
             # Written by another size, or twice: once more, as this version writes it.
@@ -99,7 +99,7 @@
             self.set_parts(job, [n for n in range(job.spec.task_count) if job.done[n]])
             own = set(self.term.pages.stretches.names(job_id, job.spec.task_count))
             for name in [
-                n for n in self.term.pages.parts.where if records.part_from(n)[0] == job_id
+                n for n in self.term.pages.parts.where if records.done_item_from(n)[0] == job_id
             ]:
                 if name not in own:
                     self.term.pages.parts.drop(name)
@@ -141,10 +141,12 @@
                 spec.depends_on = (spec.depends_on or []) + [
                     job_id
                     for n in range(spec.more)
-                    for job_id in records.awaits_from(rest.get(records.awaits_key(spec.job_id, n)))
+                    for job_id in records.dependencies_from(
+                        rest.get(records.dependencies_key(spec.job_id, n))
+                    )
                 ]
         except MalformedMessageError as error:
-            self.term.controller.note("job record", f"{key}: {error}")
+            self.term.controller.log_throttled("job record", f"{key}: {error}")
             return
         # What is loaded is not over, though its outcome may have been derived, and told, before it
         # is written.
@@ -165,7 +167,9 @@
         submission). Of this term's own outcomes ``finals`` holds many more than are written in the
         time for which an answer is waited for.
         """
-        return revision > self.term.revision and job_id not in self.term.controller.finals
+        return (
+            revision > self.term.revision and job_id not in self.term.controller.terminal_outcomes
+        )
 
     async def watch_loop(self) -> None:
         """Jobs that any controller accepted."""
@@ -183,11 +187,11 @@
                     for key, (value, revision) in rows.items():
                         self.take_row(key, value, revision)
                 except RETRYABLE_ERRORS as error:
-                    self.term.controller.note("job list", error)
-                    await self.term.controller.rest(1.0)
+                    self.term.controller.log_throttled("job list", error)
+                    await self.term.controller.sleep_with_jitter(1.0)
             except RETRYABLE_ERRORS as error:
-                self.term.controller.note("job watch", error)
-                await self.term.controller.rest(0.5)
+                self.term.controller.log_throttled("job watch", error)
+                await self.term.controller.sleep_with_jitter(0.5)
 
     async def await_loop(self) -> None:
         """What became of awaited jobs of which this term knows nothing, and long records."""
@@ -196,16 +200,16 @@
                 try:
                     await self.look_up(job_id)
                 except RETRYABLE_ERRORS as error:
-                    self.term.controller.note("awaited job", error)
-                    await self.term.controller.rest(0.5)
-            await self.term.controller.rest(DEPENDENCY_CHECK_INTERVAL_S)
+                    self.term.controller.log_throttled("awaited job", error)
+                    await self.term.controller.sleep_with_jitter(0.5)
+            await self.term.controller.sleep_with_jitter(DEPENDENCY_CHECK_INTERVAL_S)
 
     async def look_up(self, job_id: str) -> None:
         """Find out what became of a job that another depends on."""
         unsure = self.ledger.pipelines.unsure
-        found = self.term.controller.finals.get(job_id)
+        found = self.term.controller.terminal_outcomes.get(job_id)
         if found is None or (found[0] == names.DONE and found[2] is None):
-            found = await self.term.controller.lookups.ended(job_id)
+            found = await self.term.controller.job_reader.ended(job_id)
         if found is not None:
             self.incomplete.pop(job_id, None)
             if job_id in unsure:
@@ -215,6 +219,6 @@
         if row is None:
             raise UnansweredError(f"no record of {job_id}")
         if job_id not in self.ledger.jobs:
-            spec = await self.term.controller.lookups.whole(records.job_from(row.value))
+            spec = await self.term.controller.job_reader.whole(records.job_from(row.value))
             self.incomplete.pop(job_id, None)
             self.ledger.add_job(spec, self.now(), fresh=row.revision > self.term.revision)
--- a/src/salthead/leader/lead.py
+++ b/src/salthead/leader/leadership.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 
 from salthead import metrics
-from salthead.coordination.lease import promise_s
+from salthead.coordination.lease import stickiness_s
 from salthead.event_log import event
 from salthead.evidence.gate import Action, Precondition
-from salthead.leader.peer_calls import ask_promise, ask_reach
+from salthead.leader.peer_calls import ask_connectivity, ask_to_withhold_vote
 from salthead.state_store.client import RETRYABLE_ERRORS, LeaseExpiredError
 
 if TYPE_CHECKING:
@@ -21,19 +21,19 @@
 LEASE_CHECK_INTERVAL_S = 0.25  # between looks at whether the lease is certain
 
 
-class Lead:
+class Leadership:
     """The loops that renew the lease of a term, and that end the term when it should not lead."""
 
     def __init__(self, term: Term) -> None:
         self.term = term
         self.renewal_failed = False
-        self.promised = False
+        self.votes_withheld = False
 
     async def renew_loop(self) -> None:
         """Renew the lease until it has ended or somebody else leads."""
         ttl = self.term.clock.ttl
         while True:
-            if self.term.ledger.deposed_by:
+            if self.term.ledger.newer_fencing_token:
                 self._ending("deposed")
                 return
             sent = self.term.now()
@@ -47,8 +47,8 @@
                 return
             except RETRYABLE_ERRORS as error:
                 self.renewal_failed = True
-                self.term.controller.note("renew", error)
-                await self.term.controller.rest(ttl / 12)
+                self.term.controller.log_throttled("renew", error)
+                await self.term.controller.sleep_with_jitter(ttl / 12)
 
     def _ending(self, why: str, **facts: int) -> None:
         ledger = self.term.ledger
@@ -59,31 +59,31 @@
             fencing_token=self.term.fencing_token,
             why=why,
             certain=self.term.valid(),
-            fencing_token_seen=ledger.deposed_by,
+            fencing_token_seen=ledger.newer_fencing_token,
             **facts,
         )
 
-    async def promise_loop(self) -> None:
+    async def stickiness_loop(self) -> None:
         """While renewals fail, ask all peers for their promise not to stand."""
         peers = self.term.controller.peers
-        every = promise_s(self.term.clock.ttl) / 5
+        every = stickiness_s(self.term.clock.ttl) / 5
         while True:
             await asyncio.sleep(every)
             if not peers or len(peers) + 1 < self.term.limits.initial_size:
                 continue  # somebody unknown could stand
             if not self.renewal_failed or not self.term.valid():
-                self.promised = False
+                self.votes_withheld = False
                 continue
             sent = self.term.now()
             given = await asyncio.gather(
                 *(
-                    ask_promise(peer, self.term.controller.settings.member, every * 2)
+                    ask_to_withhold_vote(peer, self.term.controller.settings.member, every * 2)
                     for peer in peers.values()
                 )
             )
-            counts = all(given) and self.term.clock.promised_by_all(sent, self.term.now())
-            if counts != self.promised:
-                self.promised = counts
+            counts = all(given) and self.term.clock.votes_withheld_by_all(sent, self.term.now())
+            if counts != self.votes_withheld:
+                self.votes_withheld = counts
                 log.info(
                     "state service lost; %s by all peers",
                     "promised the lead" if counts else "not promised the lead",
@@ -115,15 +115,18 @@
         """
         grace_s = 3.0 * self.term.limits.workers.heartbeat_interval_s
         while True:
-            await self.term.controller.rest(1.0)
+            await self.term.controller.sleep_with_jitter(1.0)
             now = self.term.now()
             heard, silent = self.term.ledger.hearing(now)
             if silent <= heard or now - self.term.ledger.term_started_at < grace_s + 1.0:
                 continue
             found = await asyncio.gather(
-                *(ask_reach(peer) for peer in self.term.controller.peers.values())
+                *(ask_connectivity(peer) for peer in self.term.controller.peers.values())
+            )
+            elsewhere = max(
+                (connectivity.redirected for connectivity in found if connectivity is not None),
+                default=0,
             )
-            elsewhere = max((reach.redirected for reach in found if reach is not None), default=0)
             held = (
                 Precondition.PEER_HEARS_MORE_WORKERS
                 if self.clearly_more(elsewhere, heard)
@@ -134,7 +137,7 @@
                     "resigning", heard=heard, silent=silent, heartbeats_elsewhere=elsewhere
                 )
                 # Longer than an election, so that a controller that hears the workers wins it.
-                self.term.controller.abstention.promise(self.term.now())
+                self.term.controller.leader_stickiness.withhold_vote(self.term.now())
                 return
 
     def clearly_more(self, elsewhere: int, heard: int) -> bool:
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -14,7 +14,7 @@
 from salthead.evidence.gate import action_name, precondition_names
 from salthead.evidence.shared_silence import SharedSilence
 from salthead.leader.autoscaler import PAUSE_FACTOR
-from salthead.leader.peer_calls import PeerReach, ask_reach
+from salthead.leader.peer_calls import PeerConnectivity, ask_connectivity
 from salthead.policy import Network, PartialCutPolicy
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     """What a peer said when it last answered, and when it was asked."""
 
     asked_at: float
-    reach: PeerReach
+    connectivity: PeerConnectivity
 
 
 def _rounded(seconds: float | None) -> float | None:
@@ -66,7 +66,7 @@
                 began = self.term.now()
                 if self.term.valid():
                     self._show()
-                await self.term.controller.rest(
+                await self.term.controller.sleep_with_jitter(
                     max(PEER_CHECK_INTERVAL_S, PAUSE_FACTOR * (self.term.now() - began))
                 )
         finally:
@@ -74,7 +74,7 @@
 
     async def _ask(self, member: str) -> None:
         sent = self.term.now()
-        found = await ask_reach(self.term.controller.peers[member], leads=True)
+        found = await ask_connectivity(self.term.controller.peers[member], leads=True)
         if found is None:
             return
         self.peers[member] = PeerAnswer(sent, found)
@@ -122,8 +122,8 @@
                 {
                     "name": member,
                     "answered_s": round(now - found.asked_at, 1),
-                    "state_service_s": _rounded(found.reach.state_service_s),
-                    "workers_there": found.reach.redirected,
+                    "state_service_s": _rounded(found.connectivity.state_service_s),
+                    "workers_there": found.connectivity.redirected,
                 }
                 for member, found in self.peers.items()
             ],
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -43,7 +43,7 @@
         self.controller = term.controller
         self.ledger = term.ledger
         self.due: dict[str, Job] = {}  # complete or to be cancelled, and not known to be durable
-        self.in_doubt: dict[str, str] = {}  # sent, by job, with the phase that was sent last
+        self.indeterminate: dict[str, str] = {}  # sent, by job, with the phase that was sent last
         self.wanted = asyncio.Event()
         self.tries: dict[str, asyncio.Future[None]] = {}  # of users who wait for a cancellation
 
@@ -55,18 +55,18 @@
             self.due[job.job_id] = job
             self.wanted.set()
 
-    def doubtful(self, job: Job) -> bool:
+    def is_indeterminate(self, job: Job) -> bool:
         """Whether another controller may have told more of the job than this leader knows.
 
         Guards against a job being called running here after a controller that read its outcome,
         sent from here a moment ago, called it done; the same for what needs a job that is being
         cancelled. Seen on steady, prairie-ledger-lean.
         """
-        if job.job_id in self.in_doubt:
+        if job.job_id in self.indeterminate:
             return True
         return job.awaiting and self.ledger.pipelines.needs(
             job.job_id,
-            {job_id for job_id, phase in self.in_doubt.items() if phase == names.ABORTED},
+            {job_id for job_id, phase in self.indeterminate.items() if phase == names.ABORTED},
         )
 
     async def cancel(self, job: Job) -> None:
@@ -92,10 +92,10 @@
                 try:
                     await self.save()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
-                    self.controller.note("outcomes", error)
+                    self.controller.log_throttled("outcomes", error)
                     self._failed(error)
                     self.wanted.set()
-                    await self.controller.rest(RETRY_S)
+                    await self.controller.sleep_with_jitter(RETRY_S)
         finally:
             self._failed(UnansweredError("this term is over"))
 
@@ -138,8 +138,8 @@
         for job in jobs:
             operations.append(
                 put(
-                    records.over_key(job.job_id),
-                    records.over_value(
+                    records.outcome_key(job.job_id),
+                    records.outcome_value(
                         job.spec, phases[job.job_id], at, term.state_limits.value_kb
                     ),
                 )
@@ -149,27 +149,27 @@
         fresh = [
             job.job_id
             for job in jobs
-            if job.job_id not in self.in_doubt and not job.dependency_cancelled
+            if job.job_id not in self.indeterminate and not job.dependency_cancelled
         ]
-        self.in_doubt |= {
+        self.indeterminate |= {
             job.job_id: phases[job.job_id] for job in jobs if not job.dependency_cancelled
         }
         try:
-            await term.transaction({records.over_key(job.job_id): 0 for job in jobs}, operations)
+            await term.transaction({records.outcome_key(job.job_id): 0 for job in jobs}, operations)
         except RequestRefusedError:
             for job_id in fresh:
-                del self.in_doubt[job_id]
+                del self.indeterminate[job_id]
             raise
         except ConflictError:
             # An earlier try took effect without an answer: what it wrote counts.
             known = 0
             for job in jobs:
-                found = await self.controller.lookups.ended(job.job_id)
+                found = await self.controller.job_reader.ended(job.job_id)
                 if found is not None:
                     known += 1
                     self.ended(job, found[0], found[2])
                 elif job.job_id in fresh:
-                    del self.in_doubt[job.job_id]
+                    del self.indeterminate[job.job_id]
             if not known:
                 raise UnansweredError("outcome in doubt") from None
             return
@@ -179,11 +179,11 @@
     def ended(self, job: Job, phase: str, at: float | None) -> None:
         """The outcome is durable, and may be told."""
         job_id = job.job_id
-        self.controller.final(job_id, phase, job.spec.task_count, at)
+        self.controller.remember_outcome(job_id, phase, job.spec.task_count, at)
         self.term.pages.tidy(job)
         self.ledger.end_job(job, phase, self.term.now())
         self.due.pop(job_id, None)
-        self.in_doubt.pop(job_id, None)
+        self.indeterminate.pop(job_id, None)
         tried = self.tries.pop(job_id, None)
         if tried is not None and not tried.done():
             tried.set_result(None)
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -11,7 +11,7 @@
 from salthead.transport.client import Caller, UnansweredError
 
 LEADS_FIELD = "leads"
-REACH_S = 1.0  # for an answer to a question that is answered from memory
+CONNECTIVITY_TIMEOUT_S = 1.0  # for an answer to a question that is answered from memory
 
 
 class PeerHeartbeat(NamedTuple):
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerReach:
+class PeerConnectivity:
     """What a peer says of its own links."""
 
     redirected: int  # workers that came to it lately although it does not lead
@@ -32,7 +32,7 @@
     seen: list[PeerHeartbeat]  # reports that came to it lately although it does not lead
 
 
-async def ask_reach(peer: Caller, leads: bool = False) -> PeerReach | None:
+async def ask_connectivity(peer: Caller, leads: bool = False) -> PeerConnectivity | None:
     """Ask a peer what it reaches; None when it does not answer.
 
     ``leads``: by a leader that wants to know which reports came there instead. The version in
@@ -40,13 +40,15 @@
     """
     body = {LEADS_FIELD: True} if leads else None
     try:
-        answer = await peer.call("POST", names.PEER_CONNECTIVITY_PATH, body, timeout=REACH_S)
+        answer = await peer.call(
+            "POST", names.PEER_CONNECTIVITY_PATH, body, timeout=CONNECTIVITY_TIMEOUT_S
+        )
     except UnansweredError:
         return None
     if answer.status != 200:
         return None
     redirected, served = answer.body.get("knocks"), answer.body.get("served_s")
-    return PeerReach(
+    return PeerConnectivity(
         redirected if type(redirected) is int else 0,
         served if type(served) is float else None,
         _decode_peer_heartbeats(answer.body.get("seen")),
@@ -60,10 +62,12 @@
         return []
 
 
-async def ask_promise(peer: Caller, member: str, timeout: float) -> bool:
+async def ask_to_withhold_vote(peer: Caller, member: str, timeout: float) -> bool:
     """Whether a peer promises ``member``, which leads, not to stand for a while."""
     try:
-        answer = await peer.call("POST", names.PEER_PROMISE, {"member": member}, timeout=timeout)
+        answer = await peer.call(
+            "POST", names.PEER_WITHHOLD_VOTE_PATH, {"member": member}, timeout=timeout
+        )
     except UnansweredError:
         return False
     return answer.status == 200 and answer.body.get("promise") is True
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -32,26 +32,26 @@
     def new_pages(self) -> tuple[Pages, Pages]:
         """Empty pages of done tasks and of the roster."""
         kb = self.term.state_limits.value_kb
-        return Pages(records.PARTS, kb), Pages(records.MACHINE_REGISTRY, kb)
+        return Pages(records.DONE_TASKS, kb), Pages(records.MACHINE_REGISTRY, kb)
 
     def tidy(self, job: Job) -> None:
         """What else is kept of a job that is over goes, when there is time for it."""
         for name in self.stretches.names(job.job_id, job.spec.task_count):
             self.parts.drop(name)
         self.leftovers |= {
-            records.awaits_key(job.job_id, n): job.job_id for n in range(job.spec.more)
+            records.dependencies_key(job.job_id, n): job.job_id for n in range(job.spec.more)
         }
 
     async def save_loop(self) -> None:
         """Done tasks of jobs that go on; outcomes do not wait for these."""
         while True:
-            await self.term.controller.rest(SAVE_INTERVAL_S)
+            await self.term.controller.sleep_with_jitter(SAVE_INTERVAL_S)
             try:
                 await self.clear_leftovers()
                 await self.save_parts()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.note("save", error)
-                await self.term.controller.rest(0.5)
+                self.term.controller.log_throttled("save", error)
+                await self.term.controller.sleep_with_jitter(0.5)
 
     async def save_parts(self) -> None:
         """Write the done tasks of jobs that go on."""
@@ -137,5 +137,5 @@
                                 found.freed = True
                     self.term.wake()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
-                    self.term.controller.note("roster", error)
-            await self.term.controller.rest(0.1)
+                    self.term.controller.log_throttled("roster", error)
+            await self.term.controller.sleep_with_jitter(0.1)
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -16,12 +16,12 @@
 from salthead.evidence.gate import Action, Precondition, missing_preconditions
 from salthead.leader.autoscaler import PAUSE_FACTOR, Autoscaler
 from salthead.leader.job_records import JobRecords
-from salthead.leader.lead import Lead
+from salthead.leader.leadership import Leadership
 from salthead.leader.outcomes import Outcomes
 from salthead.leader.saved_pages import SavedPages
 from salthead.leader.views import Views
 from salthead.leader.worker_calls import WorkerCalls
-from salthead.leader.zone_permissions import ZonePermissions
+from salthead.leader.zone_lease_delegations import ZoneLeaseDelegations
 from salthead.protocol import names
 from salthead.protocol.messages import Heartbeat
 from salthead.state_store import records
@@ -71,7 +71,7 @@
         self.clock = clock
         self.ledger = Ledger(controller.limits, fencing_token, controller.now(), time.time())
         self.ledger.events.changed = self.wake
-        self.ledger.lead_certain = self.valid
+        self.ledger.leader_lease_valid = self.valid
         self.outcomes = Outcomes(self)
         self.ledger.events.completed = self.outcomes.want
         self.ledger.events.aborts_pending = self.outcomes.wanted.set
@@ -83,9 +83,9 @@
         self.starved: set[str] = set()  # jobs that found no machine at the last pass
         self.job_records = JobRecords(self)
         self.autoscaler = Autoscaler(self)
-        self.lead = Lead(self)
+        self.leadership = Leadership(self)
         self.worker_calls = WorkerCalls(self)
-        self.zone_permissions = ZonePermissions(self)
+        self.zone_lease_delegations = ZoneLeaseDelegations(self)
         self.views = Views(self)
         self.zone_loop = self._zone_loop()
         self.link_loop = self._link_loop()
@@ -128,11 +128,11 @@
         tasks = [
             asyncio.create_task(loop)
             for loop in (
-                self.lead.renew_loop(),
+                self.leadership.renew_loop(),
                 self.work_loop(),
-                self.lead.promise_loop(),
-                self.lead.resign_loop(),
-                self.lead.show_loop(),
+                self.leadership.stickiness_loop(),
+                self.leadership.resign_loop(),
+                self.leadership.show_loop(),
             )
         ]
         try:
@@ -154,8 +154,8 @@
             try:
                 await self.job_records.load()
             except RETRYABLE_ERRORS as error:
-                self.controller.note("load", error)
-                await self.controller.rest(0.3)
+                self.controller.log_throttled("load", error)
+                await self.controller.sleep_with_jitter(0.3)
         self.spawn(self.worker_calls.reconcile_all(self.ledger.failover.unreconciled_machines()))
         loops = [
             self.job_records.watch_loop(),
@@ -168,14 +168,14 @@
             self.autoscaler.fleet_loop(),
             self.unknown_jobs_loop(),
             self.worker_calls.unresponsive_loop(),
-            self.zone_permissions.loop(),
-            self.zone_permissions.forget_loop(),
+            self.zone_lease_delegations.loop(),
+            self.zone_lease_delegations.forget_loop(),
         ]
         if self.zone_loop is not None:
             loops.append(self.zone_loop.loop())
         if self.link_loop is not None:
             loops.append(self.link_loop.loop())
-            loops.append(self.worker_calls.reach_loop())
+            loops.append(self.worker_calls.probe_loop())
         async with asyncio.TaskGroup() as group:
             for loop in loops:
                 group.create_task(loop)
@@ -192,11 +192,13 @@
             raise UnansweredError("lease not certain")
         try:
             return await self.state_store.transaction(
-                {records.LEAD: self.revision} | conditions, operations, bulk=bulk, urgent=urgent
+                {records.LEADER: self.revision} | conditions, operations, bulk=bulk, urgent=urgent
             )
         except ConflictError as error:
-            if records.LEAD in error.failed:
-                self.ledger.deposed_by = max(self.ledger.deposed_by, self.fencing_token + 1)
+            if records.LEADER in error.failed:
+                self.ledger.newer_fencing_token = max(
+                    self.ledger.newer_fencing_token, self.fencing_token + 1
+                )
                 raise UnansweredError("deposed") from None
             raise
 
@@ -207,12 +209,12 @@
         while True:
             for job_id in list(self.ledger.unknown_jobs):
                 try:
-                    row = await self.state_store.get(records.over_key(job_id))
+                    row = await self.state_store.get(records.outcome_key(job_id))
                     if row is not None:
-                        strays.identify_job(self.ledger, records.over_from(row.value)[1])
+                        strays.identify_job(self.ledger, records.outcome_from(row.value)[1])
                 except RETRYABLE_ERRORS as error:
-                    self.controller.note("stray task", error)
-            await self.controller.rest(0.5)
+                    self.controller.log_throttled("stray task", error)
+            await self.controller.sleep_with_jitter(0.5)
 
     # -- deciding -----------------------------------------------------------------------
 
@@ -266,7 +268,7 @@
         """Cancel a job; what its user is told, or None if there is no such job."""
         job = self.ledger.jobs.get(job_id) if self.ledger.loaded else None
         if job is None:
-            found = await self.controller.lookups.read(job_id)
+            found = await self.controller.job_reader.read(job_id)
             if found is None or found["phase"] in (names.DONE, names.ABORTED):
                 return found
             row = await self.state_store.get(records.job_key(job_id))
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -79,7 +79,7 @@
                 answer = await self._command(machine, incarnation, [], timeout)
                 heartbeat = shape(answer.body, Heartbeat)
             except RETRYABLE_ERRORS as error:
-                self.term.controller.note("join", error)
+                self.term.controller.log_throttled("join", error)
                 return
             if heartbeat.worker != machine.name:
                 return
@@ -91,7 +91,9 @@
     async def unresponsive_loop(self) -> None:
         """Machines that nothing seems to reach: whether a direct call does."""
         while True:
-            await self.term.controller.rest(self.term.limits.workers.heartbeat_interval_s)
+            await self.term.controller.sleep_with_jitter(
+                self.term.limits.workers.heartbeat_interval_s
+            )
             left = iter(
                 [
                     machine
@@ -112,17 +114,19 @@
                 *(some() for _ in range(self.term.controller.sockets.reconcile_slots))
             )
 
-    async def reach_loop(self) -> None:
+    async def probe_loop(self) -> None:
         """Machines that are silent, or hear no answers: whether direct calls reach them.
 
         A few at a time: a machine that is alone in its silence is asked within a report period, and
         of many that share theirs no answer decides anything.
         """
         while True:
-            await self.term.controller.rest(self.term.limits.workers.heartbeat_interval_s)
+            await self.term.controller.sleep_with_jitter(
+                self.term.limits.workers.heartbeat_interval_s
+            )
             if not self.term.valid():
                 continue
-            left = iter(self._in_doubt(self.term.now()))
+            left = iter(self._unreachable_machines(self.term.now()))
 
             async def some(left: Iterator[Machine] = left) -> None:
                 for machine in left:
@@ -150,7 +154,7 @@
         heartbeats_arrive = self.term.now() - machine.links.last_received_at <= fresh_s
         return machine.phase == UP or heartbeats_arrive
 
-    def _in_doubt(self, now: float) -> list[Machine]:
+    def _unreachable_machines(self, now: float) -> list[Machine]:
         fresh_s = (
             placement.FRESH_HEARTBEAT_INTERVALS * self.term.limits.workers.heartbeat_interval_s
         )
@@ -212,4 +216,4 @@
         try:
             await self._command(machine, machine.incarnation, orders, STOP_S)
         except UnansweredError as error:
-            self.term.controller.note("direct stop", error)
+            self.term.controller.log_throttled("direct stop", error)
--- a/src/salthead/leader/zone_permissions.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -26,7 +26,7 @@
 RETRY_S = 0.5
 
 
-class ZonePermissions:
+class ZoneLeaseDelegations:
     """One term's part in it."""
 
     def __init__(self, term: Term) -> None:
@@ -40,17 +40,17 @@
         so that no permission is written any more, late or not. A question alone is none.
         """
         term = self.term
-        questions, _ = await term.state_store.list_prefix(records.KEEP)
-        members = {key.removeprefix(records.KEEP) for key in questions}
+        questions, _ = await term.state_store.list_prefix(records.DELEGATION_REQUESTS)
+        members = {key.removeprefix(records.DELEGATION_REQUESTS) for key in questions}
         permissions: dict[str, VersionedValue] = {}
         if term.link_loop is not None:
-            permissions, _ = await term.state_store.list_prefix(records.KEPT)
+            permissions, _ = await term.state_store.list_prefix(records.DELEGATIONS)
         self.earlier = {key: revision for key, (_, revision) in permissions.items()}
         term.ledger.leases.counted_from = term.now()
         if term.link_loop is not None:
             # Whenever a leader ends, its peers miss it, and ask before there is a new one. Each
             # crash of a leader on prairie-ledger-hunt held the takeover up by a third of a lease.
-            members &= {key.removeprefix(records.KEPT) for key in permissions}
+            members &= {key.removeprefix(records.DELEGATIONS) for key in permissions}
         if members:
             term.ledger.leases.counted_from = counted_until(term.now(), term.clock.ttl)
 
@@ -59,19 +59,23 @@
         since = self.term.job_records.since
         while True:
             try:
-                events, since = await self.term.state_store.watch(records.KEEP, since, WATCH_S)
+                events, since = await self.term.state_store.watch(
+                    records.DELEGATION_REQUESTS, since, WATCH_S
+                )
                 for event in events:
                     value = event.get("value")
                     if type(value) is not dict or value.get("token") != self.term.fencing_token:
                         continue
                     if "set" in event:
-                        await self.allow(event["set"].removeprefix(records.KEEP), value)
+                        await self.allow(
+                            event["set"].removeprefix(records.DELEGATION_REQUESTS), value
+                        )
             except CompactedError:
                 since = self.term.job_records.since
-                await self.term.controller.rest(RETRY_S)
+                await self.term.controller.sleep_with_jitter(RETRY_S)
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.note("keep", error)
-                await self.term.controller.rest(RETRY_S)
+                self.term.controller.log_throttled("keep", error)
+                await self.term.controller.sleep_with_jitter(RETRY_S)
 
     async def allow(self, member: str, value: dict[str, Any]) -> None:
         """Let a controller behind a cut answer its zone's workers for a while."""
@@ -80,9 +84,9 @@
             return  # a zone that is kept would hold up the takeover for as long as the cut
         # Counted before it is allowed, so that whatever becomes of the write errs late.
         until = counted_until(term.now(), term.clock.ttl)
-        if term.ledger.leases.keep_zone(str(value.get("area")), until):
+        if term.ledger.leases.delegate_zone(str(value.get("area")), until):
             permission = {"token": term.fencing_token, "nonce": value.get("nonce")}
-            await term.transaction({}, [put(records.KEPT + member, permission)], urgent=True)
+            await term.transaction({}, [put(records.DELEGATIONS + member, permission)], urgent=True)
 
     async def forget_loop(self) -> None:
         """Drop earlier leaders' permissions once they are over, so that no takeover counts them."""
@@ -96,6 +100,6 @@
             except ConflictError:
                 pass  # this leader has allowed something since
             except RETRYABLE_ERRORS as error:
-                self.term.controller.note("keep", error)
+                self.term.controller.log_throttled("keep", error)
                 continue
             del self.earlier[key]
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -60,8 +60,8 @@
             try:
                 await self._write()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
-                self.term.controller.note("zones", error)
-            await self.term.controller.rest(OBSERVE_INTERVAL_S)
+                self.term.controller.log_throttled("zones", error)
+            await self.term.controller.sleep_with_jitter(OBSERVE_INTERVAL_S)
 
     async def _load(self) -> None:
         """Go on from the records; without them, the zones are as they are seen."""
@@ -69,8 +69,8 @@
             try:
                 rows, _ = await self.term.state_store.list_prefix(records.ZONES)
             except RETRYABLE_ERRORS as error:
-                self.term.controller.note("zones", error)
-                await self.term.controller.rest(OBSERVE_INTERVAL_S)
+                self.term.controller.log_throttled("zones", error)
+                await self.term.controller.sleep_with_jitter(OBSERVE_INTERVAL_S)
                 continue
             values = {path: value for path, (value, _) in rows.items()}
             self.recovery.load(values, self.term.now())
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -13,7 +13,7 @@
     buckets=(0.002, 0.01, 0.05, 0.2, 1.0, 5.0),
 )
 ANSWERS = Counter("salthead_answers_total", "Answers given", ["path", "status"], registry=REGISTRY)
-TROUBLE = Counter("salthead_trouble_total", "Errors by kind", ["kind"], registry=REGISTRY)
+ERRORS = Counter("salthead_trouble_total", "Errors by kind", ["kind"], registry=REGISTRY)
 LEADING = Gauge("salthead_leading", "1 while this controller leads", registry=REGISTRY)
 FENCING_TOKEN = Gauge(
     "salthead_token", "Token of the term led by this controller", registry=REGISTRY
--- a/src/salthead/protocol/names.py
+++ b/src/salthead/protocol/names.py
@@ -26,7 +26,7 @@
 PEER_CANCEL_PATH = "/peer/cancel"
 PEER_CONNECTIVITY_PATH = "/peer/knocks"
 PEER_OVERVIEW_PATH = "/peer/overview"
-PEER_PROMISE = "/peer/promise"
+PEER_WITHHOLD_VOTE_PATH = "/peer/promise"
 
 # phases of a job
 QUEUED = "queued"
--- a/src/salthead/state_store/records.py
+++ b/src/salthead/state_store/records.py
@@ -23,16 +23,16 @@
 from salthead.errors import SaltheadError
 from salthead.protocol.messages import MalformedMessageError, Submission, shape
 
-LEAD = "lead"
+LEADER = "lead"
 FENCING_TOKEN = "token"
-FLAVORS = "flavors"
-MORE_FLAVORS = "flavors/"
-AWAITS = "awaits/"
-KEEP = "keep/"
-KEPT = "kept/"
+MACHINE_TYPES = "flavors"
+MACHINE_TYPE_PARTS = "flavors/"
+DEPENDENCIES = "awaits/"
+DELEGATION_REQUESTS = "keep/"
+DELEGATIONS = "kept/"
 JOBS = "job/"
-OVER = "over/"
-PARTS = "done/"
+OUTCOMES = "over/"
+DONE_TASKS = "done/"
 MACHINE_REGISTRY = "roster/"
 
 
@@ -41,12 +41,12 @@
     return JOBS + job_id
 
 
-def over_key(job_id: str) -> str:
+def outcome_key(job_id: str) -> str:
     """The key of a job's outcome."""
-    return OVER + job_id
+    return OUTCOMES + job_id
 
 
-def part_from(name: str) -> tuple[str, int]:
+def done_item_from(name: str) -> tuple[str, int]:
     """Job and number of an item of done tasks, by its name."""
     job_id, _, part = name.rpartition("/")
     return job_id, int(part)
@@ -72,12 +72,12 @@
     return len(json.dumps(value)) <= kb * 1024
 
 
-def awaits_key(job_id: str, n: int) -> str:
+def dependencies_key(job_id: str, n: int) -> str:
     """The key of a continued list of jobs that a job depends on."""
-    return f"{AWAITS}{job_id}/{n}"
+    return f"{DEPENDENCIES}{job_id}/{n}"
 
 
-def awaits_from(value: Any) -> list[str]:
+def dependencies_from(value: Any) -> list[str]:
     """Such a list; MalformedMessageError if it is none."""
     found = value.get("awaits") if type(value) is dict else None
     if type(found) is not list or not all(type(job_id) is str for job_id in found):
@@ -91,7 +91,7 @@
     A job that awaits more others than one value holds is continued in further ones.
     """
     bare = msgspec.structs.replace(spec, depends_on=None, more=0)
-    if not fits(over_value(bare, "aborted", 1e10, kb=0.0), kb):
+    if not fits(outcome_value(bare, "aborted", 1e10, kb=0.0), kb):
         raise RecordTooLargeError("the names are too long to be kept")
     depends_on, most = spec.depends_on or [], int(kb * 1024)
     used = len(json.dumps(job_value(bare))) + len(', "awaits": [], "more": 999')
@@ -110,11 +110,11 @@
         )
     head = msgspec.structs.replace(spec, depends_on=lists[0] or None, more=len(lists) - 1)
     return [(job_key(spec.job_id), job_value(head))] + [
-        (awaits_key(spec.job_id, n), {"awaits": one}) for n, one in enumerate(lists[1:])
+        (dependencies_key(spec.job_id, n), {"awaits": one}) for n, one in enumerate(lists[1:])
     ]
 
 
-def over_value(
+def outcome_value(
     spec: Submission,
     phase: str,
     at: float = 0.0,
@@ -136,7 +136,7 @@
     return value
 
 
-def over_from(value: Any) -> tuple[str, Submission]:
+def outcome_from(value: Any) -> tuple[str, Submission]:
     """Phase and job of an outcome; MalformedMessageError if it is none."""
     if type(value) is not dict or value.get("phase") not in ("done", "aborted"):
         raise MalformedMessageError("record of an ended job")
@@ -149,7 +149,7 @@
     return float(found) if isinstance(found, int | float) else None
 
 
-def part_size(value_kb: float) -> int:
+def tasks_per_stretch(value_kb: float) -> int:
     """Tasks per stretch: even if every other task is done, its ranges fit into a page.
 
     A range takes at most about 16 bytes of text, and there is at most one for two tasks.
@@ -171,8 +171,8 @@
     """
 
     def __init__(self, value_kb: float, kept_kb: float) -> None:
-        self.size = part_size(value_kb)
-        self.cut = min(self.size, part_size(kept_kb))
+        self.size = tasks_per_stretch(value_kb)
+        self.cut = min(self.size, tasks_per_stretch(kept_kb))
 
     def names(self, job_id: str, task_count: int) -> list[str]:
         """The names of all items that a job's done tasks may take."""
@@ -207,7 +207,7 @@
 
     def read(self, name: str, item: Any) -> tuple[str, list[int]]:
         """The job and its tasks that an item names as done, by whatever size it was written."""
-        job_id, part = part_from(name)
+        job_id, part = done_item_from(name)
         size = item[0] if type(item) is list and item and type(item[0]) is int else self.size
         return job_id, [part * size + n for n in from_ranges(item)]
 
@@ -244,7 +244,7 @@
     """
     whole = {"builds": machine_types}
     if fits(whole, kb):
-        return [(FLAVORS, whole)]
+        return [(MACHINE_TYPES, whole)]
     lists: list[list[Any]] = [[]]
     for machine_type in machine_types:
         if lists[-1] and not fits({"builds": [*lists[-1], machine_type], "of": 9999}, kb):
@@ -253,7 +253,8 @@
     if not all(fits({"builds": one, "of": 9999}, kb) for one in lists):
         raise RecordTooLargeError("a machine type is too long to be kept")
     return [
-        (f"{MORE_FLAVORS}{n:04d}", {"builds": one, "of": len(lists)}) for n, one in enumerate(lists)
+        (f"{MACHINE_TYPE_PARTS}{n:04d}", {"builds": one, "of": len(lists)})
+        for n, one in enumerate(lists)
     ]
 
 
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -157,7 +157,7 @@
     def evidence(self, zone: int, now: float) -> ZoneHealth:
         """The counts of a zone's machines by which it is judged."""
         machines, unheard, expired = self.sets.counts(zone)
-        kept = now < self.ledger.leases.kept_until.get(zone, -1.0)
+        kept = now < self.ledger.leases.delegated_until.get(zone, -1.0)
         return ZoneHealth(machines, unheard, expired, kept)
 
     def _grow(self, now: float) -> None:
