--- a/src/salthead/coordination/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -7,10 +7,8 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from salthead.coordination import order, placement
-from salthead.coordination.capacity_backoff import CapacityBackoff
-from salthead.coordination.estimates import left_s
-from salthead.coordination.fleet_supply import (
+from salthead.autoscaling.capacity_backoff import CapacityBackoff
+from salthead.autoscaling.fleet_supply import (
     Pool,
     Slot,
     min_boot_s,
@@ -19,14 +17,16 @@
     suits,
     supply,
 )
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import BOOTING, Job, Machine, MachineKind, machine_kind
-from salthead.coordination.scale_in import (
+from salthead.autoscaling.scale_in import (
     MIN_CHARGE_S,
     FleetCounts,
     cordon_surplus,
     termination_reason,
 )
+from salthead.cluster.estimates import left_s
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import BOOTING, Job, Machine, MachineKind, machine_kind
+from salthead.scheduling import placement, queue_order
 
 log = logging.getLogger("salthead.fleet")
 
@@ -102,7 +102,7 @@
     """
     boot_s = min_boot_s(ledger)
     work = sum(job.waiting() * job.request.cpus * ledger.run_s(job) for job in line if not job.gang)
-    rate = order.fleet_cpus(ledger)
+    rate = queue_order.fleet_cpus(ledger)
     booting = sum([m.capacity.cpus for m in ledger.machines.values() if m.phase == BOOTING])
     # One array that comes, or a fleet that begins to boot, has a long line, too: what is hired for
     # that comes too late, and what is then too much was given back too deep.
--- a/src/salthead/coordination/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -5,9 +5,9 @@
 import math
 from dataclasses import dataclass, field
 
-from salthead.coordination.estimates import left_s
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import BOOTING, UP, Job, Machine, MachineKind, Resources
+from salthead.cluster.estimates import left_s
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import BOOTING, UP, Job, Machine, MachineKind, Resources
 
 
 class Slot:
--- a/src/salthead/coordination/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -5,9 +5,9 @@
 import logging
 from dataclasses import dataclass
 
-from salthead.coordination.fleet_supply import Pool, Slot, price, suits
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import BOOTING, LOST, UP, Machine
+from salthead.autoscaling.fleet_supply import Pool, Slot, price, suits
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import BOOTING, LOST, UP, Machine
 
 log = logging.getLogger("salthead.returns")
 
--- a/src/salthead/coordination/capacity_index.py
+++ b/src/salthead/cluster/capacity_index.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from salthead.coordination.model import EPSILON, UP, Machine, MachineKind, Resources
+from salthead.cluster.model import EPSILON, UP, Machine, MachineKind, Resources
 
 
 class CapacityIndex:
--- a/src/salthead/coordination/dependencies.py
+++ b/src/salthead/cluster/dependencies.py
@@ -6,11 +6,11 @@
 import math
 from typing import TYPE_CHECKING
 
-from salthead.coordination.model import Job
-from salthead.protocol import names
+from salthead.cluster.model import Job
+from salthead.protocol import wire_names
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
 
 log = logging.getLogger("salthead.waiting")
 
@@ -43,7 +43,7 @@
         ledger.ready_jobs[job.job_id] = job
         _count_from(ledger, job)
     if any(
-        known.dependency_cancelled or known.terminal_phase == names.ABORTED
+        known.dependency_cancelled or known.terminal_phase == wire_names.ABORTED
         for job_id in depends_on
         if (known := ledger.jobs.get(job_id)) is not None
     ):
@@ -91,7 +91,7 @@
 def ended(ledger: Ledger, job: Job, phase: str, now: float) -> None:
     """A job's outcome is durable: what awaits it is ready, or ends with it."""
     ledger.pending_aborts.pop(job.job_id, None)
-    if phase == names.DONE:
+    if phase == wire_names.DONE:
         node = ledger.dependency_graph.nodes.get(job.job_id)
         for job_id in node.dependents if node is not None else ():
             ledger.jobs[job_id].accepted_this_term = True  # until now nobody could start it
@@ -106,7 +106,7 @@
 
     ``at`` is the time of day; clocks differ within their bound, so it is no later than now.
     """
-    if phase == names.DONE:
+    if phase == wire_names.DONE:
         ended = now if at is None else min(now, at - ledger.wall_ahead)
         _ready(ledger, ledger.dependency_graph.done(job_id, ended))
     else:
--- a/src/salthead/coordination/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -13,7 +13,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from salthead.coordination.model import (
+from salthead.cluster.model import (
     EPSILON,
     UNBOUNDED_RESOURCES,
     UP,
@@ -25,7 +25,7 @@
 from salthead.event_log import event
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
 
 log = logging.getLogger("salthead.takeover")
 
--- a/src/salthead/coordination/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -11,12 +11,12 @@
 from typing import TYPE_CHECKING
 
 from salthead import metrics
-from salthead.coordination.model import EPSILON, Binding, Job, Machine
+from salthead.cluster.model import EPSILON, Binding, Job, Machine
 from salthead.errors import SaltheadError
 from salthead.event_log import event
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
 
 log = logging.getLogger("salthead.invariants")
 
--- a/src/salthead/coordination/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -16,14 +16,13 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
-from salthead.coordination import dependencies, heartbeats, orphans
-from salthead.coordination.capacity_index import CapacityIndex
-from salthead.coordination.dependency_graph import DependencyGraph
-from salthead.coordination.estimates import Arrivals, Estimates, StartAttainment
-from salthead.coordination.failover import Failover
-from salthead.coordination.invariants import Invariants
-from salthead.coordination.lease import unloaded_grace_s
-from salthead.coordination.model import (
+from salthead.cluster import dependencies, orphans
+from salthead.cluster.capacity_index import CapacityIndex
+from salthead.cluster.dependency_graph import DependencyGraph
+from salthead.cluster.estimates import Arrivals, Estimates, StartAttainment
+from salthead.cluster.failover import Failover
+from salthead.cluster.invariants import Invariants
+from salthead.cluster.model import (
     BOOTING,
     EPSILON,
     GONE,
@@ -37,12 +36,14 @@
     Resources,
     ResourceUsage,
 )
-from salthead.coordination.worker_leases import WorkerLeases
-from salthead.coordination.zone_hooks import ZoneHooks
+from salthead.cluster.zone_hooks import ZoneHooks
 from salthead.event_log import event
-from salthead.evidence.gate import Action, Precondition, permits
-from salthead.evidence.withheld import BlockedActions
-from salthead.protocol import names
+from salthead.failure_detection.blocked_actions import BlockedActions
+from salthead.failure_detection.preconditions import Action, Precondition, permits
+from salthead.heartbeats import handling
+from salthead.leases.leader_lease import unloaded_grace_s
+from salthead.leases.worker_leases import WorkerLeases
+from salthead.protocol import wire_names
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import (
     Heartbeat,
@@ -52,7 +53,7 @@
 from salthead.settings import Limits
 
 if TYPE_CHECKING:
-    from salthead.evidence.shared_silence import SharedSilence
+    from salthead.failure_detection.shared_silence import SharedSilence
 
 log = logging.getLogger("salthead.ledger")
 
@@ -129,7 +130,7 @@
         # Types that are the only ones for some class of jobs, as seen in this term.
         self.scarce: set[int] = set()
         self.stops: list[Binding] = []  # wanted since they were last sent directly
-        self.bound_by_priority = [0] * len(names.URGENCIES)  # tasks bound, by urgency
+        self.bound_by_priority = [0] * len(wire_names.URGENCIES)  # tasks bound, by urgency
         self.pending = PendingQueue()
         self.usage = [[0.0, 0.0] for _ in limits.teams]
         self.limit_logged_at = [-math.inf for _ in limits.teams]
@@ -223,7 +224,7 @@
         job = Job(
             spec=spec,
             team=team,
-            priority=names.URGENCIES.index(spec.urgency),
+            priority=wire_names.URGENCIES.index(spec.urgency),
             request=Resources(spec.vcpus, spec.accelerators, spec.ram_gb),
             allowed_types=allowed_types,
             zone=None if spec.zone is None else self.zones.intern(spec.zone),
@@ -304,7 +305,7 @@
         job.unsaved.clear()
         dependencies.ended(self, job, phase, now)
         for binding in list(job.bindings.values()):
-            if phase == names.ABORTED:
+            if phase == wire_names.ABORTED:
                 self.request_stop(binding, 0.0)
         self._forget(job)
         self.events.changed()
@@ -596,7 +597,7 @@
         direct: bool = False,
     ) -> list[dict[str, Any]] | None:
         """Orders for the worker, or None when the report must not be answered with 200."""
-        return heartbeats.handle(self, heartbeat, now, direct)
+        return handling.handle(self, heartbeat, now, direct)
 
     # -- views --------------------------------------------------------------------------
 
@@ -610,14 +611,14 @@
         running = sum(
             1
             for b in job.bindings.values()
-            if b.phase in (names.RUNNING, names.GATHERING, names.FLUSHING)
+            if b.phase in (wire_names.RUNNING, wire_names.GATHERING, wire_names.FLUSHING)
         )
         # Before the outcome is durable nobody is told of it.
         phase = job.terminal_phase or (
-            names.ABORTED
+            wire_names.ABORTED
             if job.dependency_cancelled
-            else names.RUNNING
+            else wire_names.RUNNING
             if running or job.n_done
-            else names.QUEUED
+            else wire_names.QUEUED
         )
         return phase, job.n_done, running
--- a/src/salthead/coordination/machine_health.py
+++ b/src/salthead/cluster/machine_health.py
@@ -5,10 +5,10 @@
 import logging
 from typing import TYPE_CHECKING
 
-from salthead.coordination.model import Job, Machine
+from salthead.cluster.model import Job, Machine
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
 
 log = logging.getLogger("salthead.reports")
 
--- a/src/salthead/coordination/model.py
+++ b/src/salthead/cluster/model.py
@@ -9,8 +9,8 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from salthead.evidence.links import WorkerLinks
-from salthead.protocol import names
+from salthead.failure_detection.links import WorkerLinks
+from salthead.protocol import wire_names
 from salthead.protocol.messages import Submission, TaskStatus
 
 
@@ -256,7 +256,7 @@
 
     def __post_init__(self) -> None:
         self.job_id = self.spec.job_id
-        self.gang = self.spec.shape == names.GANG
+        self.gang = self.spec.shape == wire_names.GANG
 
     @property
     def complete(self) -> bool:
--- a/src/salthead/coordination/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -11,12 +11,12 @@
 from typing import TYPE_CHECKING
 
 from salthead import metrics
-from salthead.coordination.model import NO_RESOURCES, Binding, Machine, Resources
+from salthead.cluster.model import NO_RESOURCES, Binding, Machine, Resources
 from salthead.event_log import event
 from salthead.protocol.messages import Submission
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
 
 log = logging.getLogger("salthead.strays")
 
--- a/src/salthead/coordination/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -8,10 +8,10 @@
 
 from typing import TYPE_CHECKING
 
-from salthead.coordination.model import EPSILON, Binding, Job
+from salthead.cluster.model import EPSILON, Binding, Job
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
 
 
 def startable(ledger: Ledger, job: Job) -> bool:
--- a/src/salthead/coordination/zone_hooks.py
+++ b/src/salthead/cluster/zone_hooks.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from salthead.coordination.model import Binding, Job, Machine
+from salthead.cluster.model import Binding, Job, Machine
 
 
 class ZoneHooks(Protocol):
--- a/src/salthead/controller/connectivity.py
+++ b/src/salthead/controller/connectivity.py
@@ -8,8 +8,8 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from salthead.coordination import lease
 from salthead.leader.peer_calls import ask_connectivity
+from salthead.leases import leader_lease
 from salthead.protocol.messages import Heartbeat
 from salthead.state_store import records
 from salthead.state_store.client import RequestRefusedError
@@ -110,7 +110,7 @@
         """Whether this controller lost the state service and all others, though workers and users
         may
         reach it: what it knows of the lead is old, and it can decide nothing."""
-        patience = 2.0 * lease.leader_ttl(self.controller.limits.workers.lease_s)
+        patience = 2.0 * leader_lease.leader_ttl(self.controller.limits.workers.lease_s)
         return (
             self.controller.now()
             - max(self.controller.state_store.last_response_at, self.last_peer_answer_at)
--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -19,13 +19,13 @@
 from salthead.controller.socket_budget import SocketBudget
 from salthead.controller.submissions import Submissions
 from salthead.controller.zone_lease_delegate import ZoneLeaseDelegate
-from salthead.coordination import lease
 from salthead.errors import UnavailableError
 from salthead.event_log import event
-from salthead.evidence.gate import Action, Precondition, permits
+from salthead.failure_detection.preconditions import Action, Precondition, permits
 from salthead.leader.term import Term
+from salthead.leases import leader_lease
 from salthead.policy import NO_POLICY, Policy
-from salthead.protocol import names
+from salthead.protocol import wire_names
 from salthead.protocol.messages import (
     Heartbeat,
     MachineType,
@@ -88,8 +88,8 @@
         self.submissions = Submissions(self)
         self.job_reader = JobReader(self)
         self.term: Term | None = None
-        self.leader_stickiness = lease.LeaderStickiness(
-            lease.leader_ttl(self.limits.workers.lease_s), self.now()
+        self.leader_stickiness = leader_lease.LeaderStickiness(
+            leader_lease.leader_ttl(self.limits.workers.lease_s), self.now()
         )
         # Outcomes never change: phase, tasks, and when that was if it is known.
         self.terminal_outcomes: OrderedDict[str, tuple[str, int, float | None]] = OrderedDict()
@@ -199,7 +199,7 @@
             revision=revision,
             asked_at=sent,
         )
-        term = Term(self, fencing_token, revision, lease_id, lease.LeaseClock(ttl))
+        term = Term(self, fencing_token, revision, lease_id, leader_lease.LeaseClock(ttl))
         term.clock.renewed(sent)
         self.term = term
         metrics.LEADING.set(1)
@@ -291,7 +291,7 @@
         """A job's status where this controller can tell it without asking anybody, else None."""
         known = self.terminal_outcomes.get(job_id)
         if known is not None:
-            return status_body(job_id, known[0], known[1] if known[0] == names.DONE else 0)
+            return status_body(job_id, known[0], known[1] if known[0] == wire_names.DONE else 0)
         term = self.leading()
         return None if term is None else self.status_in_term(term, job_id)
 
@@ -299,7 +299,7 @@
         """GET /work/ID; None is 404."""
         found = self.status_in_memory(job_id)
         if found is None and self.leading() is None:
-            found = await self.ask_leader(names.PEER_STATUS_PATH, job_id, 0.8)
+            found = await self.ask_leader(wire_names.PEER_STATUS_PATH, job_id, 0.8)
         return found if found is not None else await self.job_reader.read(job_id)
 
     async def cancel(self, job_id: str) -> dict[str, Any] | None:
@@ -310,12 +310,12 @@
         term = self.leading()
         if term is not None:
             return await term.cancel(job_id)
-        found = await self.ask_leader(names.PEER_CANCEL_PATH, job_id, 3.0)
+        found = await self.ask_leader(wire_names.PEER_CANCEL_PATH, job_id, 3.0)
         if found is not None:
             return found
         # Only the leader may decide it, but what is decided, or unknown, anyone can read.
         read = await self.job_reader.read(job_id)
-        if read is None or read["phase"] in (names.DONE, names.ABORTED):
+        if read is None or read["phase"] in (wire_names.DONE, wire_names.ABORTED):
             return read
         raise UnavailableError("no leader")
 
@@ -327,7 +327,7 @@
         peer = self.peers.get(self.leader or "")
         if peer is None:
             raise UnavailableError("no leader")
-        answer = await peer.call("POST", names.PEER_OVERVIEW_PATH, timeout=2.0)
+        answer = await peer.call("POST", wire_names.PEER_OVERVIEW_PATH, timeout=2.0)
         if answer.status != 200:
             raise UnavailableError("no leader")
         return answer.body
@@ -345,7 +345,7 @@
         if answer.status != 200 or answer.body.get("uid") != job_id:
             return None
         phase = answer.body.get("phase")
-        if phase in (names.DONE, names.ABORTED):
+        if phase in (wire_names.DONE, wire_names.ABORTED):
             self.remember_outcome(
                 job_id, phase, int(answer.body.get("pieces", answer.body.get("done", 0)))
             )
--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination import lease
-from salthead.evidence.gate import Action, Precondition, permits
+from salthead.failure_detection.preconditions import Action, Precondition, permits
+from salthead.leases import leader_lease
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
@@ -40,7 +40,7 @@
 
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
-        self.ttl = lease.leader_ttl(controller.limits.workers.lease_s)
+        self.ttl = leader_lease.leader_ttl(controller.limits.workers.lease_s)
         self.campaign = Campaign()
 
     async def loop(self) -> None:
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -12,7 +12,7 @@
 from salthead.errors import InvalidJobError, UnavailableError
 from salthead.leader.peer_calls import LEADS_FIELD
 from salthead.leader.term import Term
-from salthead.protocol import names
+from salthead.protocol import wire_names
 from salthead.protocol.messages import (
     JOB_ID,
     MalformedMessageError,
@@ -79,17 +79,17 @@
         return Router(
             self.controller.now,
             {
-                names.HEARTBEAT_PATH: Route("POST", "report", self.heartbeat),
-                names.READY_PATH: Route("GET", "up", self.up),
-                names.JOBS_PATH: Route("POST", "submit", self.submit),
-                names.OVERVIEW_PATH: Route("GET", "overview", self.overview),
-                names.METRICS_PATH: Route("GET", "metrics", self.metrics),
+                wire_names.HEARTBEAT_PATH: Route("POST", "report", self.heartbeat),
+                wire_names.READY_PATH: Route("GET", "up", self.up),
+                wire_names.JOBS_PATH: Route("POST", "submit", self.submit),
+                wire_names.OVERVIEW_PATH: Route("GET", "overview", self.overview),
+                wire_names.METRICS_PATH: Route("GET", "metrics", self.metrics),
             },
             PrefixRoutes(
-                names.JOBS_PATH,
+                wire_names.JOBS_PATH,
                 {
                     "": Route("GET", "poll", self.poll),
-                    names.CANCEL_SUFFIX: Route("POST", "cancel", self.cancel),
+                    wire_names.CANCEL_SUFFIX: Route("POST", "cancel", self.cancel),
                 },
             ),
         )
@@ -151,12 +151,16 @@
         return Router(
             self.controller.now,
             {
-                names.PEER_SUBMIT_PATH: Route("POST", "peer submit", self.submit),
-                names.PEER_STATUS_PATH: Route("POST", "peer poll", self.poll),
-                names.PEER_CANCEL_PATH: Route("POST", "peer cancel", self.cancel),
-                names.PEER_WITHHOLD_VOTE_PATH: Route("POST", "peer promise", self.withhold_vote),
-                names.PEER_CONNECTIVITY_PATH: Route("POST", "peer redirected", self.redirected),
-                names.PEER_OVERVIEW_PATH: Route("POST", "peer overview", self.overview),
+                wire_names.PEER_SUBMIT_PATH: Route("POST", "peer submit", self.submit),
+                wire_names.PEER_STATUS_PATH: Route("POST", "peer poll", self.poll),
+                wire_names.PEER_CANCEL_PATH: Route("POST", "peer cancel", self.cancel),
+                wire_names.PEER_WITHHOLD_VOTE_PATH: Route(
+                    "POST", "peer promise", self.withhold_vote
+                ),
+                wire_names.PEER_CONNECTIVITY_PATH: Route(
+                    "POST", "peer redirected", self.redirected
+                ),
+                wire_names.PEER_OVERVIEW_PATH: Route("POST", "peer overview", self.overview),
             },
         )
 
--- a/src/salthead/controller/job_reader.py
+++ b/src/salthead/controller/job_reader.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from salthead.errors import InvalidJobError, UnavailableError
-from salthead.protocol import names
+from salthead.protocol import wire_names
 from salthead.protocol.messages import Submission, status_body
 from salthead.state_store import records
 from salthead.state_store.client import VersionedValue
@@ -71,7 +71,7 @@
                 reads += 1
                 row = active.get(records.job_key(job_id)) if active is not None else None
                 found = await self.look_up(job_id, row)
-            if found == names.ABORTED:
+            if found == wire_names.ABORTED:
                 if not every:
                     return True
                 cut = True
@@ -93,7 +93,9 @@
         if job is None:
             return False, None
         self.controller.remember_accepted(job.spec)
-        return True, job.terminal_phase or (names.ABORTED if job.dependency_cancelled else None)
+        return True, job.terminal_phase or (
+            wire_names.ABORTED if job.dependency_cancelled else None
+        )
 
     async def look_up(self, job_id: str, row: VersionedValue | None) -> str | None:
         """A job's outcome, or None when it is not over and what it awaits is known."""
@@ -134,9 +136,9 @@
                 )
             except InvalidJobError as error:
                 raise UnansweredError(str(error)) from None
-            return status_body(job_id, names.ABORTED if cut else names.QUEUED)
+            return status_body(job_id, wire_names.ABORTED if cut else wire_names.QUEUED)
         found = await self.ended(job_id)
         if found is None:
             return None
         phase, task_count, _ = found
-        return status_body(job_id, phase, task_count if phase == names.DONE else 0)
+        return status_body(job_id, phase, task_count if phase == wire_names.DONE else 0)
--- a/src/salthead/controller/machine_types.py
+++ b/src/salthead/controller/machine_types.py
@@ -5,7 +5,7 @@
 
 from typing import TYPE_CHECKING
 
-from salthead.protocol import names
+from salthead.protocol import wire_names
 from salthead.protocol.messages import MachineType, MachineTypes, shape
 from salthead.state_store import records
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, RequestRefusedError
@@ -43,7 +43,7 @@
             await self.controller.sleep_with_jitter(RETRY_S)
 
     async def _from_cloud(self) -> list[MachineType]:
-        answer = await self.controller.cloud.call("GET", names.MACHINE_TYPES_PATH, timeout=3.0)
+        answer = await self.controller.cloud.call("GET", wire_names.MACHINE_TYPES_PATH, timeout=3.0)
         if answer.status != 200:
             raise RequestRefusedError(answer.status, "flavors")
         return shape(answer.body, MachineTypes).machine_types
--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -9,8 +9,8 @@
 from salthead import metrics
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers, PeerHandlers
-from salthead.coordination.placement import FRESH_HEARTBEAT_INTERVALS
 from salthead.protocol.messages import MAX_BODY
+from salthead.scheduling.placement import FRESH_HEARTBEAT_INTERVALS
 from salthead.settings import split_endpoint
 from salthead.transport.connections import Connections
 from salthead.transport.http import Router
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from salthead.errors import InvalidJobError, UnavailableError
-from salthead.protocol import names
+from salthead.protocol import wire_names
 from salthead.protocol.messages import JOB_ID, Submission, status_body
 from salthead.state_store import records
 from salthead.state_store.client import ConflictError, RequestRefusedError, put
@@ -35,7 +35,7 @@
         team = next((team for team in self.controller.limits.teams if team.name == job.team), None)
         if team is None:
             raise InvalidJobError(f"unknown team {job.team[:60]}")
-        many = job.task_count if job.shape == names.GANG else 1
+        many = job.task_count if job.shape == wire_names.GANG else 1
         gpus = job.accelerators * many
         if job.vcpus * many > team.cpus_max + 1e-6 or gpus > team.gpus_max + 1e-6:
             raise InvalidJobError("more than the team's limit")
@@ -87,7 +87,7 @@
         """The state of a job that this controller knows, in its memory or as the leader."""
         known = self.controller.terminal_outcomes.get(job_id)
         if known is not None:
-            return status_body(job_id, known[0], known[1] if known[0] == names.DONE else 0)
+            return status_body(job_id, known[0], known[1] if known[0] == wire_names.DONE else 0)
         term = self.controller.leading()
         if term is not None and job_id in term.ledger.jobs:
             return await self.controller.poll_here(term, job_id)
@@ -106,7 +106,7 @@
             raise InvalidJobError(str(error)) from None
         if dependency_cancelled:
             # What it needs was cancelled, so its outcome is known before it is written.
-            value = records.outcome_value(job, names.ABORTED, job.at, limits.value_kb)
+            value = records.outcome_value(job, wire_names.ABORTED, job.at, limits.value_kb)
             rows = [(records.outcome_key(job.job_id), value)]
         return rows, dependency_cancelled
 
@@ -115,14 +115,14 @@
     ) -> dict[str, Any]:
         """The job is durable: what this controller remembers of it, and what its user is told."""
         if dependency_cancelled:
-            self.controller.remember_outcome(job.job_id, names.ABORTED, job.task_count, job.at)
-            return {"uid": job.job_id, "phase": names.ABORTED}
+            self.controller.remember_outcome(job.job_id, wire_names.ABORTED, job.task_count, job.at)
+            return {"uid": job.job_id, "phase": wire_names.ABORTED}
         job.more = more
         self.controller.remember_accepted(job)
         term = self.controller.leading()
         if term is not None and term.ledger.loaded:
             term.job_records.add_job(job, revision)
-        return {"uid": job.job_id, "phase": names.QUEUED}
+        return {"uid": job.job_id, "phase": wire_names.QUEUED}
 
     async def _check_awaits(self, job: Submission) -> bool:
         """Whether a dependency was cancelled; InvalidJobError if one was never accepted."""
@@ -143,7 +143,7 @@
         ):
             try:
                 answer = await peer.call(
-                    "POST", names.PEER_SUBMIT_PATH, msgspec.to_builtins(job), timeout=0.8
+                    "POST", wire_names.PEER_SUBMIT_PATH, msgspec.to_builtins(job), timeout=0.8
                 )
             except UnansweredError as error:
                 self.controller.log_throttled("pass on", error)
--- a/src/salthead/controller/zone_lease_delegate.py
+++ b/src/salthead/controller/zone_lease_delegate.py
@@ -5,9 +5,9 @@
 import uuid
 from typing import TYPE_CHECKING
 
-from salthead.coordination import lease
-from salthead.coordination.zone_leases import ZoneLease
-from salthead.protocol import names
+from salthead.leases import leader_lease
+from salthead.leases.zone_leases import ZoneLease
+from salthead.protocol import wire_names
 from salthead.protocol.messages import Heartbeat
 from salthead.state_store import records
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, delete, put
@@ -24,7 +24,7 @@
 
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
-        self.lease = ZoneLease(lease.leader_ttl(controller.limits.workers.lease_s))
+        self.lease = ZoneLease(leader_lease.leader_ttl(controller.limits.workers.lease_s))
 
     async def loop(self) -> None:
         """Behind a cut from the leader, with the state service in reach: keep workers' leases."""
@@ -50,7 +50,7 @@
         if self.controller.term is not None or peer is None:
             return True
         try:
-            await peer.call("POST", names.PEER_CONNECTIVITY_PATH, timeout=self.lease.ttl / 8.0)
+            await peer.call("POST", wire_names.PEER_CONNECTIVITY_PATH, timeout=self.lease.ttl / 8.0)
         except UnansweredError:
             return False
         return True
--- a/src/salthead/evidence/withheld.py
+++ b/src/salthead/failure_detection/blocked_actions.py
@@ -6,7 +6,12 @@
 from dataclasses import dataclass
 
 from salthead import metrics
-from salthead.evidence.gate import Action, Precondition, action_name, precondition_names
+from salthead.failure_detection.preconditions import (
+    Action,
+    Precondition,
+    action_name,
+    precondition_names,
+)
 
 
 @dataclass(slots=True)
--- a/src/salthead/evidence/diagnosis.py
+++ b/src/salthead/failure_detection/link_diagnosis.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from salthead.coordination.model import LOST, UP, Machine
+from salthead.cluster.model import LOST, UP, Machine
 
 
 class LinkState(StrEnum):
--- a/src/salthead/evidence/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -14,12 +14,12 @@
 
 from pyroaring import BitMap
 
-from salthead.coordination.model import GONE, LOST, UP, Machine
-from salthead.evidence.machine_sets import MachineSets
+from salthead.cluster.model import GONE, LOST, UP, Machine
+from salthead.failure_detection.machine_sets import MachineSets
 from salthead.policy import PartialCutPolicy
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
     from salthead.networks.silence import NetworkSilence
 
 log = logging.getLogger("salthead.evidence")
--- a/src/salthead/coordination/heartbeats.py
+++ b/src/salthead/heartbeats/handling.py
@@ -6,15 +6,15 @@
 import math
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination.machine_health import mark_unresponsive
-from salthead.coordination.model import BOOTING, LOST, UP, Machine, ReleaseReason
-from salthead.coordination.task_reconciliation import orders_for
-from salthead.evidence.gate import Action, Precondition, missing_preconditions
-from salthead.protocol import names
+from salthead.cluster.machine_health import mark_unresponsive
+from salthead.cluster.model import BOOTING, LOST, UP, Machine, ReleaseReason
+from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
+from salthead.heartbeats.task_reconciliation import orders_for
+from salthead.protocol import wire_names
 from salthead.protocol.messages import Heartbeat
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
 
 log = logging.getLogger("salthead.reports")
 
@@ -141,7 +141,7 @@
         and all(
             binding.phase and binding.stop_grace_s is None for binding in machine.bindings.values()
         )
-        and all(task.phase != names.EXITED for task in heartbeat.tasks)
+        and all(task.phase != wire_names.EXITED for task in heartbeat.tasks)
     )
     return orders
 
--- a/src/salthead/coordination/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
-from salthead.coordination import orphans
-from salthead.coordination.machine_health import errored, mark_unresponsive
-from salthead.coordination.model import Binding, Machine, ReleaseReason
-from salthead.coordination.start_rules import wanted
+from salthead.cluster import orphans
+from salthead.cluster.machine_health import errored, mark_unresponsive
+from salthead.cluster.model import Binding, Machine, ReleaseReason
+from salthead.cluster.start_rules import wanted
 from salthead.event_log import event
-from salthead.evidence.gate import Action, Precondition, permits
-from salthead.protocol import names
+from salthead.failure_detection.preconditions import Action, Precondition, permits
+from salthead.protocol import wire_names
 from salthead.protocol.messages import (
     Heartbeat,
     MalformedMessageError,
@@ -24,7 +24,7 @@
 )
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
+    from salthead.cluster.ledger import Ledger
 
 log = logging.getLogger("salthead.reports")
 
@@ -76,7 +76,7 @@
         binding = machine.bindings.get(key)
         if binding is not None and binding.attempt != task.attempt:
             binding = None
-        if task.phase == names.EXITED:
+        if task.phase == wire_names.EXITED:
             orders += _take_exit(ledger, binding, job_id, index, task, now)
             continue
         if binding is None:
@@ -91,7 +91,7 @@
         if binding.phase != task.phase:
             _new_phase(ledger, binding, task.phase, now)
         if binding.stop_grace_s is not None and (
-            task.phase != names.FLUSHING or binding.stop_grace_s == 0.0
+            task.phase != wire_names.FLUSHING or binding.stop_grace_s == 0.0
         ):
             orders.append(stop_order(task.task_id, task.attempt, binding.stop_grace_s))
             binding.stop_sent = True
@@ -113,9 +113,13 @@
 
 def _new_phase(ledger: Ledger, binding: Binding, phase: str, now: float) -> None:
     hooks = ledger.zone_hooks
-    if hooks is not None and binding.phase in ("", names.FETCHING) and phase != names.FETCHING:
+    if (
+        hooks is not None
+        and binding.phase in ("", wire_names.FETCHING)
+        and phase != wire_names.FETCHING
+    ):
         hooks.started(binding, now)
-    if phase == names.RUNNING and binding.job is not None:
+    if phase == wire_names.RUNNING and binding.job is not None:
         binding.started = now
         if binding.job.first_start is None:
             binding.job.first_start = now
@@ -171,7 +175,11 @@
 
 def _image_seen(ledger: Ledger, binding: Binding) -> None:
     spec = binding.job.spec if binding.job else None
-    if spec is not None and spec.image and binding.phase in (names.RUNNING, names.GATHERING):
+    if (
+        spec is not None
+        and spec.image
+        and binding.phase in (wire_names.RUNNING, wire_names.GATHERING)
+    ):
         machine_type = ledger.machine_types.get(binding.machine.machine_type)
         binding.machine.has_image(
             spec.image, spec.image_gb, machine_type.local_gb if machine_type else 0.0
@@ -216,7 +224,7 @@
     job, machine = binding.job, binding.machine
     assert job is not None
     cause = task.cause
-    if cause == names.DONE:
+    if cause == wire_names.DONE:
         machine.error_jobs.clear()
         machine.error_until = 0.0
         if binding.started and not job.gang:
@@ -224,12 +232,12 @@
                 job.spec.job_class, job.spec.estimated_run_s, now - binding.started
             )
         ledger.mark_done(job, binding.index)
-    elif cause == names.ERROR:
+    elif cause == wire_names.ERROR:
         errored(ledger, job, machine, now)
-    elif cause in (names.FULL, names.IN_USE, names.UNKNOWN):
+    elif cause in (wire_names.FULL, wire_names.IN_USE, wire_names.UNKNOWN):
         log.info("start of %s refused by %s: %s", task.task_id, machine.name, cause)
         job.wait_until = max(job.wait_until, now + ledger.limits.workers.heartbeat_interval_s)
-    if job.gang and cause == names.HALTED and task.saved:
+    if job.gang and cause == wire_names.HALTED and task.saved:
         # Saved: the others have saved too or are about to exit, nothing is lost by waiting.
         job.failed = True
     ledger.release(binding, now, ReleaseReason.EXITED, cause)
@@ -240,7 +248,7 @@
     job = ledger.jobs.get(job_id)
     if job is None or job.terminal_phase or not 0 <= index < job.spec.task_count:
         return
-    if task.cause == names.DONE and not job.done[index]:
+    if task.cause == wire_names.DONE and not job.done[index]:
         ledger.mark_done(job, index)
         other = job.bindings.get(index)
         if other is not None:
@@ -249,7 +257,7 @@
 
 def _may_reap(ledger: Ledger, job_id: str, index: int, task: TaskStatus) -> bool:
     """Done tasks are reaped once that is durable, all others at once."""
-    if task.cause != names.DONE:
+    if task.cause != wire_names.DONE:
         return True
     job = ledger.jobs.get(job_id)
     durable = job is None or bool(job.terminal_phase) or index in job.saved
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from salthead.coordination import fleet_plan
-from salthead.coordination.capacity_backoff import CapacityBackoff
-from salthead.coordination.model import BOOTING, MachineKind
-from salthead.coordination.scale_in import TerminationDecision
-from salthead.evidence.gate import Action, Precondition
-from salthead.protocol import names
+from salthead.autoscaling import fleet_plan
+from salthead.autoscaling.capacity_backoff import CapacityBackoff
+from salthead.autoscaling.scale_in import TerminationDecision
+from salthead.cluster.model import BOOTING, MachineKind
+from salthead.failure_detection.preconditions import Action, Precondition
+from salthead.protocol import wire_names
 from salthead.protocol.messages import (
     MachineList,
     MachineType,
@@ -121,7 +121,7 @@
             if start:
                 query["from"] = start
             answer = await self.term.controller.cloud.call(
-                "GET", names.MACHINES_PATH, query=query, timeout=3.0
+                "GET", wire_names.MACHINES_PATH, query=query, timeout=3.0
             )
             if answer.status != 200:
                 raise RequestRefusedError(answer.status, "cloud list")
@@ -140,7 +140,7 @@
                     machine.provisioned_at = now - host.age_s
                 elif machine.phase == BOOTING:
                     machine.provisioned_at = min(machine.provisioned_at, now - host.age_s)
-                if host.phase == names.FAILED and not machine.quarantine_reason:
+                if host.phase == wire_names.FAILED and not machine.quarantine_reason:
                     machine.quarantine_reason = "failed"
                     log.info("machine %s failed", host.name)
             if not page.truncated:
@@ -202,7 +202,7 @@
                     break
                 try:
                     answer = await self.term.controller.cloud.call(
-                        "POST", names.MACHINES_PATH, body, timeout=4.0
+                        "POST", wire_names.MACHINES_PATH, body, timeout=4.0
                     )
                 except UnansweredError as error:
                     self.term.controller.log_throttled("hire", error)
@@ -247,7 +247,7 @@
                 return
             answer = await self.term.controller.cloud.call(
                 "POST",
-                names.MACHINES_TERMINATE_PATH,
+                wire_names.MACHINES_TERMINATE_PATH,
                 {"saltlicks": [decision.machine.name for decision in sent]},
                 timeout=4.0,
             )
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination import dependencies
-from salthead.coordination.model import Job
+from salthead.cluster import dependencies
+from salthead.cluster.model import Job
 from salthead.event_log import event
-from salthead.protocol import names
+from salthead.protocol import wire_names
 from salthead.protocol.messages import MalformedMessageError, Submission
 from salthead.state_store import records
 from salthead.state_store.client import RETRYABLE_ERRORS, CompactedError
@@ -208,7 +208,7 @@
         """Find out what became of a job that another depends on."""
         unresolved = self.ledger.dependency_graph.unresolved
         found = self.term.controller.terminal_outcomes.get(job_id)
-        if found is None or (found[0] == names.DONE and found[2] is None):
+        if found is None or (found[0] == wire_names.DONE and found[2] is None):
             found = await self.term.controller.job_reader.ended(job_id)
         if found is not None:
             self.incomplete.pop(job_id, None)
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 
 from salthead import metrics
-from salthead.coordination.lease import stickiness_s
 from salthead.event_log import event
-from salthead.evidence.gate import Action, Precondition
+from salthead.failure_detection.preconditions import Action, Precondition
 from salthead.leader.peer_calls import ask_connectivity, ask_to_withhold_vote
+from salthead.leases.leader_lease import stickiness_s
 from salthead.state_store.client import RETRYABLE_ERRORS, LeaseExpiredError
 
 if TYPE_CHECKING:
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -7,15 +7,15 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
-from salthead.coordination import heartbeats
-from salthead.coordination.model import Machine
-from salthead.coordination.placement import FRESH_HEARTBEAT_INTERVALS
-from salthead.evidence.diagnosis import LinkState, LinkView, link_views
-from salthead.evidence.gate import action_name, precondition_names
-from salthead.evidence.shared_silence import SharedSilence
+from salthead.cluster.model import Machine
+from salthead.failure_detection.link_diagnosis import LinkState, LinkView, link_views
+from salthead.failure_detection.preconditions import action_name, precondition_names
+from salthead.failure_detection.shared_silence import SharedSilence
+from salthead.heartbeats import handling
 from salthead.leader.autoscaler import PAUSE_FACTOR
 from salthead.leader.peer_calls import PeerConnectivity, ask_connectivity
 from salthead.policy import Network, PartialCutPolicy
+from salthead.scheduling.placement import FRESH_HEARTBEAT_INTERVALS
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
@@ -80,7 +80,7 @@
         self.peers[member] = PeerAnswer(sent, found)
         for seen in found.seen:
             shows_fencing_token = seen.fencing_token == self.term.fencing_token
-            heartbeats.heartbeat_seen_by_peer(
+            handling.heartbeat_seen_by_peer(
                 self.ledger,
                 seen.worker,
                 (seen.incarnation, seen.sequence),
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -15,8 +15,8 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination.model import Job
-from salthead.protocol import names
+from salthead.cluster.model import Job
+from salthead.protocol import wire_names
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
@@ -66,7 +66,7 @@
             return True
         return job.blocked_on_dependencies and self.ledger.dependency_graph.needs(
             job.job_id,
-            {job_id for job_id, phase in self.indeterminate.items() if phase == names.ABORTED},
+            {job_id for job_id, phase in self.indeterminate.items() if phase == wire_names.ABORTED},
         )
 
     async def cancel(self, job: Job) -> None:
@@ -129,9 +129,9 @@
         term = self.term
         at = time.time()
         phases = {
-            job.job_id: names.DONE
+            job.job_id: wire_names.DONE
             if job.complete and not job.dependency_cancelled
-            else names.ABORTED
+            else wire_names.ABORTED
             for job in jobs
         }
         operations: list[dict[str, Any]] = []
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from salthead.protocol import names
+from salthead.protocol import wire_names
 from salthead.transport.client import Caller, UnansweredError
 
 LEADS_FIELD = "leads"
@@ -41,7 +41,7 @@
     body = {LEADS_FIELD: True} if leads else None
     try:
         answer = await peer.call(
-            "POST", names.PEER_CONNECTIVITY_PATH, body, timeout=CONNECTIVITY_TIMEOUT_S
+            "POST", wire_names.PEER_CONNECTIVITY_PATH, body, timeout=CONNECTIVITY_TIMEOUT_S
         )
     except UnansweredError:
         return None
@@ -66,7 +66,7 @@
     """Whether a peer promises ``member``, which leads, not to stand for a while."""
     try:
         answer = await peer.call(
-            "POST", names.PEER_WITHHOLD_VOTE_PATH, {"member": member}, timeout=timeout
+            "POST", wire_names.PEER_WITHHOLD_VOTE_PATH, {"member": member}, timeout=timeout
         )
     except UnansweredError:
         return False
--- a/src/salthead/leader/saved_pages.py
+++ b/src/salthead/leader/saved_pages.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination.model import UP, Job
+from salthead.cluster.model import UP, Job
 from salthead.state_store import records
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, delete, put
 from salthead.state_store.pages import Pages
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -9,11 +9,10 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination import gangs, orphans, placement, preemption
-from salthead.coordination.lease import LeaseClock
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import Machine
-from salthead.evidence.gate import Action, Precondition, missing_preconditions
+from salthead.cluster import orphans
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import Machine
+from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
 from salthead.leader.autoscaler import PAUSE_FACTOR, Autoscaler
 from salthead.leader.job_records import JobRecords
 from salthead.leader.leadership import Leadership
@@ -22,8 +21,10 @@
 from salthead.leader.views import Views
 from salthead.leader.worker_calls import WorkerCalls
 from salthead.leader.zone_lease_delegations import ZoneLeaseDelegations
-from salthead.protocol import names
+from salthead.leases.leader_lease import LeaseClock
+from salthead.protocol import wire_names
 from salthead.protocol.messages import Heartbeat
+from salthead.scheduling import gangs, placement, preemption
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
@@ -269,7 +270,7 @@
         job = self.ledger.jobs.get(job_id) if self.ledger.loaded else None
         if job is None:
             found = await self.controller.job_reader.read(job_id)
-            if found is None or found["phase"] in (names.DONE, names.ABORTED):
+            if found is None or found["phase"] in (wire_names.DONE, wire_names.ABORTED):
                 return found
             row = await self.state_store.get(records.job_key(job_id))
             if row is None or not self.ledger.loaded:
@@ -290,7 +291,7 @@
         )
         if not self.permits(Action.CONFIRM_CANCELLATION, durable):
             raise UnansweredError("cancel in doubt")
-        return {"uid": job_id, "phase": job.terminal_phase or names.ABORTED}
+        return {"uid": job_id, "phase": job.terminal_phase or wire_names.ABORTED}
 
     # -- machines -----------------------------------------------------------------------
 
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, Any
 
 from salthead import metrics
-from salthead.coordination import placement
-from salthead.coordination.model import UP, Job, Machine
+from salthead.cluster.model import UP, Job, Machine
+from salthead.scheduling import placement
 
 if TYPE_CHECKING:
     from salthead.leader.term import Term
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -7,12 +7,13 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination import machine_health, placement
-from salthead.coordination.model import LOST, UP, Machine
-from salthead.coordination.task_reconciliation import MAX_COMMANDS
-from salthead.evidence.gate import Action, Precondition
-from salthead.protocol import names
+from salthead.cluster import machine_health
+from salthead.cluster.model import LOST, UP, Machine
+from salthead.failure_detection.preconditions import Action, Precondition
+from salthead.heartbeats.task_reconciliation import MAX_COMMANDS
+from salthead.protocol import wire_names
 from salthead.protocol.messages import Heartbeat, shape, stop_order
+from salthead.scheduling import placement
 from salthead.state_store.client import RETRYABLE_ERRORS
 from salthead.transport.client import Answer, UnansweredError
 
@@ -39,7 +40,7 @@
         sent = self.term.now()
         try:
             answer = await self.term.controller.workers.call(
-                "POST", names.COMMAND_PATH, body, timeout=timeout, endpoint=machine.endpoint
+                "POST", wire_names.COMMAND_PATH, body, timeout=timeout, endpoint=machine.endpoint
             )
         except UnansweredError:
             machine.links.command_failed(sent)
@@ -202,7 +203,7 @@
             if (
                 machine.reconciled
                 and machine.endpoint
-                and (binding.phase != names.FLUSHING or binding.stop_grace_s == 0.0)
+                and (binding.phase != wire_names.FLUSHING or binding.stop_grace_s == 0.0)
             ):
                 binding.stop_sent = True
                 orders.setdefault(machine, []).append(
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -1,6 +1,6 @@
 """Letting controllers behind a cut answer their zone's workers, and what earlier leaders have let.
 
-``coordination/zone_leases.py`` has the rules; ``controller/zone_keeper.py`` is the other side.
+``leases/zone_leases.py`` has the rules; ``controller/zone_lease_delegate.py`` is the other side.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination.zone_leases import counted_until
+from salthead.leases.zone_leases import counted_until
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
--- a/src/salthead/coordination/worker_leases.py
+++ b/src/salthead/leases/worker_leases.py
@@ -5,12 +5,12 @@
 import math
 from typing import TYPE_CHECKING
 
-from salthead.coordination.lease import certainly_expired_at
-from salthead.protocol import names
+from salthead.leases.leader_lease import certainly_expired_at
+from salthead.protocol import wire_names
 
 if TYPE_CHECKING:
-    from salthead.coordination.ledger import Ledger
-    from salthead.coordination.model import Machine
+    from salthead.cluster.ledger import Ledger
+    from salthead.cluster.model import Machine
 
 
 class WorkerLeases:
@@ -48,7 +48,7 @@
     def _has_to_end(self, zone: int) -> bool:
         """Whether anything in the zone is cancelled, or not this leader's to keep."""
         return any(
-            (job.cancel_requested or job.terminal_phase == names.ABORTED)
+            (job.cancel_requested or job.terminal_phase == wire_names.ABORTED)
             and binding.machine.zone == zone
             for job in self.ledger.jobs.values()
             if job.cancel_requested or job.terminal_phase
--- a/src/salthead/coordination/zone_leases.py
+++ b/src/salthead/leases/zone_leases.py
@@ -12,7 +12,7 @@
 import math
 from typing import Any
 
-from salthead.coordination.lease import DRIFT, valid_until
+from salthead.leases.leader_lease import DRIFT, valid_until
 
 
 def counted_until(seen: float, ttl: float) -> float:
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from salthead.errors import SaltheadError
-from salthead.protocol import names
+from salthead.protocol import wire_names
 
 T = TypeVar("T")
 MAX_BODY = 64 * 1024
@@ -278,14 +278,14 @@
 
 def start_order(task_id: str, attempt: int) -> dict[str, Any]:
     """The command that starts a task."""
-    return {"verb": names.START, "piece": task_id, "try": attempt}
+    return {"verb": wire_names.START, "piece": task_id, "try": attempt}
 
 
 def stop_order(task_id: str, attempt: int, grace_s: float) -> dict[str, Any]:
     """The command that stops a task, with the time that it has to save."""
-    return {"verb": names.STOP, "piece": task_id, "try": attempt, "leeway_s": grace_s}
+    return {"verb": wire_names.STOP, "piece": task_id, "try": attempt, "leeway_s": grace_s}
 
 
 def reap_order(task_id: str, attempt: int) -> dict[str, Any]:
     """The command that removes an exited task from reports."""
-    return {"verb": names.REAP, "piece": task_id, "try": attempt}
+    return {"verb": wire_names.REAP, "piece": task_id, "try": attempt}
--- a/src/salthead/coordination/gangs.py
+++ b/src/salthead/scheduling/gangs.py
@@ -9,11 +9,11 @@
 
 import logging
 
-from salthead.coordination import order, placement
-from salthead.coordination.estimates import left_s
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import EPSILON, Job, Machine
-from salthead.coordination.start_rules import quota_left
+from salthead.cluster.estimates import left_s
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import EPSILON, Job, Machine
+from salthead.cluster.start_rules import quota_left
+from salthead.scheduling import placement, queue_order
 
 log = logging.getLogger("salthead.gangs")
 
@@ -58,7 +58,7 @@
             continue
         # Kept room stands empty, so while others wait for room it is kept no earlier than the
         # gang's own target asks.
-        if crowded and not order.due(ledger, job, now):
+        if crowded and not queue_order.due(ledger, job, now):
             continue
         for machine in _machines_for(ledger, job, now):
             if machine.reserved_for != job.job_id:
--- a/src/salthead/coordination/placement.py
+++ b/src/salthead/scheduling/placement.py
@@ -7,12 +7,12 @@
 import random
 from collections.abc import Iterable
 
-from salthead.coordination import order
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import EPSILON, UP, Job, Machine, MachineKind, ReleaseReason
-from salthead.coordination.start_rules import quota_left, startable, wanted
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import EPSILON, UP, Job, Machine, MachineKind, ReleaseReason
+from salthead.cluster.start_rules import quota_left, startable, wanted
 from salthead.event_log import event
-from salthead.protocol import names
+from salthead.protocol import wire_names
+from salthead.scheduling import queue_order
 
 log = logging.getLogger("salthead.placement")
 
@@ -56,9 +56,9 @@
         key=lambda job: (job.priority, job.waiting() * job.request.cpus, job.since, job.job_id)
     )
     young = {job.job_id for job in first}
-    rate = order.fleet_cpus(ledger)
+    rate = queue_order.fleet_cpus(ledger)
     for guaranteed in (True, False):
-        for priority in range(len(names.URGENCIES)):
+        for priority in range(len(wire_names.URGENCIES)):
             same = [
                 job
                 for job in waiting
@@ -66,7 +66,7 @@
                 and job.job_id not in young
                 and (job.job_id in within) == guaranteed
             ]
-            first += order.by_targets(ledger, same, rate, now)
+            first += queue_order.by_targets(ledger, same, rate, now)
     if ledger.zone_hooks is not None:
         return ledger.zone_hooks.evacuation_order(first, within, now)
     return first
@@ -166,7 +166,7 @@
             not ledger.pending.constrained
             or job.constrained
             or machine.machine_type not in ledger.scarce
-            or order.due(ledger, job, now)
+            or queue_order.due(ledger, job, now)
         )
     )
 
@@ -480,7 +480,7 @@
             unschedulable.append(job)
         # For one gang at a time, and then as long for nobody: else all that an overloaded team
         # frees goes to a few of its largest jobs, and each of them makes many others late.
-        if ahead is None and order.reserving(job, now) and now >= ledger.rest_until[job.team]:
+        if ahead is None and queue_order.reserving(job, now) and now >= ledger.rest_until[job.team]:
             reserved[job.team] = job
             if job.reserved_at is None:
                 job.reserved_at = now
@@ -498,7 +498,7 @@
     if (
         ahead is not None
         and not held_back_too_long(job, now)
-        and (job.gang or order.pressing(ahead, now))
+        and (job.gang or queue_order.pressing(ahead, now))
     ):
         job.quota_reserved_ahead = ahead.size()
     quota_exhausted = _short_of_quota(ledger, job)
--- a/src/salthead/coordination/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -5,11 +5,11 @@
 import heapq
 import logging
 
-from salthead.coordination import order, placement
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import UP, Binding, Job, Machine, Resources
-from salthead.coordination.start_rules import quota_left
-from salthead.protocol import names
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import UP, Binding, Job, Machine, Resources
+from salthead.cluster.start_rules import quota_left
+from salthead.protocol import wire_names
+from salthead.scheduling import placement, queue_order
 
 log = logging.getLogger("salthead.preemption")
 
@@ -97,8 +97,8 @@
     allow is gone. Seen on rollout, moana-buoys-next: steps of pipelines with a minute to spare
     stopped 9,000 tasks of 33,000, most of them of work that was late for it.
     """
-    own = names.URGENCIES.index(job.spec.urgency)
-    return job.priority if job.priority == own or order.due(ledger, job, now) else own
+    own = wire_names.URGENCIES.index(job.spec.urgency)
+    return job.priority if job.priority == own or queue_order.due(ledger, job, now) else own
 
 
 def could_preempt(ledger: Ledger, job: Job, within: set[str]) -> bool:
--- a/src/salthead/coordination/order.py
+++ b/src/salthead/scheduling/queue_order.py
@@ -12,8 +12,8 @@
 import heapq
 import math
 
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import EPSILON, Job
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import EPSILON, Job
 
 # The protocol: the largest jobs of a class, too, begin within four minutes.
 BEGIN_WITHIN_S = 240.0
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from salthead.errors import SaltheadError
-from salthead.protocol import names
+from salthead.protocol import wire_names
 from salthead.protocol.messages import MalformedMessageError
 from salthead.transport.client import Answer, Caller, UnansweredError
 from salthead.transport.limits import Budget
@@ -102,7 +102,7 @@
         if not urgent:
             await self.reads.wait()
         caller = self.urgent if urgent else self.bulk
-        answer = await caller.call("GET", f"{names.KEYS_PATH}/{key}", timeout=timeout)
+        answer = await caller.call("GET", f"{wire_names.KEYS_PATH}/{key}", timeout=timeout)
         self._check(answer, key, 200, 404)
         if answer.status == 404:
             return None
@@ -123,7 +123,9 @@
             if start:
                 query["from"] = start
             answer = self._check(
-                await self.bulk.call("GET", names.KEYS_PATH, query=query, timeout=3.0), prefix, 200
+                await self.bulk.call("GET", wire_names.KEYS_PATH, query=query, timeout=3.0),
+                prefix,
+                200,
             )
             if first is None:
                 first = _int(answer.body, "epoch")
@@ -149,7 +151,7 @@
             "when": [{"path": key, "stamp": revision} for key, revision in conditions.items()],
             "apply": operations,
         }
-        answer = await caller.call("POST", names.TRANSACTIONS_PATH, body, timeout=timeout)
+        answer = await caller.call("POST", wire_names.TRANSACTIONS_PATH, body, timeout=timeout)
         if answer.status == 400 and "lease" in str(answer.body.get("error", "")):
             raise LeaseExpiredError("txn")
         self._check(answer, "txn", 200, 409)
@@ -160,7 +162,7 @@
     async def grant_lease(self, ttl_s: float, timeout: float = 1.5) -> int:
         """A new lease; its number."""
         answer = await self.urgent.call(
-            "POST", names.LEASES_PATH, {"ttl_ms": round(ttl_s * 1000)}, timeout=timeout
+            "POST", wire_names.LEASES_PATH, {"ttl_ms": round(ttl_s * 1000)}, timeout=timeout
         )
         self._check(answer, "grant", 200)
         return _int(answer.body, "tether")
@@ -168,7 +170,7 @@
     async def renew_lease(self, lease_id: int, timeout: float) -> None:
         """Renew a lease; LeaseExpiredError if it has ended."""
         answer = await self.urgent.call(
-            "POST", f"{names.LEASES_PATH}/{lease_id}/extend", timeout=timeout
+            "POST", f"{wire_names.LEASES_PATH}/{lease_id}/extend", timeout=timeout
         )
         self._check(answer, "extend", 200, 404)
         if answer.status == 404:
@@ -176,7 +178,9 @@
 
     async def revoke_lease(self, lease_id: int) -> None:
         """End a lease at once."""
-        answer = await self.urgent.call("DELETE", f"{names.LEASES_PATH}/{lease_id}", timeout=1.0)
+        answer = await self.urgent.call(
+            "DELETE", f"{wire_names.LEASES_PATH}/{lease_id}", timeout=1.0
+        )
         self._check(answer, "end", 200, 404)
 
     async def watch(
@@ -185,7 +189,7 @@
         """Changes below a prefix since an epoch, and the epoch up to which they are known."""
         answer = await self.watches.call(
             "GET",
-            names.CHANGES_PATH,
+            wire_names.CHANGES_PATH,
             timeout=wait_s + 2.0,
             query={"prefix": prefix, "from": since, "wait_ms": round(wait_s * 1000)},
         )
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from salthead.coordination import order, placement
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import Job, Machine
-from salthead.coordination.start_rules import quota_left
-from salthead.protocol import names
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import Job, Machine
+from salthead.cluster.start_rules import quota_left
+from salthead.protocol import wire_names
+from salthead.scheduling import placement, queue_order
 
 # A claim lasts for so many report periods: by then the gang's other machines are up, or room is
 # kept for it on machines that empty, and another gang may use this one.
 CLAIM_HEARTBEAT_INTERVALS = 3.0
 # Arrays of this urgency and below are the low-priority ones, which wait for whole gangs.
-LOW_PRIORITY = names.URGENCIES.index("normal")
+LOW_PRIORITY = wire_names.URGENCIES.index("normal")
 
 GUARANTEED, GANGS, ARRAYS = range(3)
 
@@ -22,7 +22,7 @@
 
     A job that has waited for half of the time in which any has to begin stays in front.
     """
-    if job.job_id in within or order.start_overdue(job, now):
+    if job.job_id in within or queue_order.start_overdue(job, now):
         return GUARANTEED
     return GANGS if job.gang or job.priority < LOW_PRIORITY else ARRAYS
 
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from salthead.coordination import placement
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import BOOTING, GONE, LOST, UP, Binding, Job, Machine
-from salthead.evidence.machine_sets import MachineSets
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import BOOTING, GONE, LOST, UP, Binding, Job, Machine
+from salthead.failure_detection.machine_sets import MachineSets
 from salthead.policy import ZonePolicy
+from salthead.scheduling import placement
 from salthead.zones import evacuation, records
 from salthead.zones.slow_start import Progress, SlowStart
 from salthead.zones.start_times import StartTimes
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from salthead.coordination.invariants import Invariants
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import Job, Machine
+from salthead.cluster.invariants import Invariants
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import Job, Machine
 from salthead.protocol.messages import Heartbeat, MachineType, Submission, TaskStatus
 from salthead.settings import Limits, Settings
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,14 +8,14 @@
 
 from helpers import heartbeat, job, ledger, machine, ready, verbs
 from salthead import metrics
-from salthead.coordination.invariants import (
+from salthead.cluster.invariants import (
     AUDIT_INTERVAL_S,
     Invariant,
     InvariantBrokenError,
     Invariants,
 )
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import ResourceUsage
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import ResourceUsage
 
 
 def bind(led: Ledger, index: int = 0, granted: bool = True) -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -11,14 +11,16 @@
 from tornado.testing import AsyncTestCase, gen_test
 
 from helpers import heartbeat, job, ledger, machine, ready, settings
+from salthead.autoscaling import fleet_plan
+from salthead.cluster import ledger as ledgers
+from salthead.cluster.ledger import Ledger
+from salthead.cluster.model import UP
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers
 from salthead.controller.server import listen
-from salthead.coordination import fleet_plan, placement, zone_leases
-from salthead.coordination import ledger as ledgers
-from salthead.coordination.ledger import Ledger
-from salthead.coordination.model import UP
 from salthead.leader.autoscaler import LIST_INTERVAL_S, Autoscaler
+from salthead.leases import zone_leases
+from salthead.scheduling import placement
 from salthead.state_store import records
 from salthead.state_store.pages import Pages
 from standins import World, run
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from salthead.coordination.lease import (
+from salthead.leases.leader_lease import (
     LeaderStickiness,
     LeaseClock,
     certainly_expired_at,
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,10 +5,12 @@
 import pytest
 
 from helpers import heartbeat, job, ledger, machine, ready, spec, verbs
-from salthead.coordination import fleet_plan, machine_health, orphans, placement
-from salthead.coordination.lease import certainly_expired_at
-from salthead.coordination.model import LOST, UP, ResourceUsage
+from salthead.autoscaling import fleet_plan
+from salthead.cluster import machine_health, orphans
+from salthead.cluster.model import LOST, UP, ResourceUsage
+from salthead.leases.leader_lease import certainly_expired_at
 from salthead.protocol.messages import Submission
+from salthead.scheduling import placement
 
 
 def place(led, now=0.0):
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -9,9 +9,10 @@
 import pytest
 
 from helpers import spec
+from salthead.cluster import ledger
+from salthead.cluster.dependency_graph import DependencyGraph
 from salthead.controller import controller as controller_module
-from salthead.coordination import ledger, zone_leases
-from salthead.coordination.dependency_graph import DependencyGraph
+from salthead.leases import zone_leases
 from standins import World, run
 
 PERIODS = 3
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,9 +14,9 @@
 import pytest
 
 from helpers import LIMITS, limits, spec
+from salthead.cluster.ledger import Ledger
 from salthead.controller.controller import Controller
-from salthead.coordination.lease import certainly_expired_at, leader_ttl, unloaded_grace_s
-from salthead.coordination.ledger import Ledger
+from salthead.leases.leader_lease import certainly_expired_at, leader_ttl, unloaded_grace_s
 from standins import World, run
 
 CANCEL_S = LIMITS["workers"]["cancel_s"]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,9 +19,10 @@
 
 import profile_costs
 from helpers import LIMITS, heartbeat, job, machine, ready, spec
-from salthead.coordination import fleet_plan, placement
-from salthead.coordination.ledger import Ledger
+from salthead.autoscaling import fleet_plan
+from salthead.cluster.ledger import Ledger
 from salthead.leader.views import OVERVIEW_ROWS
+from salthead.scheduling import placement
 from salthead.state_store import records
 from standins import World, run
 
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -13,10 +13,10 @@
 
 from cut_world import CUTS_ON, CutWorld
 from helpers import FLAVORS, given, heartbeat, limits, spec
-from salthead.coordination import placement
-from salthead.coordination.ledger import Ledger
-from salthead.evidence.shared_silence import SharedSilence
+from salthead.cluster.ledger import Ledger
+from salthead.failure_detection.shared_silence import SharedSilence
 from salthead.protocol.messages import decode_submission, encode
+from salthead.scheduling import placement
 from standins import run
 
 CUT_POLICY = CUTS_ON.partial_cuts
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,10 +12,11 @@
 
 from helpers import heartbeat, job, ledger, machine, verbs
 from salthead import policy
-from salthead.coordination import fleet_plan, gangs, placement
-from salthead.coordination.ledger import Ledger
-from salthead.evidence.machine_sets import MachineSets, RecentSet
+from salthead.autoscaling import fleet_plan
+from salthead.cluster.ledger import Ledger
+from salthead.failure_detection.machine_sets import MachineSets, RecentSet
 from salthead.policy import Policy, ZonePolicy
+from salthead.scheduling import gangs, placement
 from salthead.zones import evacuation, records
 from salthead.zones.recovery import ZoneRecovery
 from salthead.zones.slow_start import Progress, SlowStart
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -33,15 +33,16 @@
     sys.path[:0] = [str(ROOT / "target" / "deps"), str(ROOT / "src"), str(ROOT / "tests")]
 
 from helpers import FLAVORS, given, heartbeat, machine, settings, spec  # noqa: E402
+from salthead.autoscaling import fleet_plan  # noqa: E402
+from salthead.cluster.ledger import Ledger  # noqa: E402
 from salthead.controller.controller import Controller  # noqa: E402
 from salthead.controller.handlers import ClientHandlers, PeerHandlers  # noqa: E402
 from salthead.controller.server import listen  # noqa: E402
-from salthead.coordination import fleet_plan, placement  # noqa: E402
-from salthead.coordination.lease import LeaseClock  # noqa: E402
-from salthead.coordination.ledger import Ledger  # noqa: E402
 from salthead.leader.term import Term  # noqa: E402
-from salthead.protocol import names  # noqa: E402
+from salthead.leases.leader_lease import LeaseClock  # noqa: E402
+from salthead.protocol import wire_names  # noqa: E402
 from salthead.protocol.messages import Heartbeat, encode  # noqa: E402
+from salthead.scheduling import placement  # noqa: E402
 
 FENCING_TOKEN = 7
 REVISION = 1_000_000  # of all that is written in the profiled term
@@ -211,7 +212,11 @@
     async def of_reports(self, sequence: int, ended: int) -> Cost:
         """Of reports, of which so many tasks have ended."""
         requests = [
-            ("POST", names.HEARTBEAT_PATH, encode(shown(self.ledger, f"m{n}", sequence, ended)))
+            (
+                "POST",
+                wire_names.HEARTBEAT_PATH,
+                encode(shown(self.ledger, f"m{n}", sequence, ended)),
+            )
             for n in range(REQUESTS)
         ]
         return await self.of_requests(self.endpoints[0], requests, 200)
@@ -219,14 +224,14 @@
     async def of_polls(self, endpoint: str) -> Cost:
         """Of polls at one controller."""
         requests: list[HttpRequest] = [
-            ("GET", f"{names.JOBS_PATH}/req-{n % JOBS_IN_LINE}", None) for n in range(REQUESTS)
+            ("GET", f"{wire_names.JOBS_PATH}/req-{n % JOBS_IN_LINE}", None) for n in range(REQUESTS)
         ]
         return await self.of_requests(endpoint, requests, 200)
 
     async def of_submissions(self) -> Cost:
         """Of new jobs."""
         requests: list[HttpRequest] = [
-            ("POST", names.JOBS_PATH, encode(given(spec(job_id=f"req-{9000 + n}"))))
+            ("POST", wire_names.JOBS_PATH, encode(given(spec(job_id=f"req-{9000 + n}"))))
             for n in range(REQUESTS)
         ]
         return await self.of_requests(self.endpoints[0], requests, 201)
@@ -234,10 +239,10 @@
     async def of_peer_calls(self) -> Cost:
         """Of calls between controllers."""
         peer = self.leader.peers["n1"]
-        await peer.call("POST", names.PEER_CONNECTIVITY_PATH)
+        await peer.call("POST", wire_names.PEER_CONNECTIVITY_PATH)
         with Meter(with_calls=not self.with_seconds) as meter:
             for _ in range(REQUESTS):
-                await peer.call("POST", names.PEER_CONNECTIVITY_PATH)
+                await peer.call("POST", wire_names.PEER_CONNECTIVITY_PATH)
         return Cost(meter.calls / REQUESTS, meter.seconds / REQUESTS)
 
     def of_burst(self) -> Cost:
@@ -325,7 +330,7 @@
         (
             "health check",
             await bench.of_requests(
-                bench.endpoints[0], [("GET", names.READY_PATH, None)] * REQUESTS, 200
+                bench.endpoints[0], [("GET", wire_names.READY_PATH, None)] * REQUESTS, 200
             ),
             PROBES_PER_S,
         ),
