--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -13,7 +13,7 @@
 import math
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from salthead import metrics
 from salthead.cluster import dependencies, orphans
@@ -46,6 +46,7 @@
 from salthead.protocol import wire_names
 from salthead.protocol.interning import Interner
 from salthead.protocol.messages import (
+    Command,
     Heartbeat,
     MachineType,
     Submission,
@@ -597,8 +598,8 @@
         heartbeat: Heartbeat,
         now: float,
         direct: bool = False,
-    ) -> list[dict[str, Any]] | None:
-        """Orders for the worker, or None when the heartbeat must not be answered with 200."""
+    ) -> list[Command] | None:
+        """Commands for the worker, or None when the heartbeat must not be answered with 200."""
         return handling.handle(self, heartbeat, now, direct)
 
     # -- views --------------------------------------------------------------------------
--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -27,10 +27,15 @@
 from salthead.policy import NO_POLICY, Policy
 from salthead.protocol import wire_names
 from salthead.protocol.messages import (
+    ErrorAnswer,
     Heartbeat,
+    HeartbeatAnswer,
+    JobStatus,
+    LeaderRedirect,
     MachineType,
+    MalformedMessageError,
     Submission,
-    status_body,
+    shape,
 )
 from salthead.settings import Settings
 from salthead.state_store import records
@@ -219,30 +224,36 @@
 
     # -- what workers ask ---------------------------------------------------------------
 
-    def redirect_heartbeat(self, who: str) -> tuple[int, dict[str, Any]]:
+    def redirect_heartbeat(self, who: str) -> tuple[int, LeaderRedirect | ErrorAnswer]:
         """The answer to a heartbeat of a controller that may not act on it."""
         self.connectivity.record_redirected_worker(who)
-        if self.leader not in (None, self.settings.member) and not self.connectivity.cut_off():
-            return 421, {"herder": self.leader}
-        return 503, {"error": "no leader"}
+        if (
+            self.leader is not None
+            and self.leader != self.settings.member
+            and not self.connectivity.cut_off()
+        ):
+            return 421, LeaderRedirect(self.leader)
+        return 503, ErrorAnswer("no leader")
 
-    def handle_heartbeat(self, heartbeat: Heartbeat, who: str = "") -> tuple[int, dict[str, Any]]:
+    def handle_heartbeat(
+        self, heartbeat: Heartbeat, who: str = ""
+    ) -> tuple[int, HeartbeatAnswer | LeaderRedirect | ErrorAnswer]:
         """Status and body for a worker's heartbeat."""
         term = self.leading()
         if term is None:
             if self.zone_lease_delegate.may_acknowledge(heartbeat):
                 self.connectivity.record_redirected_worker(who or heartbeat.worker)
-                return 200, {"baton": self.leader_fencing_token, "orders": []}
+                return 200, HeartbeatAnswer(self.leader_fencing_token)
             self.connectivity.record_redirected_heartbeat(heartbeat)
             return self.redirect_heartbeat(who or heartbeat.worker)
-        orders = term.handle_heartbeat(heartbeat)
-        if orders is None:
-            return 503, {"error": "not for this report"}
+        commands = term.handle_heartbeat(heartbeat)
+        if commands is None:
+            return 503, ErrorAnswer("not for this report")
         if not term.valid():
             # It ran out while this was worked out, on a machine with little processor time: a 200
             # now would be given by one that is not entitled to. What was ordered stays bound.
             return self.redirect_heartbeat(who or heartbeat.worker)
-        return 200, {"baton": term.fencing_token, "orders": orders}
+        return 200, HeartbeatAnswer(term.fencing_token, commands)
 
     # -- what users ask -----------------------------------------------------------------
 
@@ -250,7 +261,7 @@
         self,
         job: Submission,
         forwarded: bool = False,
-    ) -> tuple[int, dict[str, Any]]:
+    ) -> tuple[int, JobStatus]:
         """POST /work: status and body, or one of the errors that mean 4xx or 503."""
         if self.overloaded():
             raise UnavailableError("overloaded")
@@ -260,16 +271,16 @@
         finally:
             self.submitting -= 1
 
-    def status_for_user(self, term: Term, job_id: str) -> dict[str, Any]:
+    def status_for_user(self, term: Term, job_id: str) -> JobStatus:
         """What a user is told of a job of this term."""
         ledger = term.ledger
-        return status_body(
+        return JobStatus.with_progress(
             job_id,
             *ledger.phase_of(ledger.jobs[job_id]),
             depends_on=ledger.unfinished_dependencies(job_id, MAX_LISTED_DEPENDENCIES),
         )
 
-    def status_in_term(self, term: Term, job_id: str) -> dict[str, Any] | None:
+    def status_in_term(self, term: Term, job_id: str) -> JobStatus | None:
         """A job's status as this controller's term knows it; None where only a read can tell."""
         job = term.ledger.jobs.get(job_id)
         if job is None:
@@ -283,30 +294,32 @@
             held |= OUTCOMES_DETERMINATE
         return self.status_for_user(term, job_id) if permits(Action.REPORT_STATUS, held) else None
 
-    async def poll_here(self, term: Term, job_id: str) -> dict[str, Any] | None:
+    async def poll_here(self, term: Term, job_id: str) -> JobStatus | None:
         """A job's status at the leader; None when it was never accepted."""
         return self.status_in_term(term, job_id) or await self.job_reader.read(job_id)
 
-    def status_in_memory(self, job_id: str) -> dict[str, Any] | None:
+    def status_in_memory(self, job_id: str) -> JobStatus | None:
         """A job's status where this controller can tell it without asking anybody, else None."""
         known = self.terminal_outcomes.get(job_id)
         if known is not None:
-            return status_body(job_id, known[0], known[1] if known[0] == wire_names.DONE else 0)
+            return JobStatus.with_progress(
+                job_id, known[0], known[1] if known[0] == wire_names.DONE else 0
+            )
         term = self.leading()
         return None if term is None else self.status_in_term(term, job_id)
 
-    async def poll(self, job_id: str) -> dict[str, Any] | None:
+    async def poll(self, job_id: str) -> JobStatus | None:
         """GET /work/ID; None is 404."""
         found = self.status_in_memory(job_id)
         if found is None and self.leading() is None:
             found = await self.ask_leader(wire_names.PEER_STATUS_PATH, job_id, 0.8)
         return found if found is not None else await self.job_reader.read(job_id)
 
-    async def cancel(self, job_id: str) -> dict[str, Any] | None:
+    async def cancel(self, job_id: str) -> JobStatus | None:
         """POST /work/ID/cancel; None is 404."""
         known = self.terminal_outcomes.get(job_id)
         if known is not None:
-            return {"uid": job_id, "phase": known[0]}
+            return JobStatus(job_id, known[0])
         term = self.leading()
         if term is not None:
             return await term.cancel(job_id)
@@ -315,7 +328,7 @@
             return found
         # Only the leader may decide it, but what is decided, or unknown, anyone can read.
         read = await self.job_reader.read(job_id)
-        if read is None or read["phase"] in (wire_names.DONE, wire_names.ABORTED):
+        if read is None or read.is_terminal:
             return read
         raise UnavailableError("no leader")
 
@@ -332,7 +345,7 @@
             raise UnavailableError("no leader")
         return answer.body
 
-    async def ask_leader(self, path: str, job_id: str, timeout: float) -> dict[str, Any] | None:
+    async def ask_leader(self, path: str, job_id: str, timeout: float) -> JobStatus | None:
         """Ask the leader about a job; None if it does not answer."""
         peer = self.peers.get(self.leader or "")
         if peer is None:
@@ -342,11 +355,15 @@
         except UnansweredError as error:
             self.log_throttled("leader", error)
             return None
-        if answer.status != 200 or answer.body.get("uid") != job_id:
+        if answer.status != 200:
             return None
-        phase = answer.body.get("phase")
-        if phase in (wire_names.DONE, wire_names.ABORTED):
-            self.remember_outcome(
-                job_id, phase, int(answer.body.get("pieces", answer.body.get("done", 0)))
-            )
-        return answer.body
+        try:
+            status = shape(answer.body, JobStatus)
+        except MalformedMessageError as error:
+            self.log_throttled("leader", error)
+            return None
+        if status.job_id != job_id:
+            return None
+        if status.is_terminal:
+            self.remember_outcome(job_id, status.phase, status.done or 0)
+        return status
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -5,7 +5,6 @@
 
 import logging
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 from salthead import metrics
 from salthead.controller.controller import Controller
@@ -15,6 +14,8 @@
 from salthead.protocol import wire_names
 from salthead.protocol.messages import (
     JOB_ID,
+    ErrorAnswer,
+    JobStatus,
     MalformedMessageError,
     decode_heartbeat,
     decode_map,
@@ -37,11 +38,11 @@
 ERROR_TEXT_MAX = 200
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
 
-StatusLookup = Callable[[str], Awaitable[dict[str, Any] | None]]
+StatusLookup = Callable[[str], Awaitable[JobStatus | None]]
 
 
 def _error(status: int, reason: object) -> Reply:
-    return Reply(status, {"error": str(reason)[:ERROR_TEXT_MAX]})
+    return Reply(status, ErrorAnswer(str(reason)[:ERROR_TEXT_MAX]))
 
 
 async def _job_reply(job_id: str, lookup: StatusLookup) -> Reply:
--- a/src/salthead/controller/job_reader.py
+++ b/src/salthead/controller/job_reader.py
@@ -4,13 +4,13 @@
 
 import math
 from collections import deque
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from salthead.errors import InvalidJobError, UnavailableError
 from salthead.protocol import wire_names
-from salthead.protocol.messages import Submission, status_body
+from salthead.protocol.messages import JobStatus, Submission
 from salthead.state_store import records
 from salthead.state_store.client import VersionedValue
 from salthead.transport.client import UnansweredError
@@ -124,7 +124,7 @@
         )
         return self.controller.terminal_outcomes[job_id]
 
-    async def read(self, job_id: str) -> dict[str, Any] | None:
+    async def read(self, job_id: str) -> JobStatus | None:
         """A job's state by a consistent read; None when it was never accepted."""
         row = await self.controller.state_store.get(records.job_key(job_id))
         if row is not None:
@@ -136,9 +136,9 @@
                 )
             except InvalidJobError as error:
                 raise UnansweredError(str(error)) from None
-            return status_body(job_id, wire_names.ABORTED if cut else wire_names.QUEUED)
+            return JobStatus.with_progress(job_id, wire_names.ABORTED if cut else wire_names.QUEUED)
         found = await self.ended(job_id)
         if found is None:
             return None
         phase, task_count, _ = found
-        return status_body(job_id, phase, task_count if phase == wire_names.DONE else 0)
+        return JobStatus.with_progress(job_id, phase, task_count if phase == wire_names.DONE else 0)
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -10,7 +10,7 @@
 
 from salthead.errors import InvalidJobError, UnavailableError
 from salthead.protocol import wire_names
-from salthead.protocol.messages import JOB_ID, Submission, status_body
+from salthead.protocol.messages import JOB_ID, JobStatus, MalformedMessageError, Submission, shape
 from salthead.state_store import records
 from salthead.state_store.client import ConflictError, RequestRefusedError, put
 from salthead.transport.client import UnansweredError
@@ -55,7 +55,7 @@
                 {name for name in job.machine_types if name in self.controller.machine_types}
             )
 
-    async def accept(self, job: Submission, forwarded: bool) -> tuple[int, dict[str, Any]]:
+    async def accept(self, job: Submission, forwarded: bool) -> tuple[int, JobStatus]:
         """Status and body for a submission, new or repeated."""
         if (known := await self._known(job.job_id)) is not None:
             return 200, known
@@ -83,11 +83,13 @@
         log.debug("accepted %s: %d tasks", job.job_id, job.task_count)
         return 201, self._accepted(job, len(rows) - 1, dependency_cancelled, revision)
 
-    async def _known(self, job_id: str) -> dict[str, Any] | None:
+    async def _known(self, job_id: str) -> JobStatus | None:
         """The state of a job that this controller knows, in its memory or as the leader."""
         known = self.controller.terminal_outcomes.get(job_id)
         if known is not None:
-            return status_body(job_id, known[0], known[1] if known[0] == wire_names.DONE else 0)
+            return JobStatus.with_progress(
+                job_id, known[0], known[1] if known[0] == wire_names.DONE else 0
+            )
         term = self.controller.leading()
         if term is not None and job_id in term.ledger.jobs:
             return await self.controller.poll_here(term, job_id)
@@ -112,17 +114,17 @@
 
     def _accepted(
         self, job: Submission, more: int, dependency_cancelled: bool, revision: int
-    ) -> dict[str, Any]:
+    ) -> JobStatus:
         """The job is durable: what this controller remembers of it, and what its user is told."""
         if dependency_cancelled:
             self.controller.remember_outcome(job.job_id, wire_names.ABORTED, job.task_count, job.at)
-            return {"uid": job.job_id, "phase": wire_names.ABORTED}
+            return JobStatus(job.job_id, wire_names.ABORTED)
         job.more = more
         self.controller.remember_accepted(job)
         term = self.controller.leading()
         if term is not None and term.ledger.loaded:
             term.job_records.add_job(job, revision)
-        return {"uid": job.job_id, "phase": wire_names.QUEUED}
+        return JobStatus(job.job_id, wire_names.QUEUED)
 
     async def _check_awaits(self, job: Submission) -> bool:
         """Whether a dependency was cancelled; InvalidJobError if one was never accepted."""
@@ -134,7 +136,7 @@
             depends_on, self.controller.now() + MAX_LOOKUP_S, every=True
         )
 
-    async def _forward(self, job: Submission) -> tuple[int, dict[str, Any]]:
+    async def _forward(self, job: Submission) -> tuple[int, JobStatus]:
         """Let another controller accept a job that this one can't write: the service may refuse
         this
         controller alone. A job has one id, so that two controllers may try to accept it."""
@@ -148,6 +150,13 @@
             except UnansweredError as error:
                 self.controller.log_throttled("pass on", error)
                 continue
-            if answer.status in (200, 201) and answer.body.get("uid") == job.job_id:
-                return answer.status, answer.body
+            if answer.status not in (200, 201):
+                continue
+            try:
+                status = shape(answer.body, JobStatus)
+            except MalformedMessageError as error:
+                self.controller.log_throttled("pass on", error)
+                continue
+            if status.job_id == job.job_id:
+                return answer.status, status
         raise UnavailableError("the state service does not answer")
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -4,14 +4,14 @@
 
 import logging
 import math
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from salthead.cluster.machine_health import mark_unresponsive
 from salthead.cluster.model import BOOTING, LOST, UP, Machine, ReleaseReason
 from salthead.failure_detection.preconditions import Action, Precondition, missing_preconditions
-from salthead.heartbeats.task_reconciliation import orders_for
+from salthead.heartbeats.task_reconciliation import commands_for
 from salthead.protocol import wire_names
-from salthead.protocol.messages import Heartbeat
+from salthead.protocol.messages import Command, Heartbeat
 
 if TYPE_CHECKING:
     from salthead.cluster.ledger import Ledger
@@ -33,11 +33,11 @@
     heartbeat: Heartbeat,
     now: float,
     direct: bool = False,
-) -> list[dict[str, Any]] | None:
-    """Orders for the worker, or None when the heartbeat must not be answered with 200.
+) -> list[Command] | None:
+    """Commands for the worker, or None when the heartbeat must not be answered with 200.
 
     A ``direct`` report is the answer to a call of ours. It renews no lease and carries no
-    orders back, and it may have been made while an answer with starts was under way, so
+    commands back, and it may have been made while an answer with starts was under way, so
     what it does not show may still begin.
     """
     machine = ledger.machines.get(heartbeat.worker)
@@ -80,8 +80,8 @@
 
 def _answer(
     ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, now: float, direct: bool
-) -> list[dict[str, Any]] | None:
-    """Any other report: whether it may be answered, and with which orders."""
+) -> list[Command] | None:
+    """Any other report: whether it may be answered, and with which commands."""
     # Made after an answer of this term was accepted: a heartbeat of an earlier term, or of
     # before the worker's first answer, may be a copy that comes late.
     current = heartbeat.fencing_token == ledger.fencing_token
@@ -124,8 +124,8 @@
 
 def _news(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
-) -> list[dict[str, Any]]:
-    """Take a heartbeat in that is news under this term's token; the orders that follow."""
+) -> list[Command]:
+    """Take a heartbeat in that is news under this term's token; the commands that follow."""
     _take_in(ledger, machine, heartbeat, now)
     if (
         machine.unchanged
@@ -133,17 +133,17 @@
         and heartbeat.tasks == machine.last_tasks
     ):
         return []  # nothing is new, and nothing is wanted
-    orders = orders_for(ledger, machine, heartbeat, now, direct)
+    commands = commands_for(ledger, machine, heartbeat, now, direct)
     machine.last_tasks = heartbeat.tasks
     machine.unchanged = (
-        not orders
+        not commands
         and not machine.orphans
         and all(
             binding.phase and binding.stop_grace_s is None for binding in machine.bindings.values()
         )
         and all(task.phase != wire_names.EXITED for task in heartbeat.tasks)
     )
-    return orders
+    return commands
 
 
 def _record_acknowledgements(
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -1,9 +1,9 @@
-"""What the tasks that a heartbeat shows change in the ledger, and the orders that answer it."""
+"""What the tasks that a heartbeat shows change in the ledger, and the commands that answer it."""
 
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from salthead import metrics
 from salthead.cluster import orphans
@@ -14,13 +14,14 @@
 from salthead.failure_detection.preconditions import Action, Precondition, permits
 from salthead.protocol import wire_names
 from salthead.protocol.messages import (
+    Command,
     Heartbeat,
     MalformedMessageError,
+    ReapCommand,
+    StartCommand,
+    StopCommand,
     TaskStatus,
-    reap_order,
     split_task_id,
-    start_order,
-    stop_order,
 )
 
 if TYPE_CHECKING:
@@ -42,12 +43,12 @@
 OUTCOME_DURABLE = int(Precondition.OUTCOME_DURABLE)
 
 
-def orders_for(
+def commands_for(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
-) -> list[dict[str, Any]]:
+) -> list[Command]:
     """Bring the ledger in line with the tasks that a heartbeat shows, and say what is to be
     done."""
-    orders, seen, seen_orphans = _take_tasks(ledger, machine, heartbeat, now)
+    commands, seen, seen_orphans = _take_tasks(ledger, machine, heartbeat, now)
     _release_missing(ledger, machine, seen, now, direct)
     for orphan_key in list(machine.orphans):
         if orphan_key not in seen_orphans:
@@ -57,16 +58,16 @@
         machine.has_freed_capacity = False
         ledger.events.room_freed(machine, now)
     if not direct:
-        orders += _starts(ledger, machine, MAX_COMMANDS - len(orders))
-    return orders[:MAX_COMMANDS]
+        commands += _starts(ledger, machine, MAX_COMMANDS - len(commands))
+    return commands[:MAX_COMMANDS]
 
 
 def _take_tasks(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float
-) -> tuple[list[dict[str, Any]], set[TaskKey], set[orphans.OrphanKey]]:
+) -> tuple[list[Command], set[TaskKey], set[orphans.OrphanKey]]:
     """Orders for the tasks that a heartbeat shows; those that are bound to the machine, and orphan
     tasks."""
-    orders: list[dict[str, Any]] = []
+    commands: list[Command] = []
     seen: set[TaskKey] = set()
     seen_orphans: set[orphans.OrphanKey] = set()
     for task in heartbeat.tasks:
@@ -79,7 +80,7 @@
         if binding is not None and binding.attempt != task.attempt:
             binding = None
         if task.phase == wire_names.EXITED:
-            orders += _take_exit(ledger, binding, job_id, index, task, now)
+            commands += _take_exit(ledger, binding, job_id, index, task, now)
             continue
         if binding is None:
             binding = _adopt(ledger, machine, job_id, index, task, now)
@@ -87,7 +88,7 @@
             orphan_key = (job_id, index, task.attempt)
             seen_orphans.add(orphan_key)
             orphans.add(ledger, machine, orphan_key)
-            orders.append(stop_order(task.task_id, task.attempt, 0.0))
+            commands.append(StopCommand(task.task_id, task.attempt, 0.0))
             continue
         seen.add(key)
         if binding.phase != task.phase:
@@ -95,21 +96,21 @@
         if binding.stop_grace_s is not None and (
             task.phase != wire_names.FLUSHING or binding.stop_grace_s == 0.0
         ):
-            orders.append(stop_order(task.task_id, task.attempt, binding.stop_grace_s))
+            commands.append(StopCommand(task.task_id, task.attempt, binding.stop_grace_s))
             binding.stop_sent = True
-    return orders, seen, seen_orphans
+    return commands, seen, seen_orphans
 
 
 def _take_exit(
     ledger: Ledger, binding: Binding | None, job_id: str, index: int, task: TaskStatus, now: float
-) -> list[dict[str, Any]]:
+) -> list[Command]:
     """A task that has exited, and the order that removes it from the heartbeats."""
     if binding is not None:
         _exited(ledger, binding, task, now)
     else:
         _late_exit(ledger, job_id, index, task, now)
     if _may_reap(ledger, job_id, index, task):
-        return [reap_order(task.task_id, task.attempt)]
+        return [ReapCommand(task.task_id, task.attempt)]
     return []
 
 
@@ -154,17 +155,17 @@
             ledger.release(binding, now, ReleaseReason.NEVER_STARTED)
 
 
-def _starts(ledger: Ledger, machine: Machine, most: int) -> list[dict[str, Any]]:
+def _starts(ledger: Ledger, machine: Machine, most: int) -> list[Command]:
     """Starts for what is bound to the machine and not seen on it yet."""
-    orders: list[dict[str, Any]] = []
+    commands: list[Command] = []
     held = ledger.confirmed_preconditions()
     held |= (MACHINE_REGISTERED if machine.registered else 0) | (
         TOKEN_ACCEPTED if machine.reconciled else 0
     )
     if not permits(Action.START, held):
-        return orders
+        return commands
     for binding in machine.bindings.values():
-        if binding.phase or binding.stop_grace_s is not None or len(orders) >= most:
+        if binding.phase or binding.stop_grace_s is not None or len(commands) >= most:
             continue
         if not wanted(binding):
             # Since it was bound its task was found done elsewhere, as one of a gang whose earlier
@@ -172,8 +173,8 @@
             ledger.request_stop(binding, 0.0)
         elif ledger.invariants.may_send_start(binding):
             binding.start_sends += 1
-            orders.append(start_order(binding.task_id, binding.attempt))
-    return orders
+            commands.append(StartCommand(binding.task_id, binding.attempt))
+    return commands
 
 
 def _image_seen(ledger: Ledger, binding: Binding) -> None:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -23,7 +23,7 @@
 from salthead.leader.zone_lease_delegations import ZoneLeaseDelegations
 from salthead.leases.leader_lease import LeaseClock
 from salthead.protocol import wire_names
-from salthead.protocol.messages import Heartbeat
+from salthead.protocol.messages import Command, Heartbeat, JobStatus
 from salthead.scheduling import gangs, placement, preemption
 from salthead.state_store import records
 from salthead.state_store.client import (
@@ -219,7 +219,7 @@
 
     # -- deciding -----------------------------------------------------------------------
 
-    def handle_heartbeat(self, heartbeat: Heartbeat) -> list[dict[str, Any]] | None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> list[Command] | None:
         """Commands for a worker; None if it must not be answered with 200."""
         return self.ledger.handle_heartbeat(heartbeat, self.now())
 
@@ -265,12 +265,12 @@
 
     # -- outcomes -----------------------------------------------------------------------
 
-    async def cancel(self, job_id: str) -> dict[str, Any] | None:
+    async def cancel(self, job_id: str) -> JobStatus | None:
         """Cancel a job; what its user is told, or None if there is no such job."""
         job = self.ledger.jobs.get(job_id) if self.ledger.loaded else None
         if job is None:
             found = await self.controller.job_reader.read(job_id)
-            if found is None or found["phase"] in (wire_names.DONE, wire_names.ABORTED):
+            if found is None or found.is_terminal:
                 return found
             row = await self.state_store.get(records.job_key(job_id))
             if row is None or not self.ledger.loaded:
@@ -291,7 +291,7 @@
         )
         if not self.permits(Action.CONFIRM_CANCELLATION, durable):
             raise UnansweredError("cancel in doubt")
-        return {"uid": job_id, "phase": job.terminal_phase or wire_names.ABORTED}
+        return JobStatus(job_id, job.terminal_phase or wire_names.ABORTED)
 
     # -- machines -----------------------------------------------------------------------
 
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -5,14 +5,14 @@
 import asyncio
 import contextlib
 from collections.abc import Iterator
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from salthead.cluster import machine_health
 from salthead.cluster.model import LOST, UP, Machine
 from salthead.failure_detection.preconditions import Action, Precondition
 from salthead.heartbeats.task_reconciliation import MAX_COMMANDS
 from salthead.protocol import wire_names
-from salthead.protocol.messages import Heartbeat, shape, stop_order
+from salthead.protocol.messages import Command, CommandRequest, Heartbeat, StopCommand, shape
 from salthead.scheduling import placement
 from salthead.state_store.client import RETRYABLE_ERRORS
 from salthead.transport.client import Answer, UnansweredError
@@ -33,10 +33,10 @@
         self.term = term
 
     async def _command(
-        self, machine: Machine, incarnation: int, orders: list[dict[str, Any]], timeout: float
+        self, machine: Machine, incarnation: int, commands: list[Command], timeout: float
     ) -> Answer:
         """POST /do under this term's token."""
-        body = {"baton": self.term.fencing_token, "tenure": incarnation, "orders": orders}
+        body = CommandRequest(self.term.fencing_token, incarnation, commands)
         sent = self.term.now()
         try:
             answer = await self.term.controller.workers.call(
@@ -70,7 +70,7 @@
         """Ask a machine of the machine registry directly: its worker may be waiting for a dead
         leader.
 
-        A call with our token and no orders makes the worker accept the token, after which no
+        A call with our token and no commands makes the worker accept the token, after which no
         command of an earlier leader is executed, and its answer shows what it runs.
         """
         incarnation = 1
@@ -196,7 +196,7 @@
         ):  # asked of each machine below
             return
         wanted, self.term.ledger.stops = self.term.ledger.stops, []
-        orders: dict[Machine, list[dict[str, Any]]] = {}
+        commands: dict[Machine, list[Command]] = {}
         for binding in wanted:
             machine = binding.machine
             if binding.stop_grace_s is None or binding.stop_sent or not binding.phase:
@@ -207,15 +207,15 @@
                 and (binding.phase != wire_names.FLUSHING or binding.stop_grace_s == 0.0)
             ):
                 binding.stop_sent = True
-                orders.setdefault(machine, []).append(
-                    stop_order(binding.task_id, binding.attempt, binding.stop_grace_s)
+                commands.setdefault(machine, []).append(
+                    StopCommand(binding.task_id, binding.attempt, binding.stop_grace_s)
                 )
-        for machine, stops in orders.items():
+        for machine, stops in commands.items():
             self.term.spawn(self.send(machine, stops[:MAX_COMMANDS]))
 
-    async def send(self, machine: Machine, orders: list[dict[str, Any]]) -> None:
+    async def send(self, machine: Machine, commands: list[Command]) -> None:
         """Send commands once; answers to the worker's heartbeats repeat them."""
         try:
-            await self._command(machine, machine.incarnation, orders, STOP_S)
+            await self._command(machine, machine.incarnation, commands, STOP_S)
         except UnansweredError as error:
             self.term.controller.log_throttled("direct stop", error)
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -152,16 +152,90 @@
     machines: list[str] = msgspec.field(name="saltlicks")
 
 
+class JobStatus(msgspec.Struct):
+    """What a user is told of a job. Answers that confirm a change name its phase alone."""
+
+    job_id: str = msgspec.field(name="uid")
+    phase: str
+    done: int | msgspec.UnsetType = msgspec.UNSET  # tasks
+    running: int | msgspec.UnsetType = msgspec.UNSET  # tasks
+    depends_on: list[str] | msgspec.UnsetType = msgspec.field(name="awaits", default=msgspec.UNSET)
+
+    @classmethod
+    def with_progress(
+        cls,
+        job_id: str,
+        phase: str,
+        done: int = 0,
+        running: int = 0,
+        depends_on: list[str] | None = None,
+    ) -> JobStatus:
+        """A status that counts tasks, and names unfinished dependencies if there are any."""
+        return cls(job_id, phase, done, running, depends_on or msgspec.UNSET)
+
+    @property
+    def is_terminal(self) -> bool:
+        """Whether the phase never changes any more."""
+        return self.phase in (wire_names.DONE, wire_names.ABORTED)
+
+
+class StartCommand(msgspec.Struct, frozen=True, tag_field="verb", tag=wire_names.START):
+    """Start a task."""
+
+    task_id: str = msgspec.field(name="piece")
+    attempt: int = msgspec.field(name="try")
+
+
+class StopCommand(msgspec.Struct, frozen=True, tag_field="verb", tag=wire_names.STOP):
+    """Stop a task, with the seconds that it has to save a checkpoint."""
+
+    task_id: str = msgspec.field(name="piece")
+    attempt: int = msgspec.field(name="try")
+    grace_s: float = msgspec.field(name="leeway_s")
+
+
+class ReapCommand(msgspec.Struct, frozen=True, tag_field="verb", tag=wire_names.REAP):
+    """Remove an exited task from heartbeats."""
+
+    task_id: str = msgspec.field(name="piece")
+    attempt: int = msgspec.field(name="try")
+
+
+Command = StartCommand | StopCommand | ReapCommand
+
+
+class HeartbeatAnswer(msgspec.Struct, frozen=True):
+    """The answer to a heartbeat: it renews the worker's lease and carries commands."""
+
+    fencing_token: int = msgspec.field(name="baton")
+    commands: list[Command] = msgspec.field(name="orders", default_factory=list)
+
+
+class LeaderRedirect(msgspec.Struct, frozen=True):
+    """421: the controller that leads, by its member name."""
+
+    leader: str = msgspec.field(name="herder")
+
+
+class ErrorAnswer(msgspec.Struct, frozen=True):
+    """Why a request was not done."""
+
+    error: str
+
+
+class CommandRequest(msgspec.Struct, frozen=True):
+    """POST /do: commands of a leader to a worker, for one incarnation of it."""
+
+    fencing_token: int = msgspec.field(name="baton")
+    incarnation: int = msgspec.field(name="tenure")
+    commands: list[Command] = msgspec.field(name="orders", default_factory=list)
+
+
 def encode(message: Any) -> bytes:
     """A body: structures become maps with their wire names."""
     return cbor2.dumps(msgspec.to_builtins(message))
 
 
-def encode_plain(message: dict[str, Any]) -> bytes:
-    """A body that holds maps, lists and plain values only."""
-    return cbor2.dumps(message)
-
-
 def decode_map(body: bytes) -> dict[str, Any]:
     """A body that has to be a map with text keys."""
     try:
@@ -260,32 +334,3 @@
     if not JOB_ID.match(job_id) or not number.isascii() or not number.isdigit():
         raise MalformedMessageError(f"piece: {text[:60]!r}")
     return job_id, int(number)
-
-
-def status_body(
-    job_id: str,
-    phase: str,
-    done: int = 0,
-    running: int = 0,
-    depends_on: list[str] | None = None,
-) -> dict[str, Any]:
-    """What users are told of a job."""
-    found: dict[str, Any] = {"uid": job_id, "phase": phase, "done": done, "running": running}
-    if depends_on:
-        found["awaits"] = depends_on
-    return found
-
-
-def start_order(task_id: str, attempt: int) -> dict[str, Any]:
-    """The command that starts a task."""
-    return {"verb": wire_names.START, "piece": task_id, "try": attempt}
-
-
-def stop_order(task_id: str, attempt: int, grace_s: float) -> dict[str, Any]:
-    """The command that stops a task, with the time that it has to save."""
-    return {"verb": wire_names.STOP, "piece": task_id, "try": attempt, "leeway_s": grace_s}
-
-
-def reap_order(task_id: str, attempt: int) -> dict[str, Any]:
-    """The command that removes an exited task from reports."""
-    return {"verb": wire_names.REAP, "piece": task_id, "try": attempt}
--- a/src/salthead/transport/http.py
+++ b/src/salthead/transport/http.py
@@ -15,6 +15,7 @@
 from typing import Any
 from urllib.parse import unquote
 
+import msgspec
 from tornado.httputil import (
     HTTPConnection,
     HTTPHeaders,
@@ -26,7 +27,7 @@
 from tornado.iostream import IOStream
 
 from salthead import metrics
-from salthead.protocol.messages import encode_plain
+from salthead.protocol.messages import encode
 from salthead.transport.connections import Connections
 
 log = logging.getLogger(__name__)
@@ -50,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A handler's answer: a map is sent as CBOR, bytes as they are."""
+    """A handler's answer: a message is sent as CBOR, bytes as they are."""
 
     status: int
-    body: dict[str, Any] | bytes
+    body: msgspec.Struct | dict[str, Any] | bytes
     content_type: str = CBOR
 
 
@@ -218,7 +219,7 @@
         return Reply(500, {"error": "internal"})
 
     def _write(self, label: str, reply: Reply) -> None:
-        payload = reply.body if isinstance(reply.body, bytes) else encode_plain(reply.body)
+        payload = reply.body if isinstance(reply.body, bytes) else encode(reply.body)
         if self.persistent:
             # Tornado takes an encoded head as well. For each reply, its own way checks every header
             # anew, though none of them varies but the length: a seventh of a heartbeat's time.
