--- /dev/null
+++ b/src/salthead/controller/context.py
@@ -0,0 +1,70 @@
+"""What all parts of one controller share: settings, clock, randomness and outgoing clients."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable
+
+from salthead import metrics
+from salthead.controller.socket_budget import SocketBudget
+from salthead.event_log import event
+from salthead.policy import Policy
+from salthead.protocol.messages import MachineType
+from salthead.settings import Settings
+from salthead.state_store.client import StateStore
+from salthead.transport.client import Caller
+
+log = logging.getLogger(__name__)
+
+LOG_THROTTLE_S = 10.0  # between log lines about one kind of error
+JITTER_RANGE = 0.8, 1.2
+
+
+class ControllerContext:
+    """Settings, clock, randomness and clients, for as long as the process lives."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        rng: random.Random,
+        now: Callable[[], float],
+        dial: Callable[[str, int], Caller],
+        policy: Policy,
+        state_store: StateStore | None = None,
+    ) -> None:
+        self.settings = settings
+        self.policy = policy
+        self.limits = settings.settings
+        self.rng = rng
+        self.now = now
+        # The limits of the state service that all requests keep to.
+        self.state_limits = self.limits.state.effective()
+        self.state_store = state_store or StateStore(
+            settings.endpoints.state,
+            self.state_limits.rps,
+            self.state_limits.write_rps,
+            now,
+            dial,
+        )
+        self.sockets = SocketBudget(self.limits.quota.max_connections, len(settings.seeds))
+        self.cloud = dial(settings.endpoints.cloud, SocketBudget.CLOUD)
+        self.peers = {
+            seed.member: dial(seed.endpoint, SocketBudget.PEER) for seed in settings.seeds
+        }
+        self.workers = dial("", self.sockets.workers)
+        self.machine_types: dict[str, MachineType] = {}  # by name; empty until they are known
+        self._last_logged_at: dict[str, float] = {}
+
+    def log_throttled(self, kind: str, error: object) -> None:
+        """Count an error, and log one of each kind every ``LOG_THROTTLE_S`` seconds."""
+        metrics.ERRORS.labels(kind).inc()
+        now = self.now()
+        if now - self._last_logged_at.get(kind, -1e9) > LOG_THROTTLE_S:
+            self._last_logged_at[kind] = now
+            event(log, "recoverable_error", logging.WARNING, kind=kind, error=error)
+
+    async def sleep_with_jitter(self, seconds: float) -> None:
+        """Sleep for about ``seconds``, so that controllers do not ask in step."""
+        await asyncio.sleep(seconds * self.rng.uniform(*JITTER_RANGE))
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -1,26 +1,36 @@
-"""What the two HTTP interfaces of a controller answer: users, workers and operators, and its
-peers."""
+"""The two HTTP interfaces of a controller: for users, workers and operators, and for its peers.
+
+All status codes are chosen here: the parts of the controller return typed answers or raise errors.
+"""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 
 from salthead import metrics
 from salthead.controller.controller import Controller
 from salthead.errors import InvalidJobError, UnavailableError
-from salthead.leader.peer_calls import LEADS_FIELD
+from salthead.event_log import event
 from salthead.leader.term import Term
 from salthead.protocol import wire_names
 from salthead.protocol.messages import (
     JOB_ID,
     ErrorAnswer,
     JobStatus,
+    LeaderRedirect,
     MalformedMessageError,
+    ReadyAnswer,
     decode_heartbeat,
-    decode_map,
     decode_submission,
 )
+from salthead.protocol.peer_messages import (
+    WithholdVoteAnswer,
+    decode_connectivity_query,
+    decode_job_query,
+    decode_withhold_vote,
+)
 from salthead.state_store.client import ConflictError, LeaseExpiredError, RequestRefusedError
 from salthead.transport.client import UnansweredError
 from salthead.transport.http import PrefixRoutes, Reply, Request, Route, Router
@@ -35,38 +45,43 @@
     LeaseExpiredError,
     ConflictError,
 )
-ERROR_TEXT_MAX = 200
+MAX_ERROR_TEXT = 200  # characters
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
 
 StatusLookup = Callable[[str], Awaitable[JobStatus | None]]
 
 
 def _error(status: int, reason: object) -> Reply:
-    return Reply(status, ErrorAnswer(str(reason)[:ERROR_TEXT_MAX]))
+    return Reply(status, ErrorAnswer(str(reason)[:MAX_ERROR_TEXT]))
 
 
 async def _job_reply(job_id: str, lookup: StatusLookup) -> Reply:
     """The answer on a job that exists, is unknown, or can't be told now."""
     if not JOB_ID.match(job_id):
-        return _error(404, "no such job")
+        return _error(HTTPStatus.NOT_FOUND, "no such job")
     try:
         found = await lookup(job_id)
     except UNDECIDED_ERRORS as error:
-        return _error(503, error)
-    return _error(404, "no such job") if found is None else Reply(200, found)
+        return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
+    return (
+        _error(HTTPStatus.NOT_FOUND, "no such job")
+        if found is None
+        else Reply(HTTPStatus.OK, found)
+    )
 
 
 async def _submit_reply(controller: Controller, request: Request, forwarded: bool) -> Reply:
     try:
         submission = decode_submission(request.body, forwarded)
-        return Reply(*await controller.submit(submission, forwarded))
+        status, created = await controller.submissions.submit(submission, forwarded)
     except MalformedMessageError as error:
-        log.info("submission refused: %s", error)
-        return _error(400, error)
+        event(log, "submission_refused", error=error)
+        return _error(HTTPStatus.BAD_REQUEST, error)
     except InvalidJobError as error:
-        return _error(422, error)
+        return _error(HTTPStatus.UNPROCESSABLE_ENTITY, error)
     except UNDECIDED_ERRORS as error:
-        return _error(503, error)
+        return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
+    return Reply(HTTPStatus.CREATED if created else HTTPStatus.OK, status)
 
 
 class ClientHandlers:
@@ -101,18 +116,24 @@
             heartbeat = decode_heartbeat(request.body)
         except MalformedMessageError as error:
             self.controller.log_throttled("report", error)
-            return _error(400, error)
+            return _error(HTTPStatus.BAD_REQUEST, error)
         if request.connections is not None and request.stream is not None:
             request.connections.heartbeat_received(
                 heartbeat.worker, (heartbeat.incarnation, heartbeat.sequence), request.stream
             )
-        return Reply(*self.controller.handle_heartbeat(heartbeat, request.remote_ip))
+        try:
+            answer = self.controller.heartbeats.handle(heartbeat, request.remote_ip)
+        except UnavailableError as error:
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
+        if isinstance(answer, LeaderRedirect):
+            return Reply(HTTPStatus.MISDIRECTED_REQUEST, answer)
+        return Reply(HTTPStatus.OK, answer)
 
     def up(self, request: Request) -> Reply:
         """GET /up: whether this controller can take requests."""
         if self.controller.up():
-            return Reply(200, {"up": True})
-        return _error(503, "machine types not known, or cut off")
+            return Reply(HTTPStatus.OK, ReadyAnswer(up=True))
+        return _error(HTTPStatus.SERVICE_UNAVAILABLE, "machine types not known, or cut off")
 
     async def submit(self, request: Request) -> Reply:
         """POST /work: a new job, or a repeated submission of one."""
@@ -120,25 +141,25 @@
 
     def poll(self, request: Request) -> Reply | Awaitable[Reply]:
         """GET /work/ID: a job's status, from memory where that is certain."""
-        status = self.controller.status_in_memory(request.parameter)
+        status = self.controller.job_status.in_memory(request.parameter)
         if status is not None:
-            return Reply(200, status)
-        return _job_reply(request.parameter, self.controller.poll)
+            return Reply(HTTPStatus.OK, status)
+        return _job_reply(request.parameter, self.controller.job_status.poll)
 
     async def cancel(self, request: Request) -> Reply:
         """POST /work/ID/cancel."""
-        return await _job_reply(request.parameter, self.controller.cancel)
+        return await _job_reply(request.parameter, self.controller.job_status.cancel)
 
     async def overview(self, request: Request) -> Reply:
         """GET /overview: queue and fleet, for operators."""
         try:
-            return Reply(200, await self.controller.overview())
+            return Reply(HTTPStatus.OK, await self.controller.overview())
         except UNDECIDED_ERRORS as error:
-            return _error(503, error)
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
 
     def metrics(self, request: Request) -> Reply:
         """GET /metrics, in the Prometheus text format."""
-        return Reply(200, metrics.exposition(), METRICS_CONTENT_TYPE)
+        return Reply(HTTPStatus.OK, metrics.exposition(), METRICS_CONTENT_TYPE)
 
 
 class PeerHandlers:
@@ -178,9 +199,9 @@
         return self._as_leader(request, self._cancel)
 
     def _poll(self, term: Term, job_id: str) -> Reply | Awaitable[Reply]:
-        status = self.controller.status_in_term(term, job_id)
+        status = self.controller.job_status.in_term(term, job_id)
         if status is not None:
-            return Reply(200, status)
+            return Reply(HTTPStatus.OK, status)
         return _job_reply(job_id, self.controller.job_reader.read)
 
     @staticmethod
@@ -191,34 +212,35 @@
         self, request: Request, act: Callable[[Term, str], Reply | Awaitable[Reply]]
     ) -> Reply | Awaitable[Reply]:
         try:
-            job_id = str(decode_map(request.body).get("uid"))
+            job_id = decode_job_query(request.body)
         except MalformedMessageError as error:
-            return _error(400, error)
+            return _error(HTTPStatus.BAD_REQUEST, error)
         term = self.controller.leading()
         if term is None:
-            return _error(503, "not the leader")
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "not the leader")
         return act(term, job_id)
 
     async def withhold_vote(self, request: Request) -> Reply:
-        """Another controller leads and lost the state service: whether this one will not stand."""
+        """A leader lost the state service: whether this controller does not campaign."""
         try:
-            member = str(decode_map(request.body).get("member"))
+            member = decode_withhold_vote(request.body)
         except MalformedMessageError as error:
-            return _error(400, error)
-        given = await self.controller.withhold_vote(member)
-        return Reply(200 if given else 409, {"promise": given})
+            return _error(HTTPStatus.BAD_REQUEST, error)
+        withheld = await self.controller.election.withhold_vote(member)
+        status = HTTPStatus.OK if withheld else HTTPStatus.CONFLICT
+        return Reply(status, WithholdVoteAnswer(withheld))
 
     def redirected(self, request: Request) -> Reply:
-        """How many workers came here although another controller leads."""
+        """What this controller reaches, and which workers it redirected."""
         try:
-            asked = decode_map(request.body) if request.body else {}
+            to_leader = decode_connectivity_query(request.body)
         except MalformedMessageError as error:
-            return _error(400, error)
-        return Reply(200, self.controller.connectivity_report(asked.get(LEADS_FIELD) is True))
+            return _error(HTTPStatus.BAD_REQUEST, error)
+        return Reply(HTTPStatus.OK, self.controller.connectivity.report(to_leader))
 
     def overview(self, request: Request) -> Reply:
         """The operators' view, forwarded to the leader."""
         term = self.controller.leading()
         if term is None:
-            return _error(503, "not the leader")
-        return Reply(200, term.views.overview())
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "not the leader")
+        return Reply(HTTPStatus.OK, term.views.overview())
--- /dev/null
+++ b/src/salthead/controller/job_status.py
@@ -0,0 +1,99 @@
+"""What users are told of a job, and its cancellation, by whichever controller they ask."""
+
+from __future__ import annotations
+
+from salthead.controller.job_cache import JobCache
+from salthead.controller.job_reader import JobReader
+from salthead.controller.leader_calls import LeaderCalls
+from salthead.controller.leader_view import LeaderView
+from salthead.errors import UnavailableError
+from salthead.failure_detection.preconditions import Action, Precondition, permits
+from salthead.leader.term import Term
+from salthead.protocol import wire_names
+from salthead.protocol.messages import JobStatus
+
+MAX_LISTED_DEPENDENCIES = 20
+STATUS_TIMEOUT_S, CANCEL_TIMEOUT_S = 0.8, 3.0  # of calls to the leader
+OUTCOMES_DETERMINATE = int(Precondition.OUTCOMES_DETERMINATE)
+
+
+class JobStatusService:
+    """Answers from memory where that is certain, else asks the leader, else reads the records."""
+
+    def __init__(
+        self,
+        leader_view: LeaderView,
+        job_cache: JobCache,
+        job_reader: JobReader,
+        leader_calls: LeaderCalls,
+    ) -> None:
+        self.leader_view = leader_view
+        self.job_cache = job_cache
+        self.job_reader = job_reader
+        self.leader_calls = leader_calls
+
+    @staticmethod
+    def _progress(term: Term, job_id: str) -> JobStatus:
+        ledger = term.ledger
+        return JobStatus.with_progress(
+            job_id,
+            *ledger.phase_of(ledger.jobs[job_id]),
+            depends_on=ledger.unfinished_dependencies(job_id, MAX_LISTED_DEPENDENCIES),
+        )
+
+    def in_term(self, term: Term, job_id: str) -> JobStatus | None:
+        """A job's status as this controller's term knows it; None where only a read can tell."""
+        job = term.ledger.jobs.get(job_id)
+        if job is None:
+            return None
+        held = term.ledger.confirmed_preconditions()
+        unresolved = (
+            job.blocked_on_dependencies
+            and term.ledger.dependency_graph.has_unresolved_dependency(job_id)
+        )
+        if not unresolved and not term.outcomes.is_indeterminate(job):
+            held |= OUTCOMES_DETERMINATE
+        return self._progress(term, job_id) if permits(Action.REPORT_STATUS, held) else None
+
+    def in_memory(self, job_id: str) -> JobStatus | None:
+        """A job's status where this controller can tell it without asking anybody, else None."""
+        outcome = self.job_cache.terminal_outcomes.get(job_id)
+        if outcome is not None:
+            return outcome.status(job_id)
+        term = self.leader_view.leading()
+        return None if term is None else self.in_term(term, job_id)
+
+    async def as_leader(self, term: Term, job_id: str) -> JobStatus | None:
+        """A job's status at the leader; None when it was never accepted."""
+        return self.in_term(term, job_id) or await self.job_reader.read(job_id)
+
+    async def poll(self, job_id: str) -> JobStatus | None:
+        """A job's status; None when it was never accepted."""
+        status = self.in_memory(job_id)
+        if status is None and self.leader_view.leading() is None:
+            status = await self.leader_calls.job_status(
+                wire_names.PEER_STATUS_PATH, job_id, STATUS_TIMEOUT_S
+            )
+        return status if status is not None else await self.job_reader.read(job_id)
+
+    async def cancel(self, job_id: str) -> JobStatus | None:
+        """Cancel a job; None when it was never accepted.
+
+        UnavailableError where the leader, which alone may decide it, does not answer.
+        """
+        outcome = self.job_cache.terminal_outcomes.get(job_id)
+        if outcome is not None:
+            return JobStatus(job_id, outcome.phase)
+        term = self.leader_view.leading()
+        if term is not None:
+            return await term.cancel(job_id)
+        status = await self.leader_calls.job_status(
+            wire_names.PEER_CANCEL_PATH, job_id, CANCEL_TIMEOUT_S
+        )
+        if status is not None:
+            return status
+        # What is decided, or unknown, anyone can read.
+        status = await self.job_reader.read(job_id)
+        if status is None or status.is_terminal:
+            return status
+        raise UnavailableError("no leader")
--- /dev/null
+++ b/src/salthead/controller/leader_calls.py
@@ -0,0 +1,58 @@
+"""What a controller that does not lead asks the leader on behalf of users and operators."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from salthead.controller.context import ControllerContext
+from salthead.controller.job_cache import JobCache
+from salthead.controller.leader_view import LeaderView
+from salthead.errors import UnavailableError
+from salthead.protocol import wire_names
+from salthead.protocol.messages import JobStatus, MalformedMessageError, shape
+from salthead.protocol.peer_messages import JobQuery
+from salthead.transport.client import Answer, UnansweredError
+
+OVERVIEW_TIMEOUT_S = 2.0
+
+
+class LeaderCalls:
+    """Calls to the controller that leads, as far as this one knows."""
+
+    def __init__(
+        self, context: ControllerContext, leader_view: LeaderView, job_cache: JobCache
+    ) -> None:
+        self.context = context
+        self.leader_view = leader_view
+        self.job_cache = job_cache
+
+    async def job_status(self, path: str, job_id: str, timeout: float) -> JobStatus | None:
+        """Ask the leader about a job, or to cancel it; None if it does not answer usefully."""
+        peer = self.context.peers.get(self.leader_view.member or "")
+        if peer is None:
+            return None
+        try:
+            answer = await peer.call("POST", path, JobQuery(job_id), timeout=timeout)
+            status = self._status_in(answer)
+        except (UnansweredError, MalformedMessageError) as error:
+            self.context.log_throttled("leader", error)
+            return None
+        if status is None or status.job_id != job_id:
+            return None
+        if status.is_terminal:
+            self.job_cache.remember_outcome(job_id, status.phase, status.done or 0)
+        return status
+
+    @staticmethod
+    def _status_in(answer: Answer) -> JobStatus | None:
+        return shape(answer.body, JobStatus) if answer.status == 200 else None
+
+    async def overview(self) -> dict[str, Any]:
+        """The leader's view of queue and fleet; UnavailableError if it gives none."""
+        peer = self.context.peers.get(self.leader_view.member or "")
+        if peer is None:
+            raise UnavailableError("no leader")
+        answer = await peer.call("POST", wire_names.PEER_OVERVIEW_PATH, timeout=OVERVIEW_TIMEOUT_S)
+        if answer.status != 200:
+            raise UnavailableError("no leader")
+        return answer.body
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -223,6 +223,12 @@
     error: str
 
 
+class ReadyAnswer(msgspec.Struct, frozen=True):
+    """GET /up: this controller takes requests."""
+
+    up: bool
+
+
 class CommandRequest(msgspec.Struct, frozen=True):
     """POST /do: commands of a leader to a worker, for one incarnation of it."""
 
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -173,12 +173,12 @@
         self.endpoints = [free_endpoint() for _ in range(4)]
         self.leader = self._controller("n0", "n1", self.endpoints[3])
         self.follower = self._controller("n1", "n0", self.endpoints[1])
-        self.follower.leader = "n0"
+        self.follower.leader_view.member = "n0"
         self.term = Term(self.leader, FENCING_TOKEN, 1, 1, LeaseClock(LEASE_S))
         self.term.clock.renewed(self.leader.now())
         self.ledger = self.term.ledger
         fill(self.ledger, machines, self.leader.now())
-        self.leader.term, self.leader.leader = self.term, "n0"
+        self.leader.leader_view.term, self.leader.leader_view.member = self.term, "n0"
         for controller, first in ((self.leader, 0), (self.follower, 2)):
             listen(controller, ClientHandlers(controller).router(), self.endpoints[first])
             listen(controller, PeerHandlers(controller).router(), self.endpoints[first + 1])
@@ -187,9 +187,12 @@
     def _controller(member: str, other: str, other_endpoint: str) -> Controller:
         own = settings(member, (other,))
         own.seeds[0].endpoint = other_endpoint
-        controller = Controller(own, random.Random(1))
-        controller.state_store = Rows()  # type: ignore[assignment]
-        controller.machine_types = {machine_type.name: machine_type for machine_type in FLAVORS}
+        controller = Controller(
+            own,
+            random.Random(1),
+            state_store=Rows(),  # type: ignore[arg-type]
+        )
+        controller.machine_types.update({found.name: found for found in FLAVORS})
         return controller
 
     def of_work(self, work: Callable[[], Any], times: int = 1) -> Cost:
