--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from helpers import LIMITS
+from builders.platform import LIMITS
 from salthead.protocol.messages import Submission
 from standins.jobs import Jobs, job_id_of
 from standins.worker import Worker
--- a/tests/standins/state_service.py
+++ b/tests/standins/state_service.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from helpers import LIMITS
+from builders.platform import LIMITS
 from salthead.transport.client import Answer
 
 WATCH_INTERVAL_S = 0.05
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sized
 from typing import Any, Protocol
 
-from helpers import LIMITS
+from builders.platform import LIMITS
 from salthead.protocol.messages import encode
 from salthead.transport.client import UnansweredError
 
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import production
-from helpers import settings
+from builders.platform import settings
 from salthead.policy import NO_POLICY, Policy
 from standins.network import FakeCaller, Network
 
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from helpers import LIMITS
+from builders.platform import LIMITS
 from history import History, Present
 from standins import Worker, World
 
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -32,7 +32,9 @@
 if importlib.util.find_spec("salthead") is None:
     sys.path[:0] = [str(ROOT / "target" / "deps"), str(ROOT / "src"), str(ROOT / "tests")]
 
-from helpers import FLAVORS, given, heartbeat, machine, settings, spec  # noqa: E402
+from builders.ledgers import add_machine, heartbeat  # noqa: E402
+from builders.platform import MACHINE_TYPES, settings  # noqa: E402
+from builders.submissions import submission, submission_fields  # noqa: E402
 from salthead.autoscaling import fleet_plan  # noqa: E402
 from salthead.cluster.ledger import Ledger  # noqa: E402
 from salthead.controller.controller import Controller  # noqa: E402
@@ -132,14 +134,14 @@
 
 def fill(ledger: Ledger, machines: int, now: float) -> None:
     """Allocate a whole fleet, with a queue of pending jobs; each machine has shown what it runs."""
-    ledger.set_machine_types(FLAVORS)
+    ledger.set_machine_types(MACHINE_TYPES)
     ledger.loaded = ledger.ready = True
     ledger.team_limits = [(1e9, 1e9) for _ in ledger.team_limits]
     for n in range(machines):
-        machine(ledger, f"m{n}", now, zone=("north", "south")[n % 2])
+        add_machine(ledger, f"m{n}", now, zone=("north", "south")[n % 2])
     for n in range(QUEUED_JOBS):
         ledger.add_job(
-            spec(job_id=f"req-{n}", task_count=machines, vcpus=2.0, estimated_run_s=50.0), now
+            submission(job_id=f"req-{n}", task_count=machines, vcpus=2.0, estimated_run_s=50.0), now
         )
     placement.schedule(ledger, random.Random(1), now)
     for name in ledger.machines:
@@ -189,7 +191,9 @@
         own.seeds[0].endpoint = other_endpoint
         controller = Controller(own, random.Random(1))
         controller.state_store = FakeStateStore()  # type: ignore[assignment]
-        controller.machine_types = {machine_type.name: machine_type for machine_type in FLAVORS}
+        controller.machine_types = {
+            machine_type.name: machine_type for machine_type in MACHINE_TYPES
+        }
         return controller
 
     def of_work(self, work: Callable[[], Any], times: int = 1) -> Cost:
@@ -235,7 +239,11 @@
     async def of_submissions(self) -> Cost:
         """Of new jobs."""
         requests: list[HttpRequest] = [
-            ("POST", wire_names.JOBS_PATH, encode(given(spec(job_id=f"req-{9000 + n}"))))
+            (
+                "POST",
+                wire_names.JOBS_PATH,
+                encode(submission_fields(submission(job_id=f"req-{9000 + n}"))),
+            )
             for n in range(REQUESTS)
         ]
         return await self.of_requests(self.endpoints[0], requests, 201)
@@ -256,7 +264,7 @@
         def submit_all() -> None:
             for n in range(BURST_JOBS):
                 self.ledger.add_job(
-                    spec(job_id=f"req-{5000 + n}", task_count=BURST_TASKS), now, True
+                    submission(job_id=f"req-{5000 + n}", task_count=BURST_TASKS), now, True
                 )
             self.term.decide(now)
 
@@ -280,7 +288,7 @@
         """The next leader hears every machine with its tasks, and has read every job."""
         now = self.leader.now()
         new = Ledger(self.leader.limits, FENCING_TOKEN + 1, now)
-        new.set_machine_types(FLAVORS)
+        new.set_machine_types(MACHINE_TYPES)
         heartbeats = [
             shown(self.ledger, name, 60, fencing_token=FENCING_TOKEN + 1)
             for name in self.ledger.machines
@@ -288,8 +296,8 @@
         specs = [job.spec for job in self.ledger.jobs.values()]
 
         def fail_over() -> None:
-            for submission in specs:
-                new.add_job(submission, now)
+            for spec in specs:
+                new.add_job(spec, now)
             for one in heartbeats:
                 new.add_machine(one.worker, one.machine_type, one.zone, False, now, registered=True)
             new.loaded = True
