--- a/src/salthead/state_store/__init__.py
+++ b/src/salthead/state_store/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in the state service, and how it is written there."""
+"""The client of the state service, and the records that are stored there."""
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -1,4 +1,4 @@
-"""The state service, spoken to by its protocol."""
+"""Client of the state service: transactions, leases and watches on versioned keys."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 
 class VersionedValue(NamedTuple):
-    """A value of the state service, with the revision at which it was last written."""
+    """A stored value and the revision of its last write."""
 
     value: Any
     revision: int
 
 
 class RequestRefusedError(SaltheadError):
-    """The state service answered, and did not execute the request."""
+    """The state service answered the request but did not execute it."""
 
-    def __init__(self, status: int, what: str) -> None:
-        super().__init__(f"{status} {what}")
+    def __init__(self, status: int, operation: str) -> None:
+        super().__init__(f"{status} {operation}")
         self.status = status
 
 
 class ConflictError(SaltheadError):
-    """A condition of a transaction did not hold."""
+    """A compare-and-swap condition of a transaction did not hold."""
 
-    def __init__(self, failed: list[str]) -> None:
-        super().__init__(f"conditions failed: {failed}")
-        self.failed = failed
+    def __init__(self, failed_keys: list[str]) -> None:
+        super().__init__(f"conditions failed: {failed_keys}")
+        self.failed = failed_keys
 
 
 class LeaseExpiredError(SaltheadError):
-    """The lease has ended."""
+    """The lease has expired or was revoked."""
 
 
 class CompactedError(SaltheadError):
-    """The change log no longer reaches back that far."""
+    """The change log no longer holds the epoch that a watch asked for."""
 
 
-# What a loop that talks to the outside notes and tries again after.
+# Errors that background loops log before they retry.
 RETRYABLE_ERRORS = (
     RequestRefusedError,
     UnansweredError,
@@ -56,7 +56,7 @@
 
 
 class Put(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A change of a transaction that sets a key, tied to a lease if one is named."""
+    """A change that sets a key; with a lease, the key is removed when the lease ends."""
 
     key: str = msgspec.field(name="set")
     value: Any
@@ -64,7 +64,7 @@
 
 
 class Delete(msgspec.Struct, frozen=True):
-    """A change of a transaction that removes a key."""
+    """A change that removes a key."""
 
     key: str = msgspec.field(name="drop")
 
@@ -73,31 +73,31 @@
 
 
 def put(key: str, value: Any, lease_id: int | None = None) -> Put:
-    """A change that sets a key, tied to a lease if one is named."""
+    """Return a change that sets a key, attached to a lease if one is given."""
     return Put(key, value, lease_id)
 
 
 def delete(key: str) -> Delete:
-    """A change that removes a key."""
+    """Return a change that removes a key."""
     return Delete(key)
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """A key has this revision; 0 if there is no such key."""
+    """A revision that a key must have; 0 requires that the key does not exist."""
 
     key: str = msgspec.field(name="path")
     revision: int = msgspec.field(name="stamp")
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """POST /txn: changes that are made if all conditions hold."""
+    """The body of POST /txn: changes that are applied atomically if all conditions hold."""
 
     conditions: list[Condition] = msgspec.field(name="when")
     changes: list[Change] = msgspec.field(name="apply")
 
 
 class ListedRow(msgspec.Struct):
-    """A row of a list of keys."""
+    """One key in the answer to a list request."""
 
     key: str = msgspec.field(name="path")
     revision: int = msgspec.field(name="stamp")
@@ -105,7 +105,7 @@
 
 
 class LoggedChange(msgspec.Struct):
-    """An entry of the change log; ``key`` is None for one that removes a key."""
+    """An entry of the change log; ``key`` is None if the entry removes a key."""
 
     key: str | None = msgspec.field(name="set", default=None)
     value: Any = None
@@ -113,11 +113,11 @@
 
 
 def logged_change(entry: Any) -> LoggedChange:
-    """An entry of the change log; MalformedMessageError if it is none."""
+    """Decode an entry of the change log; raises MalformedMessageError if it is malformed."""
     return shape(entry, LoggedChange)
 
 
-def _int(body: dict[str, Any], name: str) -> int:
+def _required_int(body: dict[str, Any], name: str) -> int:
     value = body.get(name)
     if type(value) is not int:
         raise UnansweredError(f"state service: {name} missing")
@@ -125,8 +125,9 @@
 
 
 class StateStore:
-    """Calls to the state service, within the limits that its settings name."""
+    """Client of the state service, within its connection and rate limits."""
 
+    # Concurrent connections of each kind.
     URGENT, BULK, WATCHES = 4, 8, 4
     SLOTS = URGENT + BULK + WATCHES
 
@@ -138,63 +139,66 @@
         now: Callable[[], float],
         dial: Callable[[str, int], HttpClient] = HttpClient,
     ) -> None:
-        # Leases have slots and a budget of their own: they never queue behind bulk work.
+        # Lease calls have their own connections and wait for no token bucket, so that they never
+        # queue behind bulk requests.
         self.urgent = dial(endpoint, self.URGENT)
         self.bulk = dial(endpoint, self.BULK)
         self.watches = dial(endpoint, self.WATCHES)
-        # Half of what all controllers together may ask is left for the others and for leases.
+        # About half of the service's limits, which all controllers share, is left for the other
+        # controllers and for lease calls.
         self.reads = TokenBucket(rps * 0.4, rps * 0.3, now)
         self.writes = TokenBucket(write_rps * 0.5, write_rps * 0.5, now)
-        # The machine registry and done tasks: submissions and outcomes never wait behind them.
+        # Writes of the machine registry and of done tasks have a bucket of their own, so that
+        # submissions and outcomes never wait behind them.
         self.bulk_writes = TokenBucket(write_rps * 0.25, write_rps * 0.5, now)
         self.now = now
-        self.last_response_at = -1e9  # when the service last did something for this controller
+        self.last_response_at = -1e9  # when the service last executed a request of this controller
 
-    def _check(self, answer: Answer, what: str, *expected: int) -> Answer:
+    def _check_status(self, answer: Answer, operation: str, *expected: int) -> Answer:
         if answer.status in expected:
             self.last_response_at = self.now()
             return answer
-        raise RequestRefusedError(answer.status, what)
+        raise RequestRefusedError(answer.status, operation)
 
     async def get(
         self, key: str, timeout: float = 1.5, urgent: bool = False
     ) -> VersionedValue | None:
-        """One value and its revision, or None if there is no such key."""
+        """Return a key's value and revision, or None if the key does not exist."""
         if not urgent:
             await self.reads.wait()
-        caller = self.urgent if urgent else self.bulk
-        answer = await caller.call("GET", f"{wire_names.KEYS_PATH}/{key}", timeout=timeout)
-        self._check(answer, key, 200, 404)
+        client = self.urgent if urgent else self.bulk
+        answer = await client.call("GET", f"{wire_names.KEYS_PATH}/{key}", timeout=timeout)
+        self._check_status(answer, key, 200, 404)
         if answer.status == 404:
             return None
-        return VersionedValue(answer.body.get("value"), _int(answer.body, "stamp"))
+        return VersionedValue(answer.body.get("value"), _required_int(answer.body, "stamp"))
 
     async def list_prefix(self, prefix: str) -> tuple[dict[str, VersionedValue], int]:
-        """All rows below a prefix, and the epoch from which to watch for what changes after.
+        """Return all keys with a prefix, and the epoch from which to watch for later changes.
 
-        Pages are read one after the other; the first page's epoch is returned, so that a
-        watch from there repeats changes rather than missing any.
+        The list is read in pages. The epoch is that of the first page, so that a watch from
+        there may repeat changes but misses none.
         """
         rows: dict[str, VersionedValue] = {}
         start = ""
-        first: int | None = None
+        first_epoch: int | None = None
         while True:
             await self.reads.wait()
             query: dict[str, Any] = {"prefix": prefix, "most": 500}
             if start:
                 query["from"] = start
-            answer = self._check(
+            answer = self._check_status(
                 await self.bulk.call("GET", wire_names.KEYS_PATH, query=query, timeout=3.0),
                 prefix,
                 200,
             )
-            if first is None:
-                first = _int(answer.body, "epoch")
+            if first_epoch is None:
+                first_epoch = _required_int(answer.body, "epoch")
             for row in shape(answer.body.get("rows") or [], list[ListedRow]):
                 rows[row.key] = VersionedValue(row.value, row.revision)
                 start = row.key
             if not answer.body.get("truncated"):
-                return rows, first
+                return rows, first_epoch
 
     async def transaction(
         self,
@@ -204,52 +208,54 @@
         urgent: bool = False,
         bulk: bool = False,
     ) -> int:
-        """Make changes on condition of revisions; the epoch after that.
+        """Apply changes if the keys have the given revisions, and return the new epoch.
 
-        ConflictError if a condition fails, LeaseExpiredError if a lease of a change is over.
+        Raises ConflictError if a condition fails, and LeaseExpiredError if the lease of a change
+        has ended.
         """
         if not urgent:
             await (self.bulk_writes if bulk else self.writes).wait(len(changes))
-        caller = self.urgent if urgent else self.bulk
+        client = self.urgent if urgent else self.bulk
         body = Transaction(
             [Condition(key, revision) for key, revision in conditions.items()], list(changes)
         )
-        answer = await caller.call("POST", wire_names.TRANSACTIONS_PATH, body, timeout=timeout)
+        answer = await client.call("POST", wire_names.TRANSACTIONS_PATH, body, timeout=timeout)
         if answer.status == 400 and "lease" in str(answer.body.get("error", "")):
             raise LeaseExpiredError("txn")
-        self._check(answer, "txn", 200, 409)
+        self._check_status(answer, "txn", 200, 409)
         if answer.status == 409:
             raise ConflictError([str(key) for key in answer.body.get("failed") or []])
-        return _int(answer.body, "epoch")
+        return _required_int(answer.body, "epoch")
 
     async def grant_lease(self, ttl_s: float, timeout: float = 1.5) -> int:
-        """A new lease; its number."""
+        """Create a lease and return its id."""
         answer = await self.urgent.call(
             "POST", wire_names.LEASES_PATH, {"ttl_ms": round(ttl_s * 1000)}, timeout=timeout
         )
-        self._check(answer, "grant", 200)
-        return _int(answer.body, "tether")
+        self._check_status(answer, "grant", 200)
+        return _required_int(answer.body, "tether")
 
     async def renew_lease(self, lease_id: int, timeout: float) -> None:
-        """Renew a lease; LeaseExpiredError if it has ended."""
+        """Renew a lease; raises LeaseExpiredError if it has ended."""
         answer = await self.urgent.call(
             "POST", f"{wire_names.LEASES_PATH}/{lease_id}/extend", timeout=timeout
         )
-        self._check(answer, "extend", 200, 404)
+        self._check_status(answer, "extend", 200, 404)
         if answer.status == 404:
             raise LeaseExpiredError("extend")
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease at once."""
+        """Revoke a lease."""
         answer = await self.urgent.call(
             "DELETE", f"{wire_names.LEASES_PATH}/{lease_id}", timeout=1.0
         )
-        self._check(answer, "end", 200, 404)
+        self._check_status(answer, "end", 200, 404)
 
     async def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Any], int]:
-        """Changes below a prefix since an epoch, and the epoch up to which they are known.
+        """Return the changes of keys with a prefix since an epoch, and the epoch that they reach.
 
-        The changes are as they came: ``logged_change`` decodes one.
+        The entries are not decoded yet; ``logged_change`` decodes one. Raises CompactedError if
+        the change log no longer holds that epoch.
         """
         answer = await self.watches.call(
             "GET",
@@ -259,5 +265,5 @@
         )
         if answer.status == 410:
             raise CompactedError(prefix)
-        self._check(answer, prefix, 200)
-        return shape(answer.body.get("log") or [], list[Any]), _int(answer.body, "epoch")
+        self._check_status(answer, prefix, 200)
+        return shape(answer.body.get("log") or [], list[Any]), _required_int(answer.body, "epoch")
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -1,9 +1,9 @@
-"""Many small items in a few values of the state service.
+"""Packing of many small items into a few values of the state service.
 
-Each change of a key counts against the service's limit, however small the value. The machine
-registry of a few hundred machines and the done tasks of a hundred jobs, written key by key, would
-take longer than the fleet takes to boot, and hold up submissions and outcomes meanwhile. Packed
-into values of nearly the permitted size, they take a few changes.
+Each changed key counts against the service's rate limit, however small its value. Written key by
+key, the registry of a few hundred machines and the done tasks of a hundred jobs would take longer
+than the fleet takes to boot, and would delay submissions and outcomes meanwhile. Packed into values
+of nearly the permitted size, they take a few changes.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 from salthead.protocol.messages import MalformedMessageError
 
-# Of a value's permitted size, what is used: the rest is for separators and for growth in place.
+# Share of a value's permitted size that is filled; the rest is for separators and growth in place.
 FILL_SHARE = 0.8
 
 
 class PageContent(NamedTuple):
-    """The items of a page, and its count of changes at the time."""
+    """The items of a page, and the page's change count when they were copied."""
 
-    changes: int
+    change_count: int
     items: dict[str, Any]
 
 
-PageBatch = dict[int, PageContent]  # by the number of the page
+PageBatch = dict[int, PageContent]  # by page number
 
 
 class Pages:
-    """Items by name on numbered pages, one page a value. Loading a page twice harms nothing.
+    """Named items on numbered pages, each of which is one stored value. Loading is idempotent.
 
-    A loaded page may be larger than what is permitted now: it was written before the limit was
-    lowered, and can be read, but not be written again. When it changes, it moves items to other
-    pages first, or the service would refuse it for ever.
+    A loaded page may exceed the permitted size if it was written before the limit was lowered. It
+    can be read, but the service would refuse every write of it, so when it changes, items are moved
+    to other pages first.
     """
 
     def __init__(self, prefix: str, value_kb: float) -> None:
@@ -43,14 +43,16 @@
         self.pages: dict[int, dict[str, Any]] = {}
         self.sizes: dict[int, int] = {}
         self.page_of: dict[str, int] = {}
-        self.changes: dict[int, int] = {}  # of each page, to tell what a write covered
-        self.dirty: dict[int, None] = {}  # pages that the service does not have, in order
-        # A write names the revision of the page that it replaces: one that was given up on and is
-        # carried out late must not put an older page over a newer one.
+        # By page: how often it has changed, to find out whether it changed during a write.
+        self.change_counts: dict[int, int] = {}
+        self.dirty: dict[int, None] = {}  # pages to be written, in order
+        # By page: the revision that a write replaces, so that a request that timed out here but is
+        # executed late can't overwrite a newer page.
         self.revisions: dict[int, int] = {}
-        # Pages that an item has moved to, by the page that it left: they are written no later.
+        # By page that items have left: the pages that they moved to, which are written in the same
+        # transaction or earlier.
         self.written_first: dict[int, set[int]] = {}
-        self.duplicates: set[str] = set()  # names that were found on more than one page
+        self.duplicates: set[str] = set()  # names that were loaded from more than one page
 
     @staticmethod
     def _size(name: str, item: Any) -> int:
@@ -60,7 +62,7 @@
             raise MalformedMessageError(f"item {name[:60]!r}") from error
 
     def load(self, key: str, value: Any, revision: int) -> None:
-        """A page as it stands in the service."""
+        """Load a stored page; ignores a value that is not a page."""
         tail = key.removeprefix(self.prefix)
         if not tail.isdigit() or type(value) is not dict:
             return
@@ -70,12 +72,13 @@
         for name, item in value.items():
             other = self.page_of.get(name)
             if other is not None:
-                # Moved by a writer that ended before it cleaned up, or written once more by a
-                # version that knew of one page only: the page that was written last has it.
+                # A writer moved the item and stopped before it wrote the old page, or an earlier
+                # version, which knows of one page only, wrote it again. The page that was written
+                # last holds the item.
                 self.duplicates.add(name)
                 older = page if self.revisions[other] >= revision else other
                 self._write_after(older, page if older == other else other)
-                self.changes[older] = self.changes.get(older, 0) + 1
+                self.change_counts[older] = self.change_counts.get(older, 0) + 1
                 if older == page:
                     continue
                 self._remove(name)
@@ -86,12 +89,12 @@
         self.sizes[page] = self.sizes.get(page, 0) + self._size(name, item)
         self.page_of[name] = page
 
-    def _touch(self, page: int) -> None:
-        self.changes[page] = self.changes.get(page, 0) + 1
+    def _mark_dirty(self, page: int) -> None:
+        self.change_counts[page] = self.change_counts.get(page, 0) + 1
         self.dirty.setdefault(page)
 
     def _move_excess(self, page: int) -> None:
-        """Move items of a page that is too large for the service to other pages."""
+        """Move items to other pages until the page has the permitted size."""
         content = self.pages.get(page, {})
         while self.sizes.get(page, 0) > self.max_bytes and len(content) > 1:
             name = next(iter(content))
@@ -99,12 +102,12 @@
             self._remove(name)
             other = self._page_for(self._size(name, item))
             self._add(other, name, item)
-            self._touch(other)
-            self._touch(page)
+            self._mark_dirty(other)
+            self._mark_dirty(page)
             self._write_after(page, other)
 
     def _write_after(self, page: int, other: int) -> None:
-        """A page that an item leaves is written after the one that it moves to."""
+        """Mark a page dirty, to be written no earlier than the page that its item moves to."""
         self.dirty.pop(page, None)
         self.dirty[page] = None
         self.written_first.setdefault(page, set()).add(other)
@@ -123,7 +126,10 @@
         return page
 
     def set(self, name: str, item: Any, after: Iterable[str] = ()) -> None:
-        """Set an item. The items ``after`` which it comes take over what it holds no longer."""
+        """Set an item; its page is written no earlier than the pages of the items ``after``.
+
+        Those items have taken over content that this one no longer holds.
+        """
         size = self._size(name, item)
         old = self._remove(name) if name in self.page_of else None
         if old is not None and (self.sizes[old] + size <= self.max_bytes or not self.pages[old]):
@@ -131,61 +137,64 @@
         else:
             page = self._page_for(size)
         self._add(page, name, item)
-        self._touch(page)
+        self._mark_dirty(page)
         if old is not None and old != page:
-            self._touch(old)
+            self._mark_dirty(old)
             self._write_after(old, page)
         for other in after:
             if self.page_of[other] != page:
                 self._write_after(page, self.page_of[other])
 
     def drop(self, name: str) -> None:
-        """Remove an item; its page is to be written."""
+        """Remove an item and mark its page dirty."""
         if name in self.page_of:
-            self._touch(self._remove(name))
+            self._mark_dirty(self._remove(name))
 
     def batch(self, max_pages: int, max_kb: float) -> PageBatch:
-        """The next pages to write in one transaction, with their change counts."""
-        found: PageBatch = {}
-        left = int(max_kb * 1024)
+        """Return the next pages to write in one transaction, with their change counts."""
+        batch: PageBatch = {}
+        bytes_left = int(max_kb * 1024)
         for page in list(self.dirty):
             self._move_excess(page)
-        more = True
-        while more:
-            more = False
+        progress = True
+        while progress:
+            progress = False
             for page in self.dirty:
                 size = self.sizes.get(page, 0)
-                if len(found) >= max_pages or (found and left < size):
-                    return found
-                if page not in found and not self._waits(page, found):
-                    found[page] = PageContent(self.changes[page], dict(self.pages.get(page, {})))
-                    left -= size
-                    more = True
-            if not found and self.dirty:
-                # Pages that wait for each other: what is between them stands on none for a while.
+                if len(batch) >= max_pages or (batch and bytes_left < size):
+                    return batch
+                if page not in batch and not self._must_wait(page, batch):
+                    items = dict(self.pages.get(page, {}))
+                    batch[page] = PageContent(self.change_counts[page], items)
+                    bytes_left -= size
+                    progress = True
+            if not batch and self.dirty:
+                # Pages wait for each other in a cycle. To break it, one is written first, and the
+                # items that move between them are on no stored page until the next write.
                 page = next(iter(self.dirty))
                 self.written_first.pop(page, None)
-                more = True
-        return found
+                progress = True
+        return batch
 
-    def _waits(self, page: int, found: Iterable[int]) -> bool:
+    def _must_wait(self, page: int, batch: Iterable[int]) -> bool:
+        """Return whether a page that must be written first is dirty and not in the batch."""
         return any(
-            other in self.dirty and other not in found for other in self.written_first.get(page, ())
+            other in self.dirty and other not in batch for other in self.written_first.get(page, ())
         )
 
     def key(self, page: int) -> str:
-        """The key of a page."""
+        """Return the key of a page."""
         return f"{self.prefix}{page:06d}"
 
     def written(self, batch: PageBatch, revision: int) -> None:
-        """These pages were written; what has changed since stays to be written."""
-        for page, (change, content) in batch.items():
-            self.revisions[page] = revision if content else 0
+        """Mark the pages of a batch as written; those that have changed since stay dirty."""
+        for page, (change_count, items) in batch.items():
+            self.revisions[page] = revision if items else 0
             for others in self.written_first.values():
                 others.discard(page)
-            if self.changes[page] == change:
+            if self.change_counts[page] == change_count:
                 self.dirty.pop(page, None)
                 self.written_first.pop(page, None)
-                if not content:
+                if not items:
                     self.pages.pop(page, None)
                     self.sizes.pop(page, None)
--- a/src/salthead/state_store/records.py
+++ b/src/salthead/state_store/records.py
@@ -1,15 +1,20 @@
-"""Records in the state service: their keys and their values.
-
-``job/ID`` holds a job that is not over, ``over/ID`` one that is, with its outcome; a job moves from
-one to the other in one transaction, so a reader who looks at ``job`` and then at ``over`` misses it
-in neither. ``done/N`` are pages of done tasks: by segment of a job, as ranges. ``machine
-registry/N`` are pages of machines. ``keep/MEMBER`` is a controller's wish to keep its zone's leases
-for a leader that can't reach the zone, ``kept/MEMBER`` the leader's permission. ``lead`` is the
-leader's key, ``token`` counts its terms. ``awaits/ID/N`` continue a long list of jobs that a job
-awaits. ``flavors`` are the machine types, or ``flavors/N`` if one value does not hold them.
+"""Keys and values of the records in the state service.
+
+- ``job/ID``: a job that is not in a terminal state.
+- ``over/ID``: a job in a terminal state, with its outcome. A job moves from ``job`` to ``over`` in
+  one transaction, so a reader that looks at ``job`` and then at ``over`` can't miss it.
+- ``awaits/ID/N``: continuation of a job's list of dependencies.
+- ``done/N``: pages of done tasks, as ranges by segment of a job.
+- ``roster/N``: pages of the machine registry.
+- ``flavors``, or ``flavors/N`` if one value does not hold them: the machine types.
+- ``lead``: the leader's key.
+- ``token``: the fencing token, which counts the terms.
+- ``keep/MEMBER``: a controller's request to renew the leases of its zone for a leader that can't
+  reach the zone.
+- ``kept/MEMBER``: the leader's permission for that.
 
 Several versions may read and write these at a time: fields are only added, as optional ones, and
-what is there keeps its meaning (``docs/design.md`` has the table).
+existing fields keep their meaning (``docs/design.md`` has the table).
 """
 
 from __future__ import annotations
@@ -36,66 +41,67 @@
 
 
 def job_key(job_id: str) -> str:
-    """The key of a job that is not over."""
+    """Return the key of a job that is not in a terminal state."""
     return JOBS + job_id
 
 
 def outcome_key(job_id: str) -> str:
-    """The key of a job's outcome."""
+    """Return the key of a job's outcome."""
     return OUTCOMES + job_id
 
 
 def job_value(spec: Submission) -> dict[str, Any]:
-    """A job's record."""
-    found: dict[str, Any] = msgspec.to_builtins(spec)
-    return found
+    """Return the record of a job."""
+    value: dict[str, Any] = msgspec.to_builtins(spec)
+    return value
 
 
 def job_from(value: Any) -> Submission:
-    """The job of a record; MalformedMessageError if it is none."""
+    """Decode a job's record; raises MalformedMessageError if it is malformed."""
     return shape(value, Submission)
 
 
 class RecordTooLargeError(SaltheadError):
-    """A record that no value of the permitted size holds."""
+    """A record exceeds the permitted size of a value."""
 
 
 def fits(value: Any, max_kb: float) -> bool:
-    """Whether the state service takes a value, however it writes other than plain letters."""
+    """Return whether a value has the permitted size, with non-ASCII characters escaped."""
     return len(json.dumps(value)) <= max_kb * 1024
 
 
 def dependencies_key(job_id: str, n: int) -> str:
-    """The key of a continued list of jobs that a job depends on."""
+    """Return the key of the ``n``-th continuation of a job's list of dependencies."""
     return f"{DEPENDENCIES}{job_id}/{n}"
 
 
 def dependencies_from(value: Any) -> list[str]:
-    """Such a list; MalformedMessageError if it is none."""
-    found = value.get("awaits") if type(value) is dict else None
-    if type(found) is not list or not all(type(job_id) is str for job_id in found):
+    """Decode a continued list of dependencies; raises MalformedMessageError if malformed."""
+    job_ids = value.get("awaits") if type(value) is dict else None
+    if type(job_ids) is not list or not all(type(job_id) is str for job_id in job_ids):
         raise MalformedMessageError("continued list of awaited jobs")
-    return found
+    return job_ids
 
 
 def job_rows(spec: Submission, max_kb: float, max_changes: int) -> list[tuple[str, dict[str, Any]]]:
-    """The values that hold a job, for one transaction; RecordTooLargeError if that can't be.
+    """Return the keys and values that hold a job, to be written in one transaction.
 
-    A job that awaits more others than one value holds is continued in further ones.
+    A list of dependencies that one value does not hold is continued in further values. Raises
+    RecordTooLargeError if the job does not fit into one transaction.
     """
     bare = msgspec.structs.replace(spec, depends_on=None, more=0)
     if not fits(outcome_value(bare, "aborted", 1e10, max_kb=0.0), max_kb):
         raise RecordTooLargeError("the names are too long to be kept")
     depends_on, max_bytes = spec.depends_on or [], int(max_kb * 1024)
-    used = len(json.dumps(job_value(bare))) + len(', "awaits": [], "more": 999')
+    used_bytes = len(json.dumps(job_value(bare))) + len(', "awaits": [], "more": 999')
     lists: list[list[str]] = [[]]
     for job_id in depends_on:
         size = len(json.dumps(job_id)) + 2
-        if used + size > max_bytes:
+        if used_bytes + size > max_bytes:
             lists.append([])
-            used = len('{"awaits": []}')
+            used_bytes = len('{"awaits": []}')
         lists[-1].append(job_id)
-        used += size
+        used_bytes += size
     if len(lists) > max_changes:
         raise RecordTooLargeError(
             f"awaits: {len(depends_on)} jobs need {len(lists)} values of {max_kb:g} KiB, "
@@ -103,7 +109,7 @@
         )
     head = msgspec.structs.replace(spec, depends_on=lists[0] or None, more=len(lists) - 1)
     return [(job_key(spec.job_id), job_value(head))] + [
-        (dependencies_key(spec.job_id, n), {"awaits": one}) for n, one in enumerate(lists[1:])
+        (dependencies_key(spec.job_id, n), {"awaits": ids}) for n, ids in enumerate(lists[1:])
     ]
 
 
@@ -113,66 +119,67 @@
     at: float = 0.0,
     max_kb: float = 0.0,
 ) -> dict[str, Any]:
-    """An outcome, with the time of day of its end. What the job awaited is of no use any more.
+    """Return the record of an outcome, without the dependencies, which are no longer needed.
 
-    A job that was accepted while values were larger loses what nobody reads again.
+    ``at`` is the wall-clock time of the end. If the record exceeds ``max_kb``, since the job was
+    accepted under a larger limit, fields that are never read again are left out.
     """
     bare = msgspec.structs.replace(spec, depends_on=None, more=0)
     value: dict[str, Any] = {"phase": phase, "spec": job_value(bare)}
     if at:
         value["at"] = at
     if max_kb and not fits(value, max_kb):
-        small = msgspec.structs.replace(
+        reduced = msgspec.structs.replace(
             bare, job_class=spec.job_class[:20], image=None, machine_types=None, zone=None
         )
-        value["spec"] = job_value(small)
+        value["spec"] = job_value(reduced)
     return value
 
 
 def outcome_from(value: Any) -> tuple[str, Submission]:
-    """Phase and job of an outcome; MalformedMessageError if it is none."""
+    """Decode an outcome into phase and job; raises MalformedMessageError if it is malformed."""
     if type(value) is not dict or value.get("phase") not in ("done", "aborted"):
         raise MalformedMessageError("record of an ended job")
     return value["phase"], job_from(value.get("spec"))
 
 
 def ended_at(value: Any) -> float | None:
-    """The time of day at which a job ended; earlier versions did not note it."""
-    found = value.get("at") if type(value) is dict else None
-    return float(found) if isinstance(found, int | float) else None
+    """Return the wall-clock time at which a job ended; None in records of earlier versions."""
+    at = value.get("at") if type(value) is dict else None
+    return float(at) if isinstance(at, int | float) else None
 
 
 def machine_type_rows(machine_types: list[Any], max_kb: float) -> list[tuple[str, dict[str, Any]]]:
-    """Machine types in as many values as they need.
+    """Return the keys and values that hold the machine types, split if one value is too small.
 
-    The key that earlier versions read holds all or nothing: to a controller that knew only a part
-    of the types, jobs for the others could never run.
+    ``flavors``, the only key that earlier versions read, holds all types or is not written: a
+    controller that knew only some of the types would never run jobs that need the others.
     """
-    whole = {"builds": machine_types}
-    if fits(whole, max_kb):
-        return [(MACHINE_TYPES, whole)]
+    single_value = {"builds": machine_types}
+    if fits(single_value, max_kb):
+        return [(MACHINE_TYPES, single_value)]
     lists: list[list[Any]] = [[]]
     for machine_type in machine_types:
         if lists[-1] and not fits({"builds": [*lists[-1], machine_type], "of": 9999}, max_kb):
             lists.append([])
         lists[-1].append(machine_type)
-    if not all(fits({"builds": one, "of": 9999}, max_kb) for one in lists):
+    if not all(fits({"builds": part, "of": 9999}, max_kb) for part in lists):
         raise RecordTooLargeError("a machine type is too long to be kept")
     return [
-        (f"{MACHINE_TYPE_PARTS}{n:04d}", {"builds": one, "of": len(lists)})
-        for n, one in enumerate(lists)
+        (f"{MACHINE_TYPE_PARTS}{n:04d}", {"builds": part, "of": len(lists)})
+        for n, part in enumerate(lists)
     ]
 
 
 def machine_types_from(rows: dict[str, Any]) -> dict[str, Any] | None:
-    """The types as continued in several values; None while one of them is missing.
+    """Join machine types that are split over several values; None if a value is missing.
 
-    MalformedMessageError if one of them holds no list.
+    Raises MalformedMessageError if a value holds no list.
     """
     values = [rows[key] for key in sorted(rows)]
     if not values or any(type(v) is not dict or v.get("of") != len(values) for v in values):
         return None
     lists = [value.get("builds") or [] for value in values]
-    if not all(type(one) is list for one in lists):
+    if not all(type(part) is list for part in lists):
         raise MalformedMessageError("continued machine types")
-    return {"builds": [machine_type for one in lists for machine_type in one]}
+    return {"builds": [machine_type for part in lists for machine_type in part]}
