--- a/src/salthead/failure_detection/__init__.py
+++ b/src/salthead/failure_detection/__init__.py
@@ -1,5 +1,5 @@
-"""What a controller has confirmed about its links, and which actions that permits.
+"""Failure detection by link and direction, and the preconditions of actions that depend on it.
 
-Nothing is inferred from the other direction of a link: that heartbeats arrive does not show that
-answers do, and that the state service answers does not show that workers can be reached.
+Nothing is inferred from the other direction of a link: heartbeats that arrive do not prove that
+answers reach the worker, and answers of the state service do not prove that workers can be reached.
 """
--- a/src/salthead/failure_detection/blocked_actions.py
+++ b/src/salthead/failure_detection/blocked_actions.py
@@ -1,4 +1,4 @@
-"""Which actions were blocked, and for which missing preconditions: for operators."""
+"""Counts of blocked actions by their missing preconditions, for operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class BlockedAction:
-    """How often an action was blocked by one set of preconditions, and when first and last."""
+    """How often an action was blocked by one set of preconditions, with the first and last time."""
 
     count: int = 0
     first_at: float = math.inf
@@ -24,13 +24,13 @@
 
 
 class BlockedActions:
-    """Counts by action and by the preconditions that were missing."""
+    """Counts of blocked actions, by action and missing preconditions."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[Action, int], BlockedAction] = {}
 
     def note(self, action: Action, missing_preconditions: int, now: float) -> None:
-        """An action was blocked since these preconditions, as bits, do not hold."""
+        """Count an action that was blocked; the missing preconditions are given as bits."""
         row = self.rows.setdefault((action, missing_preconditions), BlockedAction(first_at=now))
         row.count += 1
         row.last_at = now
@@ -39,10 +39,10 @@
         ).inc()
 
     def recent(self, since: float) -> list[tuple[Action, Precondition, BlockedAction]]:
-        """Rows whose action was blocked since then, the latest first."""
-        found = [
+        """Return the rows with a blocked action since a time, the latest first."""
+        rows = [
             (action, Precondition(missing_preconditions), row)
             for (action, missing_preconditions), row in self.rows.items()
             if row.last_at >= since
         ]
-        return sorted(found, key=lambda entry: -entry[2].last_at)
+        return sorted(rows, key=lambda entry: -entry[2].last_at)
--- a/src/salthead/failure_detection/link_diagnosis.py
+++ b/src/salthead/failure_detection/link_diagnosis.py
@@ -1,4 +1,4 @@
-"""The state of the links to groups of machines, by direction: for operators."""
+"""State of the links to groups of machines, by direction, for operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LinkState(StrEnum):
-    """What is confirmed of the directions between the leader and one machine."""
+    """The directions of the link between the leader and a machine that are confirmed to work."""
 
     BOTH_WAYS = "both_ways"
     HEARTBEATS_ONLY = "reports_arrive_answers_do_not"
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkView:
-    """The links of one group of machines."""
+    """State of the links to one group of machines."""
 
     group: str
     machines: int
     counts: dict[LinkState, int]
-    since_s: float  # for how long the first of the failing links has been failing
+    since_s: float  # how long the link that failed first has been failing
 
     @property
     def diagnosis(self) -> str:
-        """The most frequent state of failing links, in words; empty if none is failing."""
+        """Return the most frequent state of failing links in words; empty if none fails."""
         failing = {state: n for state, n in self.counts.items() if state is not LinkState.BOTH_WAYS}
         if not failing:
             return ""
@@ -39,9 +39,9 @@
 
 
 def link_state(machine: Machine, now: float, fresh_s: float) -> LinkState:
-    """What is confirmed of one machine's link, each direction by its own evidence.
+    """Return the state of the link to a machine, each direction judged by its own evidence.
 
-    ``fresh_s``: for how long a heartbeat, or the answer to a direct call, confirms a direction.
+    ``fresh_s``: how long a heartbeat, or the answer to a direct call, confirms its direction.
     """
     links = machine.links
     heartbeats_arrive = now - max(machine.last_heartbeat_at, links.last_received_at) <= fresh_s
@@ -57,7 +57,7 @@
 def link_views(
     machines: Iterable[Machine], group_of: Callable[[Machine], str], now: float, fresh_s: float
 ) -> list[LinkView]:
-    """One row for each group that has machines, sorted by name."""
+    """Return one view for each group with live or lost machines, sorted by name."""
     counts: dict[str, Counter[LinkState]] = defaultdict(Counter)
     failing_s: dict[str, float] = defaultdict(float)
     for machine in machines:
@@ -71,6 +71,6 @@
             )
             failing_s[group] = max(failing_s[group], now - confirmed_at)
     return [
-        LinkView(group, found.total(), dict(found), failing_s[group])
-        for group, found in sorted(counts.items())
+        LinkView(group, by_state.total(), dict(by_state), failing_s[group])
+        for group, by_state in sorted(counts.items())
     ]
--- a/src/salthead/failure_detection/preconditions.py
+++ b/src/salthead/failure_detection/preconditions.py
@@ -1,7 +1,7 @@
-"""The preconditions of actions: what has to be confirmed before a controller acts.
+"""Preconditions of a controller's actions.
 
-Pure: callers collect the preconditions that hold now, and ask which of those that an action
-requires are missing. A decision that is sent or written later is checked again at that time.
+The functions are pure: callers collect the preconditions that hold now, and ask which of those that
+an action requires are missing. A decision that is sent or written later is checked again then.
 """
 
 from __future__ import annotations
@@ -12,46 +12,46 @@
 
 
 class Precondition(IntFlag):
-    """What may be confirmed at a moment, of the lead, the fleet, one worker or one job."""
+    """Conditions of the leader, the fleet, a worker or a job that actions require."""
 
-    # The lease on the lead, or the promises of all peers, certainly last now.
+    # The leader's lease, or the withheld votes of all peers, are certainly in force now.
     LEADER_LEASE = auto()
-    # No worker and no write has shown a higher fencing token.
+    # No worker and no write has presented a higher fencing token.
     TOKEN_CURRENT = auto()
-    # No cancellation that was confirmed to a user can be missing here.
+    # Every cancellation that was confirmed to a user is loaded.
     JOBS_KNOWN = auto()
-    # Each machine of the machine registry has reported here, or its lease is over.
+    # Each registered machine has sent a heartbeat to this leader, or its lease has expired.
     FLEET_RECONCILED = auto()
     # The cloud has not confirmed the machine's termination.
     MACHINE_NOT_TERMINATED = auto()
-    # The worker's incarnation is not one that must have ended.
+    # The worker's incarnation is not one that has certainly ended.
     INCARNATION_CURRENT = auto()
     # Responses to the worker are not known to be lost.
     RESPONSES_DELIVERED = auto()
-    # The state service knows the machine.
+    # The machine is in the machine registry of the state service.
     MACHINE_REGISTERED = auto()
-    # The worker has shown this term's token.
+    # The worker has accepted this term's fencing token.
     TOKEN_ACCEPTED = auto()
-    # The worker's lease must have ended, by this controller's clock.
+    # The worker's lease has certainly expired, by this controller's clock.
     WORKER_LEASE_EXPIRED = auto()
     # No machine can be running the task.
     TASK_NOWHERE = auto()
-    # The state service holds the outcome.
+    # The outcome is written to the state service.
     OUTCOME_DURABLE = auto()
-    # Of no outcome that the job depends on is it unknown whether it was written.
+    # No write of an outcome that the job depends on has an unknown result.
     OUTCOMES_DETERMINATE = auto()
     # The reason for a decision still holds.
     REASON_HOLDS = auto()
-    # The state service has just answered this controller.
+    # The state service has answered this controller recently.
     STATE_SERVICE = auto()
-    # This controller has promised nobody not to stand for election.
+    # This controller has not promised a peer to refrain from standing for election.
     VOTE_NOT_WITHHELD = auto()
-    # Clearly more workers report to a peer than are heard here.
+    # Clearly more workers send heartbeats to a peer than to this controller.
     PEER_HEARS_MORE_WORKERS = auto()
 
 
 class Action(IntEnum):
-    """What a controller does once its preconditions hold."""
+    """Actions of a controller that have preconditions."""
 
     ACKNOWLEDGE_HEARTBEAT = auto()
     START = auto()
@@ -97,22 +97,23 @@
     }
 )
 
-# Plain integers, since heartbeats and scheduling passes ask hundreds of times a second, and the
-# operators of flags are functions written in Python.
+# Plain integers, because heartbeats and scheduling passes check these hundreds of times a second
+# and the operators of IntFlag are implemented in Python.
 _REQUIRED_BITS = {action: int(required) for action, required in REQUIRED.items()}
 
 
 def missing_preconditions(action: Action, held: int) -> int:
-    """The preconditions that the action requires and that do not hold, as bits; 0 permits it."""
+    """Return the required preconditions that do not hold, as bits; 0 permits the action."""
     return _REQUIRED_BITS[action] & ~held
 
 
 def permits(action: Action, held: int) -> bool:
-    """Whether all preconditions of the action hold."""
+    """Return whether all preconditions of the action hold."""
     return not _REQUIRED_BITS[action] & ~held
 
 
-# Metrics and the interface keep the names under which actions were first published.
+# Published names of the actions whose identifiers have changed: metrics and the operators'
+# interface keep them.
 _PUBLISHED_ACTION_NAMES = {
     Action.ACKNOWLEDGE_HEARTBEAT: "answer_report",
     Action.REPORT_STATUS: "tell_status",
@@ -123,7 +124,7 @@
     Action.BECOME_LEADER: "take_lead",
 }
 
-# And those of preconditions.
+# Published names of the preconditions whose identifiers have changed.
 _PUBLISHED_PRECONDITION_NAMES = {
     Precondition.LEADER_LEASE: "lead_lease",
     Precondition.FLEET_RECONCILED: "fleet_accounted",
@@ -139,12 +140,12 @@
 
 
 def action_name(action: Action) -> str:
-    """The name of an action in metrics and in the interface."""
+    """Return the published name of an action, for metrics and the operators' interface."""
     return _PUBLISHED_ACTION_NAMES.get(action, action.name.lower())
 
 
 def precondition_names(bits: int) -> list[str]:
-    """The names of preconditions, for logs, metrics and operators."""
+    """Return the published names of preconditions, for logs, metrics and operators."""
     return [
         _PUBLISHED_PRECONDITION_NAMES.get(precondition, str(precondition.name).lower())
         for precondition in Precondition
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -1,8 +1,9 @@
-"""Silence that many machines share: a cut of some link is likelier than as many deaths at once.
+"""Detection of network partitions by the silence of many machines at once.
 
-A cut-off machine goes on, and is back when the cut heals; one that died is not. Both look alike
-from here, but machines die one by one. Followed are the whole fleet, each zone, and each declared
-network, as sets of machines, so that a heartbeat costs one bit whatever the size of the fleet.
+A partitioned machine keeps running and returns when the partition heals; a failed one does not.
+Both are silent, but machines fail independently, so that simultaneous silence of many is attributed
+to a partition. The groups are the whole fleet, each zone and each declared network, kept as sets of
+machines, so that a heartbeat sets one bit whatever the size of the fleet.
 """
 
 from __future__ import annotations
@@ -22,17 +23,18 @@
 
 log = logging.getLogger(__name__)
 
-# Two generations of two heartbeat periods each: silence is seen after two to four of them.
+# Generations of two heartbeat intervals: silence is detected after two to four intervals.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
-# For how long the end of a lease counts towards a cut, in leases: all leases that one cut ends are
-# over within one lease and a heartbeat period, and what was returned meanwhile has left the fleet.
+# How long an expired lease counts towards a partition, in lease durations. The leases that one
+# partition ends all expire within one lease and a heartbeat interval, and the machines that are
+# terminated meanwhile have left the fleet.
 EXPIRED_LEASES = 1.5
 FLEET = "fleet"
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Machines that may be behind the same link."""
+    """A group of machines that may depend on the same link."""
 
     name: str
     known: BitMap
@@ -40,7 +42,7 @@
 
 
 class SharedSilence:
-    """Which machines are silent together, for one term."""
+    """Detector of groups of silent machines, for one term of a leader."""
 
     def __init__(
         self,
@@ -59,82 +61,84 @@
             EXPIRED_LEASES * workers.lease_s,
             now,
         )
-        self.seen_at = now
-        self.cut = BitMap()  # machines whose silence is shared, as of the last look
-        self.cut_since: dict[str, float] = {}  # groups behind a cut
-        # None of whose machines sends heartbeats, while others do
+        self.swept_at = now
+        self.partitioned = BitMap()  # silent machines of partitioned groups, by the last sweep
+        self.cut_since: dict[str, float] = {}  # start times of partitions, by group
+        # Zones without recent heartbeats while other zones have some.
         self.silent_zones: set[int] = set()
 
-    # -- called by the ledger -------------------------------------------------
+    # -- called by the ledger ---------------------------------------------------------------
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """The machine has sent a new heartbeat."""
+        """Record a new heartbeat of a machine."""
         self.sets.recent_heartbeats.add(machine.index)
         if self.networks is not None:
-            self.networks.note(machine.index, machine.endpoint)
+            self.networks.record_endpoint(machine.index, machine.endpoint)
 
     def phase_changed(self, machine: Machine) -> None:
-        """A machine is up, its lease has ended, or it is gone."""
-        self.sets.grow(len(self.ledger.zones), self.seen_at)
+        """Record that a machine is up, that its lease has expired or that it was terminated."""
+        self.sets.ensure_zones(len(self.ledger.zones), self.swept_at)
         if machine.phase == UP:
-            self.sets.up(machine.zone, machine.index)
+            self.sets.machine_up(machine.zone, machine.index)
         elif machine.phase == LOST:
             self.sets.lease_expired(machine.zone, machine.index)
         elif machine.phase == GONE:
-            self.sets.gone(machine.zone, machine.index)
+            self.sets.machine_terminated(machine.zone, machine.index)
 
-    # -- conclusions -----------------------------------------------------------------------
+    # -- detection --------------------------------------------------------------------------
 
     def sweep(self, now: float) -> None:
-        """Find the cuts that there are now."""
-        self.seen_at = now
-        self.sets.grow(len(self.ledger.zones), now)
-        self.sets.turn(now)
+        """Update the partitioned machines and the silent zones."""
+        self.swept_at = now
+        self.sets.ensure_zones(len(self.ledger.zones), now)
+        self.sets.rotate(now)
         if not self.ledger.heartbeats_expected(now):
             return
-        self.cut = BitMap()
-        cut_groups = set()
+        self.partitioned = BitMap()
+        partitioned_groups = set()
         for group in self._groups():
-            if self._is_cut(group):
-                self.cut |= group.silent
-                cut_groups.add(group.name)
+            if self._is_partitioned(group):
+                self.partitioned |= group.silent
+                partitioned_groups.add(group.name)
         self._find_silent_zones()
-        for name in cut_groups - self.cut_since.keys():
+        for name in partitioned_groups - self.cut_since.keys():
             event(log, "cut_suspected", group=name)
             self.cut_since[name] = now
-        for name in self.cut_since.keys() - cut_groups:
+        for name in self.cut_since.keys() - partitioned_groups:
             event(log, "cut_over", group=name)
             del self.cut_since[name]
 
     def behind_cut(self, machine: Machine) -> bool:
-        """Whether the machine's silence was shared at the last look."""
-        return machine.index in self.cut
+        """Return whether the last sweep attributed the machine's silence to a partition."""
+        return machine.index in self.partitioned
 
     def _find_silent_zones(self) -> None:
-        heard = [self.sets.with_recent_heartbeats(zone) for zone in range(len(self.sets.present))]
+        reporting = [
+            self.sets.with_recent_heartbeats(zone) for zone in range(len(self.sets.present))
+        ]
         self.silent_zones = {
             zone
             for zone, present in enumerate(self.sets.present)
-            if len(present) >= self.policy.min_machines and not heard[zone] and any(heard)
+            if len(present) >= self.policy.min_machines and not reporting[zone] and any(reporting)
         }
 
-    def _is_cut(self, group: Group) -> bool:
+    def _is_partitioned(self, group: Group) -> bool:
         silent = len(group.silent)
         return silent >= self.policy.min_machines and silent > self.policy.shared_share * len(
             group.known
         )
 
     def _groups(self) -> Iterator[Group]:
-        heard = self.sets.recent_heartbeats.members()
+        reporting = self.sets.recent_heartbeats.members()
         fleet = BitMap()
         for zone, present in enumerate(self.sets.present):
             known = present | self.sets.expired[zone].members()
             fleet |= known
-            yield Group(f"zone {self.ledger.zones[zone]}", known, known - heard)
-        yield Group(FLEET, fleet, fleet - heard)
+            yield Group(f"zone {self.ledger.zones[zone]}", known, known - reporting)
+        yield Group(FLEET, fleet, fleet - reporting)
         if self.networks is not None:
             for name, members in zip(
                 self.networks.directory.names, self.networks.members, strict=True
             ):
                 known = members & fleet
-                yield Group(f"network {name}", known, known - heard)
+                yield Group(f"network {name}", known, known - reporting)
--- a/src/salthead/networks/silence.py
+++ b/src/salthead/networks/silence.py
@@ -33,8 +33,8 @@
         self.known = BitMap()
         self.network_of: dict[int, int] = {}
 
-    def note(self, machine: int, endpoint: str) -> None:
-        """A machine sends heartbeats from an address."""
+    def record_endpoint(self, machine: int, endpoint: str) -> None:
+        """Assign a machine to the network of its endpoint, once."""
         if not endpoint or machine in self.known:
             return
         self.known.add(machine)
--- a/src/salthead/zones/evidence.py
+++ b/src/salthead/zones/evidence.py
@@ -37,16 +37,16 @@
         """A heartbeat of the machine was news."""
         self.machines.recent_heartbeats.add(machine.index)
         if self.networks is not None:
-            self.networks.note(machine.index, machine.endpoint)
+            self.networks.record_endpoint(machine.index, machine.endpoint)
 
     def phase_changed(self, machine: Machine) -> None:
         """A machine is up, its lease has ended, or it is gone."""
         if machine.phase == UP:
-            self.machines.up(machine.zone, machine.index)
+            self.machines.machine_up(machine.zone, machine.index)
         elif machine.phase == LOST:
             self.machines.lease_expired(machine.zone, machine.index)
         elif machine.phase == GONE:
-            self.machines.gone(machine.zone, machine.index)
+            self.machines.machine_terminated(machine.zone, machine.index)
             if self.networks is not None:
                 self.networks.gone(machine.index)
 
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -108,7 +108,7 @@
         """Judge all zones by the evidence; changes take effect at once."""
         self.observed_at = now
         self._grow(now)
-        self.evidence.machines.turn(now)
+        self.evidence.machines.rotate(now)
         if not self.ledger.ready:
             return  # in a failover, silence says nothing yet
         for zone, state in enumerate(self.states):
@@ -125,7 +125,7 @@
         while len(self.states) < len(self.ledger.zones):
             self.states.append(ZoneState(self.policy, now))
         self.displaced_jobs.grow()
-        self.evidence.machines.grow(len(self.states), now)
+        self.evidence.machines.ensure_zones(len(self.states), now)
 
     def _phase_entered(self, zone: int, now: float) -> None:
         """Act on a zone's new phase."""
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -225,7 +225,7 @@
         )
     assert isinstance(led.shared_silence, SharedSilence)
     led.shared_silence.sweep(1.0)
-    assert not led.shared_silence.cut, "nobody has had the time to find this leader"
+    assert not led.shared_silence.partitioned, "nobody has had the time to find this leader"
     for n in range(south, 40):
         handle_heartbeat(led, heartbeat(f"m{n}", 1), 2.0)
     plan = fleet_plan.plan(led, 4.0, fleet_plan.CapacityBackoff(), {})
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -134,31 +134,31 @@
     found = RecentSet(10.0, 0.0)
     found.add(1)
     for now, there in ((9.0, True), (10.0, True), (19.0, True), (20.0, False)):
-        found.turn(now)
+        found.rotate(now)
         assert (1 in found.members()) is there
     found.add(2)
-    found.turn(100.0)
+    found.rotate(100.0)
     assert not found.members()
 
 
 def test_counts_of_a_zone() -> None:
     sets = MachineSets(2, 4.0, 60.0, 0.0)
     for number in range(10):
-        sets.up(number % 2, number)
+        sets.machine_up(number % 2, number)
         sets.recent_heartbeats.add(number)
     assert sets.counts(0) == (5, 0, 0)
-    sets.turn(4.0)
-    sets.turn(8.0)
+    sets.rotate(4.0)
+    sets.rotate(8.0)
     sets.recent_heartbeats.add(0)
     assert sets.counts(0) == (5, 4, 0)
     for number in (2, 4, 6, 8):
         sets.lease_expired(0, number)
-        sets.gone(0, number)
+        sets.machine_terminated(0, number)
     assert sets.counts(0) == (5, 4, 4), "what was returned at once counts for a while"
-    sets.up(0, 2)
+    sets.machine_up(0, 2)
     assert sets.counts(0) == (5, 4, 3)
-    sets.turn(68.0)
-    sets.turn(128.0)
+    sets.rotate(68.0)
+    sets.rotate(128.0)
     assert sets.counts(0)[0] == 2 and sets.counts(1) == (5, 5, 0)
 
 
