--- a/src/salthead/zones/__init__.py
+++ b/src/salthead/zones/__init__.py
@@ -1,5 +1,5 @@
-"""Zones that are lost and recover: their phases, the order of evacuation, and the slow start.
+"""Detection of zone outages, evacuation of displaced jobs, and slow start of recovering zones.
 
-Enabled by the section ``zone_recovery`` of the policy file. It orders jobs and admits machines;
-placement picks among these.
+Enabled by the section ``zone_recovery`` of the policy file. The package orders the queue and admits
+machines; placement selects among these.
 """
--- a/src/salthead/zones/admission.py
+++ b/src/salthead/zones/admission.py
@@ -1,4 +1,4 @@
-"""Admission of work and machines to zones that are lost or recovering: none, or step by step."""
+"""Admission of new work and machines to zones that are lost or recovering."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ZoneAdmission:
-    """The slow starts of recovering zones, and what follows for machines and provisions."""
+    """Slow starts of recovering zones, with the machines and provisioning that they admit."""
 
     def __init__(
         self,
@@ -34,25 +34,25 @@
         self.states = states
         self.evidence = evidence
         self.slow_starts: dict[int, SlowStart] = {}
-        self.usual_starts = StartTimes()
+        self.baseline_starts = StartTimes()
         self.provision_limits: list[int | None] = []
 
     def task_started(self, binding: Binding, now: float) -> None:
-        """Learn how long starts usually take, or judge a slow start by them."""
+        """Record a start time in the zone's slow start, or in the baseline of an available zone."""
         job = binding.job
         if job is None:
             return
         zone, seconds = binding.machine.zone, now - binding.since
         slow_start = self.slow_starts.get(zone)
         if slow_start is not None:
-            slow_start.note_start(job.spec.job_class, seconds)
+            slow_start.record_start(job.spec.job_class, seconds)
         elif self.states[zone].phase is ZonePhase.AVAILABLE:
-            self.usual_starts.add(zone, job.spec.job_class, seconds)
+            self.baseline_starts.add(zone, job.spec.job_class, seconds)
 
     def task_failed(self, machine: Machine) -> None:
-        """A task has failed on the machine."""
+        """Count a failed task of a machine towards the slow start of its zone."""
         if (slow_start := self.slow_starts.get(machine.zone)) is not None:
-            slow_start.note_failure()
+            slow_start.record_failure()
 
     def phase_entered(self, zone: int, now: float) -> None:
         """Begin or end the slow start of a zone whose phase has changed."""
@@ -60,63 +60,63 @@
             self.slow_starts[zone] = SlowStart(self.policy, zone, self.rng, now)
         else:
             self.slow_starts.pop(zone, None)
-        self.withhold(zone)
+        self.update_withheld_machines(zone)
 
     def resume(self, zone: int, step: int, now: float) -> None:
-        """Go on with the slow start of an earlier leader."""
+        """Resume the slow start of an earlier leader at its step."""
         slow_start = SlowStart(self.policy, zone, self.rng, now)
         slow_start.step = max(0, min(step, len(self.policy.steps) - 1))
         self.slow_starts[zone] = slow_start
 
     def step(self, zone: int) -> int:
-        """The step of a zone's slow start; 0 where there is none."""
+        """Return the step of a zone's slow start; 0 if there is none."""
         slow_start = self.slow_starts.get(zone)
         return slow_start.step if slow_start is not None else 0
 
     def advance(self, zone: int, now: float) -> bool:
-        """Go on with the slow start of a zone; whether it is complete."""
+        """Advance the slow start of a zone if possible; return whether it is complete."""
         slow_start = self.slow_starts[zone]
-        if slow_start.advance(self._progress(zone, slow_start, now), self.usual_starts, now):
+        if slow_start.advance(self._progress(zone, slow_start, now), self.baseline_starts, now):
             if slow_start.complete:
                 return True
             name, share = self.ledger.zones[zone], slow_start.share
             event(log, "zone_slow_start", zone=name, step=slow_start.step, open_share=share)
             self.ledger.events.changed()
-        slow_start.choose(self.evidence.machines.with_recent_heartbeats(zone))
-        self.withhold(zone)
+        slow_start.open_some(self.evidence.machines.with_recent_heartbeats(zone))
+        self.update_withheld_machines(zone)
         return False
 
     def _progress(self, zone: int, slow_start: SlowStart, now: float) -> Progress:
-        """The tasks that were given to open machines and have not started yet."""
-        waits = [
+        """Return the pending starts on the open machines of a zone."""
+        waits_s = [
             now - binding.since
             for machine in self.ledger.machines.values()
-            if machine.zone == zone and machine.index in slow_start.open
+            if machine.zone == zone and machine.index in slow_start.open_machines
             for binding in machine.bindings.values()
             if not binding.started and binding.stop_grace_s is None
         ]
-        return Progress(len(waits), max(waits, default=0.0))
+        return Progress(len(waits_s), max(waits_s, default=0.0))
 
-    def withholds(self, machine: Machine) -> bool:
-        """Whether the machine gets no new work yet."""
+    def is_withheld(self, machine: Machine) -> bool:
+        """Return whether the machine gets no new work yet."""
         return self._zone_withheld(machine.zone) and not self._is_open(machine)
 
-    def withhold(self, zone: int) -> None:
-        """Mark which machines of a zone get no new work yet."""
+    def update_withheld_machines(self, zone: int) -> None:
+        """Update which machines of a zone are withheld from new work."""
         zone_withheld = self._zone_withheld(zone)
         for machine in self.ledger.machines.values():
             if machine.zone != zone:
                 continue
             withheld = zone_withheld and not self._is_open(machine)
             if machine.awaiting_slow_start and not withheld:
-                machine.has_freed_capacity = True  # the next heartbeat offers its room
+                machine.has_freed_capacity = True  # the next heartbeat offers its capacity
             machine.awaiting_slow_start = withheld
 
     def _zone_withheld(self, zone: int) -> bool:
-        """Whether the zone's machines get new work only as far as they are open.
+        """Return whether only open machines of the zone get new work.
 
-        Where all other zones are out of service as well, work has nowhere else to go, and nothing
-        is withheld.
+        If all other zones are out of service too, no machine is withheld, since work has nowhere
+        else to go.
         """
         if self.states[zone].phase not in OUT_OF_SERVICE:
             return False
@@ -128,30 +128,34 @@
 
     def _is_open(self, machine: Machine) -> bool:
         slow_start = self.slow_starts.get(machine.zone)
-        return slow_start is not None and machine.index in slow_start.open
+        return slow_start is not None and machine.index in slow_start.open_machines
 
     def update_provision_limits(self, now: float) -> None:
-        """Decide for all zones how many machines of a kind may be provisioned at a time."""
+        """Update how many machines of a type may be provisioned at a time, for all zones."""
         self.provision_limits = [
             self._provision_limit(zone, now) for zone in range(len(self.states))
         ]
 
     def _provision_limit(self, zone: int, now: float) -> int | None:
-        """0 in a lost zone at first and then a few as a probe; by the open share in a recovering
-        one; no limit (None) elsewhere."""
+        """Return the provisioning limit of a zone; None if there is no limit.
+
+        A lost zone gets no machine at first, and later a few as a probe. A recovering zone gets
+        machines by its open share.
+        """
         if not self._zone_withheld(zone):
             return None
         state = self.states[zone]
         if state.phase is ZonePhase.LOST:
-            waited = now - state.since >= self.policy.probe_after_s
-            return self.policy.probe_machines if waited and not self._probing(zone) else 0
+            probe_due = now - state.since >= self.policy.probe_after_s
+            may_probe = probe_due and not self._probe_in_progress(zone)
+            return self.policy.probe_machines if may_probe else 0
         slow_start = self.slow_starts.get(zone)
         share = slow_start.share if slow_start is not None else 1.0
         present = len(self.evidence.machines.present[zone])
         return max(self.policy.probe_machines, int(share * present))
 
-    def _probing(self, zone: int) -> bool:
-        """Whether machines of a lost zone are up or booting, which will show its recovery."""
+    def _probe_in_progress(self, zone: int) -> bool:
+        """Return whether a lost zone has machines up or booting, which will show its recovery."""
         return any(
             machine.zone == zone and machine.phase in (BOOTING, UP)
             for machine in self.ledger.machines.values()
--- a/src/salthead/zones/evidence.py
+++ b/src/salthead/zones/evidence.py
@@ -1,4 +1,4 @@
-"""The evidence by which zones and networks are judged: which of their machines are silent."""
+"""Evidence for the health of zones and networks: heartbeats and leases of their machines."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from salthead.failure_detection.machine_sets import MachineSets
 from salthead.zones.state import ZoneHealth
 
-if TYPE_CHECKING:  # so that the library for networks is loaded only where networks are declared
+if TYPE_CHECKING:  # loads the library for networks only if the policy declares some
     from salthead.networks.silence import NetworkSilence, NetworkView
 
-# Two generations of two heartbeat intervals each: silence is seen after two to four of them.
+# Generations of two heartbeat intervals: silence is detected after two to four intervals.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
-# For how long the end of a lease counts, in leases. A zone's leases end within a heartbeat interval
-# of each other, but a machine that is terminated at once leaves the ledger before the last of them.
+# How long an expired lease counts, in lease durations. The leases of a lost zone expire within one
+# heartbeat interval, but a machine that is terminated at once may leave the ledger before that.
 EXPIRED_LEASES = 3.0
 
 
 class ZoneEvidence:
-    """Follows the heartbeats, phases and leases of the machines of one term's ledger."""
+    """Heartbeats, phases and leases of the machines of one term's ledger."""
 
     def __init__(self, ledger: Ledger, networks: NetworkSilence | None, now: float) -> None:
         workers = ledger.limits.workers
@@ -34,13 +34,13 @@
         )
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """A heartbeat of the machine was news."""
+        """Record a new heartbeat of a machine."""
         self.machines.recent_heartbeats.add(machine.index)
         if self.networks is not None:
             self.networks.record_endpoint(machine.index, machine.endpoint)
 
     def phase_changed(self, machine: Machine) -> None:
-        """A machine is up, its lease has ended, or it is gone."""
+        """Record that a machine is up, that its lease has expired or that it was terminated."""
         if machine.phase == UP:
             self.machines.machine_up(machine.zone, machine.index)
         elif machine.phase == LOST:
@@ -51,13 +51,13 @@
                 self.networks.gone(machine.index)
 
     def health(self, zone: int, now: float) -> ZoneHealth:
-        """The counts of a zone's machines by which it is judged."""
+        """Return the numbers of a zone's machines by which its phase is decided."""
         counts = self.machines.counts(zone)
         delegated = now < self.ledger.leases.delegated_until.get(zone, -1.0)
         return ZoneHealth(counts.known, counts.silent, counts.expired, delegated)
 
     def network_views(self) -> list[NetworkView]:
-        """All declared networks, for operators."""
+        """Return all declared networks, for operators."""
         if self.networks is None:
             return []
         return self.networks.views(self.machines.recent_heartbeats.members())
--- a/src/salthead/zones/record_writer.py
+++ b/src/salthead/zones/record_writer.py
@@ -1,4 +1,4 @@
-"""Which records of zones the state service lacks, and how a new leader goes on from them."""
+"""Records of zone states: which of them to write, and how a new leader resumes from them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class KeyedRecord(NamedTuple):
-    """A key of the state service and the value that is to be written there."""
+    """A key of the state service and the value to be written there."""
 
     key: str
     value: dict[str, Any]
 
 
 class WrittenRecord(NamedTuple):
-    """What the state service has of a zone, and since when."""
+    """The stored state of a zone and the time when it was written."""
 
     phase: ZonePhase
     step: int
@@ -27,55 +27,59 @@
 
 
 class ZoneRecordWriter:
-    """Compares the states of zones with what was written of them."""
+    """Comparison of the current states of zones with the stored records."""
 
     def __init__(
         self,
         ledger: Ledger,
         states: list[ZoneState],
         admission: ZoneAdmission,
-        wall_ahead: float,
+        wall_clock_offset_s: float,
     ) -> None:
-        """``wall_ahead``: the time of day less the steady time."""
+        """Create a writer; the offset is the wall-clock time less the monotonic time."""
         self.ledger = ledger
         self.states = states
         self.admission = admission
-        self.wall_ahead = wall_ahead
+        self.wall_clock_offset_s = wall_clock_offset_s
         self.written: dict[int, WrittenRecord] = {}
 
     def load(self, rows: dict[str, Any], now: float) -> None:
-        """Go on from the values that earlier leaders wrote, by key."""
-        wall = now + self.wall_ahead
-        for path, value in rows.items():
-            zone = self.ledger.zones.get(records.zone_of(path))
-            record = records.read(value, wall, self.ledger.limits.clock_error_ms / 1000.0)
+        """Restore the states from the values that earlier leaders wrote, by key."""
+        wall_time = now + self.wall_clock_offset_s
+        for key, value in rows.items():
+            zone = self.ledger.zones.get(records.zone_from_key(key))
+            clock_error_s = self.ledger.limits.clock_error_ms / 1000.0
+            record = records.decode_record(value, wall_time, clock_error_s)
             if zone is None or record is None:
                 continue
             state = self.states[zone]
-            records.restore(state, record, now, wall)
+            records.restore_state(state, record, now, wall_time)
             if state.phase is ZonePhase.RECOVERING:
                 self.admission.resume(zone, record.step, now)
             self.written[zone] = self._current(zone, now)
-            self.admission.withhold(zone)
+            self.admission.update_withheld_machines(zone)
 
     def unwritten(self, now: float) -> dict[int, KeyedRecord]:
-        """The records, by zone, that the state service lacks or has had for too long."""
-        found = {}
+        """Return the records, by zone, whose stored value is outdated or due for renewal."""
+        unwritten = {}
         for zone, state in enumerate(self.states):
             written = self.written.get(zone, WrittenRecord(ZonePhase.AVAILABLE, 0, now))
             step = self.admission.step(zone)
-            renew = state.phase is not ZonePhase.AVAILABLE and now - written.at >= records.RENEW_S
-            if renew or (state.phase, step) != (written.phase, written.step):
-                value = records.value_of(state, step, now, now + self.wall_ahead)
-                found[zone] = KeyedRecord(records.key(self.ledger.zones[zone]), value)
-        return found
+            renewal_due = (
+                state.phase is not ZonePhase.AVAILABLE and now - written.at >= records.RENEW_S
+            )
+            if renewal_due or (state.phase, step) != (written.phase, written.step):
+                value = records.record_value(state, step, now, now + self.wall_clock_offset_s)
+                key = records.record_key(self.ledger.zones[zone])
+                unwritten[zone] = KeyedRecord(key, value)
+        return unwritten
 
     def covered(self, zones: Iterable[int], now: float) -> dict[int, WrittenRecord]:
-        """What a write of these zones' records, made now, will have brought up to date."""
+        """Return the states that a write of these zones' records, sent now, will store."""
         return {zone: self._current(zone, now) for zone in zones}
 
     def mark_written(self, covered: dict[int, WrittenRecord]) -> None:
-        """That write was answered; what changed meanwhile is written again."""
+        """Record that a write succeeded; states that changed meanwhile are written again."""
         self.written.update(covered)
 
     def _current(self, zone: int, now: float) -> WrittenRecord:
--- a/src/salthead/zones/records.py
+++ b/src/salthead/zones/records.py
@@ -1,7 +1,8 @@
-"""The state of a zone as the state service keeps it: one small value for each, ``zone/NAME``.
+"""Records of zones in the state service: one small value ``zone/NAME`` for each.
 
-It only tells a new leader how the last one judged the zone. No rule of the protocol depends on it,
-so it is written after the fact, and a record that was not renewed in time is ignored.
+A record tells a new leader the phase that the last leader assigned to the zone. No rule of the
+protocol depends on it, so it is written asynchronously, and is ignored if it was not renewed in
+time.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from salthead.zones.state import ZonePhase, ZoneState
 
 ZONES = "zone/"
-RENEW_S = 30.0  # a zone that is not available is written again after this long
-VALID_S = 120.0  # a record that was written longer ago is ignored
+RENEW_S = 30.0  # renewal interval of the records of zones that are not available
+VALID_S = 120.0  # records that were written longer ago are ignored
 
 
 class ZoneRecord(msgspec.Struct, omit_defaults=True):
-    """How a leader judged a zone; times are times of day."""
+    """Stored state of a zone; times are wall-clock times."""
 
     phase: str
     since: float
@@ -28,43 +29,43 @@
     step: int = 0
 
 
-def key(zone: str) -> str:
-    """The key of a zone's record; keys have no spaces."""
+def record_key(zone: str) -> str:
+    """Return the key of a zone's record, percent-encoded since keys can't contain spaces."""
     return ZONES + quote(zone, safe="")
 
 
-def zone_of(path: str) -> str:
-    """The zone that a key names."""
-    return unquote(path.removeprefix(ZONES))
+def zone_from_key(key: str) -> str:
+    """Return the zone that a key names."""
+    return unquote(key.removeprefix(ZONES))
 
 
-def value_of(state: ZoneState, step: int, now: float, wall: float) -> dict[str, Any]:
-    """The record of a zone; ``now`` and ``wall`` are the same moment on both clocks."""
+def record_value(state: ZoneState, step: int, now: float, wall_time: float) -> dict[str, Any]:
+    """Return a zone's record; ``now`` and ``wall_time`` are the same moment on both clocks."""
     record = ZoneRecord(
         phase=state.phase.value,
-        since=round(wall - (now - state.since), 3),
-        at=round(wall, 3),
-        losses=round(state.remembered_losses(now), 3),
+        since=round(wall_time - (now - state.since), 3),
+        at=round(wall_time, 3),
+        losses=round(state.decayed_losses(now), 3),
         step=step,
     )
-    found: dict[str, Any] = msgspec.to_builtins(record)
-    return found
+    value: dict[str, Any] = msgspec.to_builtins(record)
+    return value
 
 
-def read(value: Any, wall: float, clock_error_s: float) -> ZoneRecord | None:
-    """A record that may still hold; None if it is old, or not one of this version."""
+def decode_record(value: Any, wall_time: float, clock_error_s: float) -> ZoneRecord | None:
+    """Decode a record; None if it is outdated or this version can't read it."""
     try:
         record = msgspec.convert(value, ZoneRecord)
         ZonePhase(record.phase)
     except (msgspec.ValidationError, ValueError):
         return None
-    valid = abs(wall - record.at) <= VALID_S + 2.0 * clock_error_s
+    valid = abs(wall_time - record.at) <= VALID_S + 2.0 * clock_error_s
     return record if valid else None
 
 
-def restore(state: ZoneState, record: ZoneRecord, now: float, wall: float) -> None:
-    """Go on from the last leader's record."""
+def restore_state(state: ZoneState, record: ZoneRecord, now: float, wall_time: float) -> None:
+    """Set a zone's state from the last leader's record."""
     state.phase = ZonePhase(record.phase)
-    state.since = now - max(0.0, wall - record.since)
+    state.since = now - max(0.0, wall_time - record.since)
     state.reason = "as the last leader thought" if state.phase is not ZonePhase.AVAILABLE else ""
     state.losses, state.losses_at = max(0.0, record.losses), now
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -1,4 +1,4 @@
-"""Zone recovery of one leader: the zones' phases, and what the ledger and placement ask of them."""
+"""Zone recovery for one term of a leader: implements the zone hooks of ledger and scheduling."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ZoneRecovery:
-    """Follows the zones of one term's ledger; see ``ZoneHooks`` for what it is told and asked."""
+    """Phases and recovery of the zones of one term's ledger; implements ``ZoneHooks``."""
 
     def __init__(
         self,
@@ -33,84 +33,86 @@
         policy: ZonePolicy,
         rng: random.Random,
         now: float,
-        wall: float,
+        wall_time: float,
         networks: NetworkSilence | None = None,
     ) -> None:
         self.ledger = ledger
         self.policy = policy
         self.observed_at = now
-        self.states: list[ZoneState] = []  # by zone; shared with the parts below
+        self.states: list[ZoneState] = []  # by zone; shared with the objects below
         self.evidence = ZoneEvidence(ledger, networks, now)
         self.admission = ZoneAdmission(ledger, policy, rng, self.states, self.evidence)
         self.displaced_jobs = DisplacedJobs(ledger, policy, self.states)
-        self.records = ZoneRecordWriter(ledger, self.states, self.admission, wall - now)
-        self._grow(now)
+        self.records = ZoneRecordWriter(ledger, self.states, self.admission, wall_time - now)
+        self._ensure_zones(now)
 
-    # -- hooks: what happens ------------------------------------------------------------
+    # -- hooks: events ------------------------------------------------------------------
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """A heartbeat of the machine was news."""
+        """Record a new heartbeat of a machine."""
         self.evidence.heartbeat_received(machine)
 
     def phase_changed(self, machine: Machine) -> None:
-        """A machine is up, its lease has ended, or it is gone.
+        """Record that a machine is up, that its lease has expired or that it was terminated.
 
-        One that comes up in a zone that is not available is withheld from new work at once.
+        A machine that comes up in a zone out of service is withheld from new work at once.
         """
-        self._grow(self.observed_at)
+        self._ensure_zones(self.observed_at)
         self.evidence.phase_changed(machine)
         if machine.phase == UP:
-            machine.awaiting_slow_start = self.admission.withholds(machine)
+            machine.awaiting_slow_start = self.admission.is_withheld(machine)
         elif machine.phase == LOST:
-            self.displaced_jobs.machine_lost(machine)
+            self.displaced_jobs.record_lost_machine(machine)
 
     def displaced(self, bindings: Iterable[Binding], now: float) -> None:
-        """The tasks were lost with their machine."""
-        self.displaced_jobs.tasks_lost(bindings, now)
+        """Record the tasks that were lost with their machine."""
+        self.displaced_jobs.record_lost_tasks(bindings, now)
 
     def started(self, binding: Binding, now: float) -> None:
-        """A heartbeat shows for the first time that the task has its image."""
+        """Record that a heartbeat shows for the first time that a task has its image."""
         self.admission.task_started(binding, now)
 
     def failed(self, machine: Machine) -> None:
-        """A task has failed on the machine."""
+        """Record that a task has failed on a machine."""
         self.admission.task_failed(machine)
 
-    # -- hooks: what may be admitted, and in which order --------------------------------
+    # -- hooks: admission and order -----------------------------------------------------
 
     def evacuating(self) -> bool:
-        """Whether work that a lost zone has displaced still waits."""
+        """Return whether jobs that a lost zone has displaced still wait."""
         return self.displaced_jobs.any_waiting()
 
     def evacuation_order(self, jobs: list[Job], guaranteed_ids: set[str], now: float) -> list[Job]:
-        """The queue by tiers while a zone is evacuated, else as it is."""
-        return evacuation.in_order(jobs, guaranteed_ids, now) if self.evacuating() else jobs
+        """Return the queue, sorted by tier while a zone is evacuated."""
+        return evacuation.sort_by_tier(jobs, guaranteed_ids, now) if self.evacuating() else jobs
 
     def claim(self, machine: Machine, now: float) -> None:
-        """Reserve room that appears for displaced gangs."""
+        """Reserve a machine with free capacity for a displaced gang that needs it."""
         displaced_at = self.displaced_jobs.displaced_at
         if displaced_at:
             evacuation.reserve_for_displaced(self.ledger, displaced_at, machine, now)
 
     def restarts_whole(self, machine: Machine) -> bool:
-        """Whether a gang that lost this machine must not be completed elsewhere: never one that
-        lost a machine of a zone in trouble."""
+        """Return whether a gang that lost this machine must restart as a whole.
+
+        This applies to all zones that are not available.
+        """
         return self.states[machine.zone].phase is not ZonePhase.AVAILABLE
 
     def max_provision(self, zone: int) -> int | None:
-        """How many machines of a kind may be provisioned in the zone at a time; None: no limit."""
+        """Return how many machines of a type a zone may provision at a time; None: no limit."""
         limits = self.admission.provision_limits
         return limits[zone] if zone < len(limits) else None
 
     # -- the phases of zones ------------------------------------------------------------
 
     def observe(self, now: float) -> None:
-        """Judge all zones by the evidence; changes take effect at once."""
+        """Update the phases of all zones by the evidence; changes take effect at once."""
         self.observed_at = now
-        self._grow(now)
+        self._ensure_zones(now)
         self.evidence.machines.rotate(now)
         if not self.ledger.ready:
-            return  # in a failover, silence says nothing yet
+            return  # during a failover, workers may not have found this leader yet
         for zone, state in enumerate(self.states):
             if state.observe(self.evidence.health(zone, now), now):
                 self._phase_entered(zone, now)
@@ -120,15 +122,15 @@
         self.admission.update_provision_limits(now)
         self.displaced_jobs.update(now)
 
-    def _grow(self, now: float) -> None:
-        """Make room for zones that the settings did not name."""
+    def _ensure_zones(self, now: float) -> None:
+        """Add states for zones that were not in the settings."""
         while len(self.states) < len(self.ledger.zones):
             self.states.append(ZoneState(self.policy, now))
-        self.displaced_jobs.grow()
+        self.displaced_jobs.ensure_zones()
         self.evidence.machines.ensure_zones(len(self.states), now)
 
     def _phase_entered(self, zone: int, now: float) -> None:
-        """Act on a zone's new phase."""
+        """Log a zone's new phase and update its displaced jobs and slow start."""
         state = self.states[zone]
         if state.phase in (ZonePhase.SUSPECTED, ZonePhase.LOST):
             silent = [view.name for view in self.evidence.network_views() if view.all_silent]
@@ -137,6 +139,6 @@
         name = self.ledger.zones[zone]
         event(log, "zone_phase", zone=name, phase=state.phase, why=state.reason)
         if state.phase is ZonePhase.LOST:
-            self.displaced_jobs.zone_lost(zone, now)
+            self.displaced_jobs.record_lost_zone(zone, now)
         self.admission.phase_entered(zone, now)
         self.ledger.events.changed()
--- a/src/salthead/zones/slow_start.py
+++ b/src/salthead/zones/slow_start.py
@@ -1,4 +1,4 @@
-"""The slow start of a recovering zone: which of its machines get new work, and when more do."""
+"""Slow start of a recovering zone: a growing share of its machines gets new work."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from salthead.policy import ZonePolicy
 from salthead.zones.start_times import StartTimes, slow_classes
 
-# Steps are not equally long, so that zones which recover together do not grow in lockstep.
+# Relative jitter of a step's length, so that zones which recover together do not grow in lockstep.
 JITTER = 0.2
-# A larger share of failed starts than this delays the next step.
+# A larger share of failed tasks than this delays the next step.
 MAX_FAILED_SHARE = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """The starts that a step of the slow start still waits for."""
+    """Pending starts on the open machines of a zone."""
 
-    pending: int  # tasks that were given to open machines and have not started yet
+    pending: int  # tasks that were placed on open machines and have not started yet
     oldest_pending_s: float
 
 
 class SlowStart:
-    """One slow start of one zone, from its first step to its last."""
+    """Slow start of one zone, from its first step to its last."""
 
     def __init__(self, policy: ZonePolicy, zone: int, rng: random.Random, now: float) -> None:
         self.policy = policy
         self.zone = zone
         self.rng = rng
         self.step = 0
-        self.open = BitMap()  # machines that may get new work
+        self.open_machines = BitMap()  # machines that may get new work
         self.held_back_by = ""
         self._begin_step(now)
 
@@ -46,38 +46,41 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the last step is over, so that the zone is like any other."""
+        """Return whether the last step is over."""
         return self.step >= len(self.policy.steps)
 
     @property
     def share(self) -> float:
-        """The share of the zone's machines that may get new work now."""
+        """Return the share of the zone's machines that may get new work."""
         return 1.0 if self.complete else self.policy.steps[self.step]
 
-    def note_start(self, job_class: str, seconds: float) -> None:
-        """A task that was given to the zone has started there."""
+    def record_start(self, job_class: str, seconds: float) -> None:
+        """Record that a task has started in the zone, with the time from its placement."""
         self.started += 1
         self.recent.add(self.zone, job_class, seconds)
 
-    def note_failure(self) -> None:
-        """A task has failed on a machine of the zone."""
+    def record_failure(self) -> None:
+        """Count a task that failed on a machine of the zone."""
         self.failed += 1
 
-    def advance(self, progress: Progress, usual: StartTimes, now: float) -> bool:
-        """Go on to the next step once tasks start well in this one; whether that was done now."""
+    def advance(self, progress: Progress, baseline: StartTimes, now: float) -> bool:
+        """Go to the next step if tasks start as fast as usual; return whether it was taken.
+
+        Reasons to wait delay a step for no longer than the policy's ``max_hold_s``.
+        """
         if now < self.step_until:
             return False
-        self.held_back_by = self._reason_to_wait(progress, usual)
+        self.held_back_by = self._reason_to_wait(progress, baseline)
         if self.held_back_by and now - self.step_since < self.policy.max_hold_s:
             return False
         self.step += 1
         self._begin_step(now)
         return True
 
-    def _reason_to_wait(self, progress: Progress, usual: StartTimes) -> str:
+    def _reason_to_wait(self, progress: Progress, baseline: StartTimes) -> str:
         if self.failed > MAX_FAILED_SHARE * (self.started + self.failed):
             return f"{self.failed} tasks failed"
-        if slow := slow_classes(self.recent, usual, self.zone, self.policy.slow_factor):
+        if slow := slow_classes(self.recent, baseline, self.zone, self.policy.slow_factor):
             return f"slow starts of {', '.join(slow)}"
         if progress.pending and not self.started:
             return f"{progress.pending} tasks have not started yet"
@@ -85,11 +88,11 @@
             return f"a task has waited {progress.oldest_pending_s:.0f} s for its start"
         return ""
 
-    def choose(self, heard: BitMap) -> None:
-        """Open as many machines as the step allows, those that are open already first."""
-        wanted = len(heard) if self.complete else math.ceil(self.share * len(heard))
-        self.open &= heard
-        closed = heard - self.open
-        missing = min(wanted - len(self.open), len(closed))
+    def open_some(self, reporting: BitMap) -> None:
+        """Open the step's share of the machines with recent heartbeats; open ones stay open."""
+        wanted = len(reporting) if self.complete else math.ceil(self.share * len(reporting))
+        self.open_machines &= reporting
+        closed = reporting - self.open_machines
+        missing = min(wanted - len(self.open_machines), len(closed))
         if missing > 0:
-            self.open.update(self.rng.sample(list(closed), missing))
+            self.open_machines.update(self.rng.sample(list(closed), missing))
--- a/src/salthead/zones/start_times.py
+++ b/src/salthead/zones/start_times.py
@@ -1,55 +1,61 @@
-"""How long starts take: the usual ones of a zone and class, and those of a recovering zone."""
+"""Start times of tasks by zone and class of jobs, and the comparison with a baseline."""
 
 from __future__ import annotations
 
 from ddsketch import DDSketch
 
-RELATIVE_ERROR = 0.05
-USUAL_QUANTILE = 0.9  # of the usual starts: a slower one is out of the ordinary
-TYPICAL_QUANTILE = 0.5  # of the starts that are judged
-MIN_STARTS = 5  # below this many nothing is usual yet
-# A sketch of one class keeps about 100 buckets; classes beyond these are not told apart.
-MAX_JOB_CLASSES = 200
+RELATIVE_ERROR = 0.05  # of the quantiles
+BASELINE_QUANTILE = 0.9  # of the baseline's starts
+RECENT_QUANTILE = 0.5  # of the starts that are compared with it
+MIN_STARTS = 5  # fewer starts give no quantile
+# Sketches that are kept, each of about 100 buckets; starts of further classes are not recorded.
+MAX_SKETCHES = 200
 
 
 class StartTimes:
-    """Seconds from the decision to the start, by zone and class of jobs, as quantile sketches."""
+    """Quantile sketches of the seconds from placement to start, by zone and class of jobs."""
 
     def __init__(self) -> None:
         self.sketches: dict[tuple[int, str], DDSketch] = {}
 
     def add(self, zone: int, job_class: str, seconds: float) -> None:
-        """Note one start."""
+        """Record the time that one start took."""
         key = (zone, job_class)
         sketch = self.sketches.get(key)
         if sketch is None:
-            if len(self.sketches) >= MAX_JOB_CLASSES:
+            if len(self.sketches) >= MAX_SKETCHES:
                 return
             sketch = self.sketches[key] = DDSketch(RELATIVE_ERROR)
         sketch.add(max(seconds, 0.001))
 
     def quantile(self, zone: int, job_class: str, quantile: float) -> float | None:
-        """A quantile of the zone's starts of a class; None while there are too few."""
+        """Return a quantile in seconds of a class in a zone; None if it has too few starts."""
         sketch = self.sketches.get((zone, job_class))
         if sketch is None or sketch.count < MIN_STARTS:
             return None
-        found = sketch.get_quantile_value(quantile)
-        return None if found is None else float(found)
+        value = sketch.get_quantile_value(quantile)
+        return None if value is None else float(value)
 
-    def usual_s(self, zone: int, job_class: str) -> float | None:
-        """What all but the slowest usual starts take; None while nothing is known."""
-        return self.quantile(zone, job_class, USUAL_QUANTILE)
+    def baseline_s(self, zone: int, job_class: str) -> float | None:
+        """Return the baseline quantile of a class in a zone; None if it has too few starts."""
+        return self.quantile(zone, job_class, BASELINE_QUANTILE)
 
 
-def slow_classes(recent: StartTimes, usual: StartTimes, zone: int, factor: float) -> list[str]:
-    """Classes whose recent starts in a zone are slower than its usual ones by more than a factor.
+def slow_classes(recent: StartTimes, baseline: StartTimes, zone: int, factor: float) -> list[str]:
+    """Return the classes whose recent starts in a zone exceed the baseline by more than a factor.
 
-    Each class is held against its own figures: images differ by more than any factor.
+    Each class is compared with its own baseline, since the sizes of images differ too much for a
+    common one.
     """
-    found = []
-    for where, job_class in recent.sketches:
-        typical = recent.quantile(where, job_class, TYPICAL_QUANTILE)
-        limit = usual.usual_s(zone, job_class)
-        if where == zone and typical is not None and limit is not None and typical > factor * limit:
-            found.append(job_class)
-    return sorted(found)
+    slow = []
+    for recent_zone, job_class in recent.sketches:
+        recent_s = recent.quantile(recent_zone, job_class, RECENT_QUANTILE)
+        baseline_s = baseline.baseline_s(zone, job_class)
+        if (
+            recent_zone == zone
+            and recent_s is not None
+            and baseline_s is not None
+            and recent_s > factor * baseline_s
+        ):
+            slow.append(job_class)
+    return sorted(slow)
--- a/src/salthead/zones/state.py
+++ b/src/salthead/zones/state.py
@@ -1,4 +1,4 @@
-"""The phase of one zone: a pure state machine over counts of its machines."""
+"""Phase of a zone: a pure state machine over the numbers of its machines by state."""
 
 from __future__ import annotations
 
@@ -7,85 +7,86 @@
 
 from salthead.policy import ZonePolicy
 
-# A suspicion ends at this part of the share at which it begins, so that it does not come and go.
+# Hysteresis: a suspicion ends when the share of silent machines is below this fraction of the share
+# at which it began.
 SUSPICION_CLEAR_SHARE = 0.5
-# A recovering zone is not lost again for fewer silent machines than these.
-MIN_SILENT_AGAIN = 2
-# Earlier losses that count for less than this part of one are forgotten.
+# A recovering zone is declared lost again only if at least this many machines are silent.
+MIN_RELAPSE_SILENT = 2
+# Decayed losses below this count as none.
 MIN_PENALTY = 0.05
 
 
 class ZonePhase(enum.StrEnum):
-    """How a zone is judged."""
+    """Availability of a zone."""
 
     AVAILABLE = "available"
-    SUSPECTED = "suspected"  # many machines are silent, and may still run their tasks
-    LOST = "lost"  # their leases have ended, and with them all tasks there
+    SUSPECTED = "suspected"  # many machines are silent but may still run their tasks
+    LOST = "lost"  # their leases have expired, so their tasks have ended
     RECOVERING = "recovering"  # heartbeats arrive again, and new work is admitted step by step
 
 
-# Phases in which a zone gets no new work, or not all that it has room for.
+# Phases in which a zone gets no new work, or only as far as its slow start permits.
 OUT_OF_SERVICE = (ZonePhase.LOST, ZonePhase.RECOVERING)
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneHealth:
-    """What is known of a zone's machines at one moment."""
+    """Numbers of a zone's machines by state, at one moment."""
 
-    machines: int  # that are up, or whose lease ended lately
-    silent: int  # of which no heartbeat has arrived lately
-    expired: int  # whose lease has certainly ended
-    # A controller behind a cut renews the leases there, so the tasks there run on.
+    machines: int  # up, or with a recently expired lease
+    silent: int  # without a recent heartbeat
+    expired: int  # with a lease that has certainly expired
+    # A controller on the zone's side of a partition renews its leases, so the tasks run on.
     delegated: bool = False
 
     @property
-    def heard(self) -> int:
-        """How many machines have sent a heartbeat lately."""
+    def reporting(self) -> int:
+        """Return the number of machines with a recent heartbeat."""
         return self.machines - self.silent
 
     def share(self, count: int) -> float:
-        """A count as a share of all machines; 0 where there is none."""
+        """Return a count as a share of all machines; 0 if there are none."""
         return count / self.machines if self.machines else 0.0
 
 
 class ZoneState:
-    """The phase of one zone, since when and why, and how it was lost before."""
+    """Phase of one zone, with its start time and reason, and the zone's earlier losses."""
 
     def __init__(self, policy: ZonePolicy, now: float) -> None:
         self.policy = policy
         self.phase = ZonePhase.AVAILABLE
         self.since = now
         self.reason = ""
-        self.losses = 0.0  # earlier losses, as they are remembered at ``losses_at``
+        self.losses = 0.0  # earlier losses, decayed up to ``losses_at``
         self.losses_at = now
-        # Since when enough machines of a lost zone have been heard.
-        self.recovering_since: float | None = None
+        # Since when enough machines of a lost zone have sent heartbeats.
+        self.reporting_since: float | None = None
 
-    def remembered_losses(self, now: float) -> float:
-        """Earlier losses, each of which counts half after the policy's half-life."""
-        passed = max(0.0, now - self.losses_at)
-        found = float(self.losses * 0.5 ** (passed / self.policy.penalty_half_life_s))
-        return found if found >= MIN_PENALTY else 0.0
+    def decayed_losses(self, now: float) -> float:
+        """Return the number of earlier losses, decayed with the policy's half-life."""
+        elapsed = max(0.0, now - self.losses_at)
+        losses = float(self.losses * 0.5 ** (elapsed / self.policy.penalty_half_life_s))
+        return losses if losses >= MIN_PENALTY else 0.0
 
     def return_after_s(self, now: float) -> float:
-        """For how long heartbeats have to arrive from a lost zone: longer for each recent loss."""
-        again = max(0.0, self.remembered_losses(now) - 1.0)
-        wanted = self.policy.return_after_s * 2.0**again
-        return float(min(self.policy.max_return_after_s, wanted))
+        """Return how long a lost zone must report before it recovers; recent losses double it."""
+        repeated_losses = max(0.0, self.decayed_losses(now) - 1.0)
+        backoff_s = self.policy.return_after_s * 2.0**repeated_losses
+        return float(min(self.policy.max_return_after_s, backoff_s))
 
     def enter(self, phase: ZonePhase, reason: str, now: float) -> None:
-        """Change the phase. A loss is remembered for what it does to later returns."""
+        """Change the phase; a loss delays later recoveries."""
         if phase is ZonePhase.LOST:
-            self.losses = self.remembered_losses(now) + 1.0
+            self.losses = self.decayed_losses(now) + 1.0
             self.losses_at = now
         self.phase, self.since, self.reason = phase, now, reason
-        self.recovering_since = None
+        self.reporting_since = None
 
     def observe(self, health: ZoneHealth, now: float) -> bool:
-        """Judge the zone anew; whether its phase has changed."""
+        """Update the phase by the zone's health; return whether it has changed."""
         before = self.phase
         if before is ZonePhase.LOST:
-            self._check_for_return(health, now)
+            self._check_for_recovery(health, now)
         elif before is ZonePhase.RECOVERING:
             self._check_for_relapse(health, now)
         else:
@@ -94,9 +95,9 @@
 
     def _check_for_loss(self, health: ZoneHealth, now: float) -> None:
         policy = self.policy
-        enough = health.silent >= policy.min_machines
+        enough_silent = health.silent >= policy.min_machines
         if (
-            enough
+            enough_silent
             and not health.delegated
             and health.expired >= policy.min_machines
             and health.share(health.expired) >= policy.lost_share
@@ -104,33 +105,34 @@
             reason = f"{health.expired} of {health.machines} leases have ended"
             self.enter(ZonePhase.LOST, reason, now)
         elif self.phase is ZonePhase.AVAILABLE:
-            if enough and health.share(health.silent) >= policy.suspect_share:
+            if enough_silent and health.share(health.silent) >= policy.suspect_share:
                 reason = f"{health.silent} of {health.machines} machines are unheard"
                 self.enter(ZonePhase.SUSPECTED, reason, now)
         elif (
-            not enough or health.share(health.silent) < SUSPICION_CLEAR_SHARE * policy.suspect_share
+            not enough_silent
+            or health.share(health.silent) < SUSPICION_CLEAR_SHARE * policy.suspect_share
         ):
             self.enter(ZonePhase.AVAILABLE, "", now)
 
-    def _check_for_return(self, health: ZoneHealth, now: float) -> None:
-        heard = health.heard
-        # Of terminated machines only the ends of their leases are known, so what has to be heard is
-        # a share of the machines that are there or came back.
-        present = max(heard, health.machines - health.expired)
-        if heard == 0 or heard < self.policy.return_share * present:
-            self.recovering_since = None
-        elif self.recovering_since is None:
-            self.recovering_since = now
-        elif now - self.recovering_since >= self.return_after_s(now):
-            self.enter(ZonePhase.RECOVERING, f"{heard} machines are heard again", now)
+    def _check_for_recovery(self, health: ZoneHealth, now: float) -> None:
+        reporting = health.reporting
+        # Machines with an expired lease may have been terminated, so the share is of the machines
+        # that are present or report again.
+        present = max(reporting, health.machines - health.expired)
+        if reporting == 0 or reporting < self.policy.return_share * present:
+            self.reporting_since = None
+        elif self.reporting_since is None:
+            self.reporting_since = now
+        elif now - self.reporting_since >= self.return_after_s(now):
+            self.enter(ZonePhase.RECOVERING, f"{reporting} machines are heard again", now)
 
     def _check_for_relapse(self, health: ZoneHealth, now: float) -> None:
         present = health.machines - health.expired
-        silent = max(0, present - health.heard)
+        silent = max(0, present - health.reporting)
         lost_again = (
             present > 0
-            and silent >= MIN_SILENT_AGAIN
+            and silent >= MIN_RELAPSE_SILENT
             and silent >= self.policy.suspect_share * present
         )
-        if lost_again or health.heard == 0:
+        if lost_again or health.reporting == 0:
             self.enter(ZonePhase.LOST, f"{silent} of {present} machines are unheard again", now)
--- a/src/salthead/zones/views.py
+++ b/src/salthead/zones/views.py
@@ -1,4 +1,4 @@
-"""What operators see of zones, and of jobs that wait for one."""
+"""Views of zones, and of jobs that wait for one, for operators."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from salthead.scheduling.eligibility import zone_counts, zone_open
 from salthead.zones.state import OUT_OF_SERVICE, ZonePhase
 
-if TYPE_CHECKING:  # so that its libraries are loaded only where the policy asks for zone recovery
+if TYPE_CHECKING:  # loads the libraries of zone recovery only if the policy enables it
     from salthead.zones.recovery import ZoneRecovery
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneView:
-    """What operators see of a zone."""
+    """State of a zone, for operators."""
 
     name: str
     phase: ZonePhase
@@ -28,12 +28,12 @@
 
 
 def zone_views(recovery: ZoneRecovery, now: float) -> list[ZoneView]:
-    """All zones, in the order of their indices."""
-    found = []
+    """Return the views of all zones, in the order of their indices."""
+    views = []
     for zone, state in enumerate(recovery.states):
         health = recovery.evidence.health(zone, now)
         slow_start = recovery.admission.slow_starts.get(zone)
-        found.append(
+        views.append(
             ZoneView(
                 name=recovery.ledger.zones[zone],
                 phase=state.phase,
@@ -41,15 +41,15 @@
                 reason=state.reason,
                 machines=health.machines,
                 silent=health.silent,
-                open_machines=len(slow_start.open) if slow_start is not None else 0,
+                open_machines=len(slow_start.open_machines) if slow_start is not None else 0,
                 held_back_by=slow_start.held_back_by if slow_start is not None else "",
             )
         )
-    return found
+    return views
 
 
 def waiting_reason(recovery: ZoneRecovery, job: Job) -> str:
-    """Why a job's tasks wait for a zone that is lost or recovering; empty where none do."""
+    """Return why a job's tasks wait for a lost or recovering zone; empty if none do."""
     if not job.waiting():
         return ""
     for zone, state in enumerate(recovery.states):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -179,9 +179,9 @@
 ) -> None:
     current = SlowStart(POLICY, 0, random.Random(1), 0.0)
     for _ in range(starts):
-        current.note_start("b", 1.0)
+        current.record_start("b", 1.0)
     for _ in range(failures):
-        current.note_failure()
+        current.record_failure()
     assert current.advance(progress, StartTimes(), at) is advances
     assert bool(current.held_back_by) is (at >= 7.0 and (not advances or at == 20.0))
 
@@ -192,13 +192,13 @@
     sizes, before = [], BitMap()
     for now in (0.0, 10.0, 20.0):
         current.advance(Progress(0, 0.0), StartTimes(), now)
-        current.choose(heard)
-        assert before <= current.open
-        before = current.open.copy()
-        sizes.append(len(current.open))
+        current.open_some(heard)
+        assert before <= current.open_machines
+        before = current.open_machines.copy()
+        sizes.append(len(current.open_machines))
     assert sizes == [10, 20, 40] and current.complete
-    current.choose(BitMap(range(20)))
-    assert current.open <= BitMap(range(20))
+    current.open_some(BitMap(range(20)))
+    assert current.open_machines <= BitMap(range(20))
 
 
 @pytest.mark.parametrize(("seconds", "slow"), [(1.0, []), (5.0, ["b"])])
@@ -212,7 +212,7 @@
     assert slow_classes(recent, usual, 0, 2.0) == slow
     current = SlowStart(POLICY, 0, random.Random(1), 0.0)
     for _ in range(6):
-        current.note_start("b", seconds)
+        current.record_start("b", seconds)
     assert current.advance(Progress(0, 0.0), usual, 8.0) is not bool(slow)
 
 
@@ -357,12 +357,12 @@
     old = job(led, job_id="req-5", task_count=1, urgency="idle")
     old.since = -200.0
     within = {guaranteed.job_id}
-    found = evacuation.in_order([low, urgent, guaranteed, gang, old], within, 0.0)
+    found = evacuation.sort_by_tier([low, urgent, guaranteed, gang, old], within, 0.0)
     assert [one.job_id for one in found] == ["req-4", "req-5", "req-3", "req-2", "req-1"]
     # Only while displaced work waits.
     assert recovery.evacuation_order([low, gang], set(), 0.0) == [low, gang]
     recovery.states[1].enter(LOST, "", 0.0)
-    recovery.displaced_jobs.lost_tasks[1][gang.job_id] = 0.0
+    recovery.displaced_jobs.last_task_loss_at[1][gang.job_id] = 0.0
     recovery.observe(0.0)
     assert recovery.evacuation_order([low, gang], set(), 0.0) == [gang, low]
     # For a bounded time.
@@ -378,7 +378,7 @@
     gang = job(led, job_id="req-2", shape="gang", task_count=2, vcpus=7.0, single_zone=True)
     array = job(led, job_id="req-1", task_count=20, vcpus=2.0)
     recovery.states[1].enter(LOST, "", 0.0)
-    recovery.displaced_jobs.lost_tasks[1][gang.job_id] = 0.0
+    recovery.displaced_jobs.last_task_loss_at[1][gang.job_id] = 0.0
     recovery.observe(0.0)
     led.pending.jobs = [gang, array]
     led.pending.min_cpus = 2.0
@@ -423,7 +423,7 @@
     job(led, job_id="req-1", task_count=20, vcpus=2.0)
     if evacuating:
         recovery.states[1].enter(LOST, "", 0.0)
-        recovery.displaced_jobs.lost_tasks[1][gang.job_id] = 0.0
+        recovery.displaced_jobs.last_task_loss_at[1][gang.job_id] = 0.0
         recovery.observe(0.0)
     gangs.reserve_machines(led, [gang], 1.0)
     assert len(led.capacity_index.reserved_machines(gang.job_id, 1.0)) == (2 if evacuating else 0)
@@ -516,12 +516,12 @@
     assert (state.phase is RECOVERING) is believed
     if believed:
         assert after.admission.step(1) == 1 and after.records.unwritten(5.0) == {}
-        assert state.remembered_losses(5.0) == pytest.approx(1.0, abs=0.25)
+        assert state.decayed_losses(5.0) == pytest.approx(1.0, abs=0.25)
 
 
 def test_a_zone_name_makes_a_key_without_spaces() -> None:
-    key = records.key("east bank/1")
-    assert " " not in key and records.zone_of(key) == "east bank/1"
+    key = records.record_key("east bank/1")
+    assert " " not in key and records.zone_from_key(key) == "east bank/1"
 
 
 def test_following_zones_costs_nothing_that_grows_with_the_fleet() -> None:
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -171,8 +171,8 @@
             for base in layout.item_starts(900)
         ],
         "zone": [
-            zone_records.key("north 1"),
-            zone_records.value_of(zone, 1, NOW, WALL),
+            zone_records.record_key("north 1"),
+            zone_records.record_value(zone, 1, NOW, WALL),
         ],
         "keys": [
             records.job_key("req-1"),
