--- a/src/salthead/networks/__init__.py
+++ b/src/salthead/networks/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' IP networks: which machines are in each, and which of these are silent."""
+"""Declared IP networks, the machines in each, and which of these are silent."""
--- a/src/salthead/networks/declaration.py
+++ b/src/salthead/networks/declaration.py
@@ -1,4 +1,4 @@
-"""The declaration of an IP network in the policy file."""
+"""Declaration of an IP network in the policy file."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class Network(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An IP network whose machines are counted together."""
+    """An IP network whose machines are observed as a group."""
 
     name: str
     prefix: str  # such as 10.1.2.0/24 or fd00:12::/32
-    within: str | None = None  # the next larger network that it lies in, if that is declared
+    within: str | None = None  # the smallest declared network that contains it, if any
--- a/src/salthead/networks/directory.py
+++ b/src/salthead/networks/directory.py
@@ -1,4 +1,4 @@
-"""Declared IP networks, and the one that an address belongs to: the longest prefix wins."""
+"""Directory of declared IP networks, with lookup of addresses by longest prefix match."""
 
 from __future__ import annotations
 
@@ -11,57 +11,58 @@
 
 
 class NetworkDirectory:
-    """The networks of a policy file, checked; ConfigFileError names the entry that is wrong.
+    """Validated networks of a policy file; ConfigFileError names the entry that is wrong.
 
-    A network may lie within another one only if it says so: otherwise a mistyped prefix would
-    quietly take machines out of the network that they belong to.
+    A network that lies within another one must declare it: otherwise a mistyped prefix would
+    silently take machines out of the network that they belong to.
     """
 
     def __init__(self, declared: Sequence[Network]) -> None:
         self.names = [network.name for network in declared]
         self.prefixes: list[netaddr.IPNetwork] = []
         for n, network in enumerate(declared):
-            self.prefixes.append(self._checked_prefix(n, network))
+            self.prefixes.append(self._parse_prefix(n, network))
         self.index = {prefix: n for n, prefix in enumerate(self.prefixes)}
         for n, network in enumerate(declared):
             self._check_within(n, network)
 
-    def _checked_prefix(self, n: int, network: Network) -> netaddr.IPNetwork:
+    def _parse_prefix(self, n: int, network: Network) -> netaddr.IPNetwork:
+        """Return an entry's prefix; raises ConfigFileError if its name or prefix is invalid."""
         entry = f"networks[{n}]"
         if not network.name or network.name in self.names[:n]:
-            raise ConfigFileError(f"{entry}.name: must be there, and only once")
+            raise ConfigFileError(f"{entry}.name: must be set and unique")
         try:
             prefix = netaddr.IPNetwork(network.prefix)
         except (netaddr.AddrFormatError, ValueError):
-            raise ConfigFileError(f"{entry}.prefix: no network: {network.prefix!r}") from None
+            raise ConfigFileError(f"{entry}.prefix: invalid network {network.prefix!r}") from None
         if prefix.ip != prefix.network or "/" not in network.prefix:
             raise ConfigFileError(
-                f"{entry}.prefix: {network.prefix!r} is no network, as {prefix.cidr} is"
+                f"{entry}.prefix: {network.prefix!r} is not a network prefix such as {prefix.cidr}"
             )
         if prefix in self.prefixes:
             same = self.names[self.prefixes.index(prefix)]
-            raise ConfigFileError(f"{entry}.prefix: the same as that of {same!r}")
+            raise ConfigFileError(f"{entry}.prefix: already declared by {same!r}")
         return prefix
 
     def _check_within(self, n: int, network: Network) -> None:
         own = self.prefixes[n]
-        larger = [prefix for prefix in self.prefixes if prefix != own and own in prefix]
-        nearest = netaddr.smallest_matching_cidr(own.ip, larger)
-        found = None if nearest is None else self.names[self.index[nearest]]
-        if network.within == found:
+        supernets = [prefix for prefix in self.prefixes if prefix != own and own in prefix]
+        smallest = netaddr.smallest_matching_cidr(own.ip, supernets)
+        parent = None if smallest is None else self.names[self.index[smallest]]
+        if network.within == parent:
             return
         entry, name = f"networks[{n}].within", network.name
-        if found is None:
+        if parent is None:
             raise ConfigFileError(f"{entry}: {name!r} is not within {network.within!r}")
-        raise ConfigFileError(f"{entry}: {name!r} lies within {found!r}")
+        raise ConfigFileError(f"{entry}: {name!r} lies within {parent!r}")
 
-    def of(self, address: str) -> int | None:
-        """The index of the network that an address (``host:port`` or bare) is in; None if none."""
+    def find(self, address: str) -> int | None:
+        """Return the index of the network of an address (``host:port`` or bare); None if none."""
         host = address.rpartition(":")[0] if address.count(":") == 1 else address
         if host.startswith("["):
             host = host[1:].partition("]")[0]
         try:
-            found = netaddr.smallest_matching_cidr(netaddr.IPAddress(host), self.prefixes)
+            prefix = netaddr.smallest_matching_cidr(netaddr.IPAddress(host), self.prefixes)
         except (netaddr.AddrFormatError, ValueError):
             return None
-        return None if found is None else self.index[found]
+        return None if prefix is None else self.index[prefix]
--- a/src/salthead/networks/silence.py
+++ b/src/salthead/networks/silence.py
@@ -1,4 +1,4 @@
-"""Which machines of each declared network are silent."""
+"""Machines of each declared network, and which of them are silent."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NetworkView:
-    """What operators see of a network."""
+    """State of a network, for operators."""
 
     name: str
     prefix: str
     machines: int
-    silent: int  # machines of which no heartbeat has arrived lately
+    silent: int  # machines without a recent heartbeat
 
     @property
     def all_silent(self) -> bool:
-        """Whether it has machines and all of them are silent."""
+        """Return whether the network has machines and all of them are silent."""
         return 0 < self.machines == self.silent
 
 
 class NetworkSilence:
-    """The machines of each network. An address is looked up once for each machine."""
+    """Machines by network; the address of each machine is looked up once."""
 
     def __init__(self, directory: NetworkDirectory) -> None:
         self.directory = directory
@@ -38,30 +38,30 @@
         if not endpoint or machine in self.known:
             return
         self.known.add(machine)
-        network = self.directory.of(endpoint)
+        network = self.directory.find(endpoint)
         if network is not None:
             self.members[network].add(machine)
             self.network_of[machine] = network
 
-    def gone(self, machine: int) -> None:
-        """A machine was returned."""
+    def remove(self, machine: int) -> None:
+        """Remove a terminated machine."""
         self.known.discard(machine)
         self.network_of.pop(machine, None)
         for members in self.members:
             members.discard(machine)
 
     def name_of(self, machine: int) -> str | None:
-        """The network that a machine is in, if its address is in a declared one."""
+        """Return the name of a machine's network; None if its address is in no declared one."""
         network = self.network_of.get(machine)
         return None if network is None else self.directory.names[network]
 
-    def views(self, heard: BitMap) -> list[NetworkView]:
-        """All networks; a machine counts only in the one with the longest prefix.
+    def views(self, reporting: BitMap) -> list[NetworkView]:
+        """Return the views of all networks; a machine counts only in its smallest network.
 
-        ``heard``: the machines that have sent a heartbeat lately.
+        ``reporting``: the machines with a recent heartbeat.
         """
         return [
-            NetworkView(name, str(prefix), len(members), len(members - heard))
+            NetworkView(name, str(prefix), len(members), len(members - reporting))
             for name, prefix, members in zip(
                 self.directory.names, self.directory.prefixes, self.members, strict=True
             )
--- a/src/salthead/protocol/__init__.py
+++ b/src/salthead/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The wire: paths and names, typed messages, their checks, and the interning of names."""
+"""Wire protocol: paths and names, typed messages, validation, and interning of names."""
--- a/src/salthead/protocol/interning.py
+++ b/src/salthead/protocol/interning.py
@@ -1,10 +1,10 @@
-"""Names are interned where they arrive: the scheduler compares their dense indices alone."""
+"""Interning of names: they are mapped to dense indices on arrival, which the scheduler compares."""
 
 from __future__ import annotations
 
 
 class Interner:
-    """Names and their dense indices."""
+    """Mapping of names to dense indices, in both directions."""
 
     def __init__(self, known: list[str] | None = None) -> None:
         self.names: list[str] = []
@@ -13,7 +13,7 @@
             self.intern(name)
 
     def intern(self, name: str) -> int:
-        """The index of a name; a name that is not known gets the next one."""
+        """Return the index of a name; a new name gets the next index."""
         index = self.index.get(name)
         if index is None:
             index = self.index[name] = len(self.names)
@@ -21,7 +21,7 @@
         return index
 
     def get(self, name: str) -> int | None:
-        """The index of a name; None if it is not known."""
+        """Return the index of a name; None if it is not known."""
         return self.index.get(name)
 
     def __getitem__(self, index: int) -> str:
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -1,6 +1,6 @@
-"""Messages as typed structures, and their encoding.
+"""Typed messages between users, workers, controllers and the cloud, and their encoding.
 
-Fields have the code's names, which are mapped to the wire's here.
+Fields whose name on the wire differs declare it with ``msgspec.field(name=...)``.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 T = TypeVar("T")
 MAX_BODY = 64 * 1024  # bytes
-# A job with an id in any other form was never accepted, so it needs no look-up.
+# No job with an id of another form is ever accepted, so such an id needs no lookup.
 JOB_ID = re.compile(r"req-[0-9]{1,40}\Z")
 
 
 class MalformedMessageError(SaltheadError):
-    """A message that can't be understood, with a short reason."""
+    """A message is malformed; the text is a short reason."""
 
 
-# A record has to fit into one value of the state service.
+# The length is limited so that a job's record fits into one value of the state service.
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
 
 class Submission(msgspec.Struct, omit_defaults=True):
-    """POST /work, which is also the record that is kept of it."""
+    """The body of POST /work, which is also the stored record of a job."""
 
     job_id: str = msgspec.field(name="uid")
     job_class: Name = msgspec.field(name="breed")
@@ -52,16 +52,16 @@
     checkpoint_interval_s: float = msgspec.field(name="cairn_s", default=0.0)
     checkpoint_save_s: float = msgspec.field(name="stow_s", default=0.0)
     deadline_s: float | None = msgspec.field(name="due_s", default=None)
-    # Jobs that have to be done before any task of this one starts.
+    # Jobs that must be done before any task of this one starts.
     depends_on: list[str] | None = msgspec.field(name="awaits", default=None)
-    # Set by controllers: the time of day at which the record was written.
+    # Set by controllers: the wall-clock time at which the record was written.
     at: float = 0.0
-    # Set by controllers: how many further values hold the rest of a long list of dependencies.
+    # Set by controllers: how many further values continue the list of dependencies.
     more: int = 0
 
 
 class TaskStatus(msgspec.Struct):
-    """One task on a machine, as its worker reports it."""
+    """The status of a task in a heartbeat."""
 
     task_id: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
@@ -71,7 +71,7 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """POST /hello."""
+    """The body of POST /hello: a worker's heartbeat."""
 
     worker: str = msgspec.field(name="saltlick")
     incarnation: int = msgspec.field(name="tenure")
@@ -86,7 +86,7 @@
 
 
 class MachineType(msgspec.Struct):
-    """A type of machine that the cloud rents."""
+    """A machine type that the cloud offers."""
 
     name: str
     vcpus: float
@@ -101,13 +101,13 @@
 
 
 class MachineTypes(msgspec.Struct):
-    """GET /flavors."""
+    """The answer to GET /flavors."""
 
     machine_types: list[MachineType] = msgspec.field(name="builds")
 
 
 class ListedMachine(msgspec.Struct):
-    """One machine in the cloud's list."""
+    """A machine in the cloud's list."""
 
     name: str = msgspec.field(name="uid")
     machine_type: str = msgspec.field(name="build")
@@ -119,7 +119,7 @@
 
 
 class MachineList(msgspec.Struct):
-    """GET /hosts."""
+    """The answer to GET /hosts."""
 
     machines: list[ListedMachine] = msgspec.field(name="saltlicks")
     truncated: bool = False
@@ -132,7 +132,7 @@
 
 
 class JobStatus(msgspec.Struct):
-    """What a user is told of a job. Answers that confirm a change name its phase alone."""
+    """The status of a job for its user; answers that confirm a change hold only the phase."""
 
     job_id: str = msgspec.field(name="uid")
     phase: str
@@ -149,24 +149,24 @@
         running: int = 0,
         depends_on: list[str] | None = None,
     ) -> JobStatus:
-        """A status that counts tasks, and names unfinished dependencies if there are any."""
+        """Return a status with numbers of tasks, and unfinished dependencies if there are any."""
         return cls(job_id, phase, done, running, depends_on or msgspec.UNSET)
 
     @property
     def is_terminal(self) -> bool:
-        """Whether the phase never changes any more."""
+        """Return whether the phase is final."""
         return self.phase in (wire_names.DONE, wire_names.ABORTED)
 
 
 class StartCommand(msgspec.Struct, frozen=True, tag_field="verb", tag=wire_names.START):
-    """Start a task."""
+    """A command to start a task."""
 
     task_id: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
 
 
 class StopCommand(msgspec.Struct, frozen=True, tag_field="verb", tag=wire_names.STOP):
-    """Stop a task, with the seconds that it has to save a checkpoint."""
+    """A command to stop a task, with a grace period in seconds to save a checkpoint."""
 
     task_id: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
@@ -174,7 +174,7 @@
 
 
 class ReapCommand(msgspec.Struct, frozen=True, tag_field="verb", tag=wire_names.REAP):
-    """Remove an exited task from heartbeats."""
+    """A command to remove an exited task from heartbeats."""
 
     task_id: str = msgspec.field(name="piece")
     attempt: int = msgspec.field(name="try")
@@ -184,32 +184,32 @@
 
 
 class HeartbeatAnswer(msgspec.Struct, frozen=True):
-    """The answer to a heartbeat: it renews the worker's lease and carries commands."""
+    """The answer to a heartbeat; it renews the worker's lease and carries commands."""
 
     fencing_token: int = msgspec.field(name="baton")
     commands: list[Command] = msgspec.field(name="orders", default_factory=list)
 
 
 class LeaderRedirect(msgspec.Struct, frozen=True):
-    """421: the controller that leads, by its member name."""
+    """The body of a 421 answer: the member name of the leader."""
 
     leader: str = msgspec.field(name="herder")
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """Why a request was not done."""
+    """The reason why a request was not executed."""
 
     error: str
 
 
 class ReadyAnswer(msgspec.Struct, frozen=True):
-    """GET /up: this controller takes requests."""
+    """The answer to GET /up: whether this controller accepts requests."""
 
     up: bool
 
 
 class CommandRequest(msgspec.Struct, frozen=True):
-    """POST /do: commands of a leader to a worker, for one incarnation of it."""
+    """The body of POST /do: commands of a leader to one incarnation of a worker."""
 
     fencing_token: int = msgspec.field(name="baton")
     incarnation: int = msgspec.field(name="tenure")
@@ -217,12 +217,12 @@
 
 
 def encode(message: Any) -> bytes:
-    """A body: structures become maps with their wire names."""
+    """Encode a message as CBOR; structures become maps with their wire names."""
     return cbor2.dumps(msgspec.to_builtins(message))
 
 
 def decode_map(body: bytes) -> dict[str, Any]:
-    """The map with text keys that a body holds; MalformedMessageError if it is none."""
+    """Decode a body as a map with text keys; raises MalformedMessageError if it is none."""
     try:
         fields = cbor2.loads(body)
     except Exception as error:  # the decoder raises several unrelated types
@@ -233,7 +233,7 @@
 
 
 def shape(value: Any, kind: type[T]) -> T:
-    """A decoded value as a structure; MalformedMessageError names the field that does not fit."""
+    """Convert a decoded value to a type; MalformedMessageError names a field that does not fit."""
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
@@ -243,14 +243,17 @@
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """A body as a structure; MalformedMessageError if it is none."""
+    """Decode a body as a structure; raises MalformedMessageError if it does not fit."""
     return shape(decode_map(body), kind)
 
 
 @functools.lru_cache(maxsize=20_000)
 def split_task_id(text: str) -> tuple[str, int]:
-    """A task's id, such as ``req-000412/3``, as the id of its job and its index in that."""
-    job_id, _, number = text.rpartition("/")
-    if not JOB_ID.match(job_id) or not number.isascii() or not number.isdigit():
+    """Split a task's id, such as ``req-000412/3``, into the job's id and the task's index.
+
+    Raises MalformedMessageError if the id has another form.
+    """
+    job_id, _, index = text.rpartition("/")
+    if not JOB_ID.match(job_id) or not index.isascii() or not index.isdigit():
         raise MalformedMessageError(f"piece: {text[:60]!r}")
-    return job_id, int(number)
+    return job_id, int(index)
--- a/src/salthead/protocol/peer_messages.py
+++ b/src/salthead/protocol/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between controllers, as typed structures."""
+"""Typed messages between controllers."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class JobQuery(msgspec.Struct, frozen=True):
-    """POST /peer/poll and /peer/cancel: the job that is asked about."""
+    """The body of POST /peer/poll and /peer/cancel."""
 
     job_id: str = msgspec.field(name="uid")
 
 
 class WithholdVoteAnswer(msgspec.Struct, frozen=True):
-    """The answer to POST /peer/promise: whether this controller does not campaign for a while."""
+    """The answer to POST /peer/promise: whether the controller will not stand for election."""
 
     withheld: bool = msgspec.field(name="promise")
 
 
 class RedirectedHeartbeat(NamedTuple):
-    """A heartbeat that came to a controller that does not lead; a plain list on the wire."""
+    """A heartbeat that a controller other than the leader received; a plain list on the wire."""
 
     worker: str
     incarnation: int
@@ -31,13 +31,13 @@
 
 
 class ConnectivityReport(msgspec.Struct, frozen=True):
-    """The answer to POST /peer/knocks: what a controller says of its own connectivity."""
+    """The answer to POST /peer/knocks: the connectivity of a controller."""
 
-    # Workers that came lately although it does not lead.
+    # Workers that recently sent heartbeats to it although it does not lead.
     redirected_count: int = msgspec.field(name="knocks")
     # Seconds since the state service last answered it.
     state_service_silence_s: float = msgspec.field(name="served_s")
-    # For the leader alone.
+    # Only in answers to the leader.
     heartbeats: list[RedirectedHeartbeat] | msgspec.UnsetType = msgspec.field(
         name="seen", default=msgspec.UNSET
     )
@@ -56,15 +56,15 @@
 
 
 def decode_job_query(body: bytes) -> str:
-    """The job that another controller asks about; any other value is no job's id."""
+    """Return the job id in a peer's query; a value that is no text becomes an id of no job."""
     return str(decode(body, _JobQueryBody).uid)
 
 
 def decode_withhold_vote(body: bytes) -> str:
-    """The member that asks for the votes of its peers."""
+    """Return the member name of the controller that asks its peers to withhold their votes."""
     return str(decode(body, _WithholdVoteBody).member)
 
 
 def decode_connectivity_query(body: bytes) -> bool:
-    """Whether the asking controller says that it leads; an empty body says that it does not."""
+    """Return whether the asking controller leads; an empty body means that it does not."""
     return bool(body) and decode(body, _ConnectivityQueryBody).leads is True
--- a/src/salthead/protocol/validation.py
+++ b/src/salthead/protocol/validation.py
@@ -1,6 +1,6 @@
-"""The checks that messages of users and workers pass on arrival.
+"""Validation of messages from users and workers.
 
-Errors name fields as the wire does.
+Errors name fields by their wire names.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 MAX_TASKS = 100_000
 MAX_AMOUNT = 1e12
 
-# The fields that a user has to give, by wire names: all that the protocol's page does not let be
-# null. Records, and what controllers forward, leave out fields that have their default.
+# Wire names of the fields that a user must set: all that the protocol does not allow to be null.
+# Records and forwarded submissions leave out fields that have their default value.
 REQUIRED_FIELDS = (
     "uid",
     "breed",
@@ -41,7 +41,7 @@
     "stow_s",
 )
 
-# Amounts of a submission that must be finite and not negative: attribute and wire name.
+# Amounts of a submission that must be at least 0 and below ``MAX_AMOUNT``: attribute and wire name.
 AMOUNTS = (
     ("vcpus", "vcpus"),
     ("accelerators", "accelerators"),
@@ -54,14 +54,14 @@
 
 
 def _check_amount(value: float, wire_name: str) -> None:
-    if not 0.0 <= value < MAX_AMOUNT:  # also refuses what is not a number
+    if not 0.0 <= value < MAX_AMOUNT:  # also rejects NaN
         raise MalformedMessageError(f"{wire_name}: out of range")
 
 
 def decode_submission(body: bytes, forwarded: bool = False) -> Submission:
-    """The submission in a body; MalformedMessageError with a short reason if it is none.
+    """Decode and check a submission; raises MalformedMessageError with a short reason.
 
-    ``forwarded``: by another controller, which has checked that no field is missing.
+    ``forwarded``: another controller sent it and has checked that no required field is missing.
     """
     if len(body) > MAX_BODY:
         raise MalformedMessageError("body over 64 KiB")
@@ -71,15 +71,15 @@
             if fields.get(name) is None:
                 raise MalformedMessageError(f"{name}: missing")
     job = shape(fields, Submission)
-    _check_values(job)
+    _check_ranges(job)
     if job.depends_on is not None:
         job.depends_on = list(dict.fromkeys(job.depends_on)) or None
     job.at, job.more = 0.0, 0
     return job
 
 
-def _check_values(job: Submission) -> None:
-    """Check what types alone do not say; MalformedMessageError names the field."""
+def _check_ranges(job: Submission) -> None:
+    """Check the values that types do not restrict; MalformedMessageError names the field."""
     if not JOB_ID.match(job.job_id):
         raise MalformedMessageError("uid: not of the form req-DIGITS")
     if not 1 <= job.task_count <= MAX_TASKS:
@@ -93,7 +93,7 @@
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """A worker's heartbeat; MalformedMessageError if it is none."""
+    """Decode and check a worker's heartbeat; raises MalformedMessageError if it is malformed."""
     heartbeat = decode(body, Heartbeat)
     if (
         not heartbeat.worker
--- a/src/salthead/protocol/wire_names.py
+++ b/src/salthead/protocol/wire_names.py
@@ -1,26 +1,26 @@
-"""Paths and values of the wire. Fields are mapped to it in ``messages``."""
+"""Paths and values on the wire; ``messages`` declares the names of fields."""
 
-# paths, users and workers
+# Paths for users and workers.
 JOBS_PATH = "/work"
 READY_PATH = "/up"
 HEARTBEAT_PATH = "/hello"
-# the last segment of a cancellation's path
+# The last segment of the path of a cancellation.
 CANCEL_SUFFIX = "cancel"
-# paths, operators
+# Paths for operators.
 OVERVIEW_PATH = "/overview"
 METRICS_PATH = "/metrics"
-# paths, workers
+# Paths of workers.
 COMMAND_PATH = "/do"
-# paths, cloud
+# Paths of the cloud.
 MACHINE_TYPES_PATH = "/flavors"
 MACHINES_PATH = "/hosts"
 MACHINES_TERMINATE_PATH = "/hosts/return"
-# paths, state service
+# Paths of the state service.
 KEYS_PATH = "/keys"
 TRANSACTIONS_PATH = "/txn"
 LEASES_PATH = "/grants"
 CHANGES_PATH = "/changes"
-# paths between controllers
+# Paths between controllers.
 PEER_SUBMIT_PATH = "/peer/submit"
 PEER_STATUS_PATH = "/peer/poll"
 PEER_CANCEL_PATH = "/peer/cancel"
@@ -28,20 +28,20 @@
 PEER_OVERVIEW_PATH = "/peer/overview"
 PEER_WITHHOLD_VOTE_PATH = "/peer/promise"
 
-# phases of a job
+# Phases of a job.
 QUEUED = "queued"
 RUNNING = "running"
 DONE = "done"
 ABORTED = "aborted"
 
-# phases of a task on its machine
+# Phases of a task on its machine.
 FETCHING = "fetching"
 GATHERING = "gathering"
 FLUSHING = "flushing"
 EXITED = "exited"
 TASK_PHASES = frozenset({FETCHING, GATHERING, RUNNING, FLUSHING, EXITED})
 
-# causes of an exit
+# Causes of a task's exit.
 HALTED = "halted"
 MATES_GONE = "mates_gone"
 ALONE = "alone"
@@ -50,16 +50,17 @@
 IN_USE = "in_use"
 UNKNOWN = "unknown"
 
-# verbs of commands
+# Verbs of commands.
 START = "start"
 STOP = "stop"
 REAP = "reap"
 
-# phases of a machine in the cloud's list
+# Phases of a machine in the cloud's list.
 BOOTING = "booting"
 FAILED = "failed"
 
-# priorities of jobs, the highest first
+# Priorities of jobs, the highest first.
 URGENCIES = ("prod", "urgent", "normal", "idle")
+# Shapes of jobs.
 ARRAY = "array"
 GANG = "gang"
--- a/src/salthead/zones/evidence.py
+++ b/src/salthead/zones/evidence.py
@@ -14,8 +14,8 @@
 
 # Generations of two heartbeat intervals: silence is detected after two to four intervals.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
-# How long an expired lease counts, in lease durations. The leases of a lost zone expire within one
-# heartbeat interval, but a machine that is terminated at once may leave the ledger before that.
+# How long an expired lease counts, in lease durations. The leases of a lost zone expire up to one
+# heartbeat interval apart, and a machine that is terminated at once has left the ledger by then.
 EXPIRED_LEASES = 3.0
 
 
@@ -48,7 +48,7 @@
         elif machine.phase == GONE:
             self.machines.machine_terminated(machine.zone, machine.index)
             if self.networks is not None:
-                self.networks.gone(machine.index)
+                self.networks.remove(machine.index)
 
     def health(self, zone: int, now: float) -> ZoneHealth:
         """Return the numbers of a zone's machines by which its phase is decided."""
--- a/tests/test_networks.py
+++ b/tests/test_networks.py
@@ -71,7 +71,7 @@
 )
 def test_an_address_is_in_the_smallest_network(address: str, name: str | None) -> None:
     directory = NetworkDirectory([EAST, EAST_2, WEST, SIX])
-    found = directory.of(address)
+    found = directory.find(address)
     assert (None if found is None else directory.names[found]) == name
 
 
