--- a/src/salthead/failure_detection/links.py
+++ b/src/salthead/failure_detection/links.py
@@ -94,14 +94,14 @@
             self.acknowledged_incarnation, self.acknowledged_sequence = incarnation, sequence
             self.acknowledged_at = now
 
-    def command_answered(self, sent: float) -> None:
-        """Record that the direct call sent at ``sent`` was answered."""
-        self.commands_at = max(self.commands_at, sent)
+    def command_answered(self, sent_at: float) -> None:
+        """Record that the direct call sent at ``sent_at`` was answered."""
+        self.commands_at = max(self.commands_at, sent_at)
         self.unaccepted_answers = 0
 
-    def command_failed(self, sent: float) -> None:
-        """Record that the direct call sent at ``sent`` had no answer in time."""
-        self.command_failed_at = max(self.command_failed_at, sent)
+    def command_failed(self, sent_at: float) -> None:
+        """Record that the direct call sent at ``sent_at`` had no answer in time."""
+        self.command_failed_at = max(self.command_failed_at, sent_at)
 
     def unreachable(self) -> bool:
         """Return whether, by the latest evidence, neither answers nor direct calls arrive."""
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -100,7 +100,7 @@
             if self._is_partitioned(group):
                 self.partitioned |= group.silent
                 partitioned_groups.add(group.name)
-        self._find_silent_zones()
+        self._update_silent_zones()
         for name in partitioned_groups - self.cut_since.keys():
             event(log, "cut_suspected", group=name)
             self.cut_since[name] = now
@@ -112,7 +112,7 @@
         """Return whether the last sweep attributed the machine's silence to a partition."""
         return machine.index in self.partitioned
 
-    def _find_silent_zones(self) -> None:
+    def _update_silent_zones(self) -> None:
         reporting = [
             self.sets.with_recent_heartbeats(zone) for zone in range(len(self.sets.present))
         ]
--- a/src/salthead/protocol/interning.py
+++ b/src/salthead/protocol/interning.py
@@ -1,4 +1,4 @@
-"""Interning of names: they are mapped to dense indices on arrival, which the scheduler compares."""
+"""Interning of names to dense indices, which the scheduler compares instead of strings."""
 
 from __future__ import annotations
 
--- a/src/salthead/protocol/peer_messages.py
+++ b/src/salthead/protocol/peer_messages.py
@@ -56,7 +56,7 @@
 
 
 def decode_job_query(body: bytes) -> str:
-    """Return the job id in a peer's query; a value that is no text becomes an id of no job."""
+    """Return the job id of a peer's query; a value of another type gives an id of no job."""
     return str(decode(body, _JobQueryBody).uid)
 
 
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -30,7 +30,9 @@
 
 
 class Pages:
-    """Named items on numbered pages, each of which is one stored value. Loading is idempotent.
+    """Named items on numbered pages, each of which is one stored value.
+
+    A page may be loaded only once: to read the pages again, create a new object.
 
     A loaded page may exceed the permitted size if it was written before the limit was lowered. It
     can be read, but the service would refuse every write of it, so when it changes, items are moved
--- a/src/salthead/zones/slow_start.py
+++ b/src/salthead/zones/slow_start.py
@@ -64,9 +64,9 @@
         self.failed += 1
 
     def advance(self, progress: Progress, baseline: StartTimes, now: float) -> bool:
-        """Go to the next step if tasks start as fast as usual; return whether it was taken.
+        """Go to the next step if it is due and tasks start well; return whether it was taken.
 
-        Reasons to wait delay a step for no longer than the policy's ``max_hold_s``.
+        A step is held back for at most the policy's ``max_hold_s``.
         """
         if now < self.step_until:
             return False
@@ -90,9 +90,9 @@
 
     def open_some(self, reporting: BitMap) -> None:
         """Open the step's share of the machines with recent heartbeats; open ones stay open."""
-        wanted = len(reporting) if self.complete else math.ceil(self.share * len(reporting))
+        target = len(reporting) if self.complete else math.ceil(self.share * len(reporting))
         self.open_machines &= reporting
         closed = reporting - self.open_machines
-        missing = min(wanted - len(self.open_machines), len(closed))
-        if missing > 0:
-            self.open_machines.update(self.rng.sample(list(closed), missing))
+        count = min(target - len(self.open_machines), len(closed))
+        if count > 0:
+            self.open_machines.update(self.rng.sample(list(closed), count))
