--- a/src/salthead/leader/__init__.py
+++ b/src/salthead/leader/__init__.py
@@ -1,1 +1,1 @@
-"""One term of the leader: the loops that bring the world in line with the ledger."""
+"""The term of a leader: the loops that reconcile the cluster with its ledger."""
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -1,4 +1,4 @@
-"""The loop that provisions and terminates machines for one term, by the plan of the fleet."""
+"""The loop of one term that provisions and terminates machines according to the fleet plan."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 log = logging.getLogger(__name__)
 
-MAX_TERMINATE_BATCH = 100  # machines in one call
+MAX_TERMINATE_BATCH = 100  # Machines per call.
 PROVISION_ATTEMPTS = 4
 RETRY_S = 1.0
-# Plans come at once for a job that finds no machine, and otherwise now and then.
+# A job that finds no machine triggers the next plan at once, but not before the minimum.
 PLAN_INTERVAL_S, MIN_PLAN_INTERVAL_S = 1.0, 0.4
 
 
@@ -42,11 +42,12 @@
         background: BackgroundTasks,
         fleet_metrics: FleetMetrics,
         plan_requested: asyncio.Event,
-        changed: Callable[[], None],
+        on_provision_ended: Callable[[], None],
     ) -> None:
-        """``plan_requested`` is set for a job for which there is no machine.
+        """Create the autoscaler of a term.
 
-        ``changed`` is called when a request to provision has ended, with or without machines.
+        ``plan_requested`` is set when a job finds no machine. ``on_provision_ended`` is called when
+        a provision request has ended, with or without machines.
         """
         self.context = context
         self.ledger = context.ledger
@@ -55,37 +56,37 @@
         self.background = background
         self.fleet_metrics = fleet_metrics
         self.plan_requested = plan_requested
-        self.changed = changed
+        self.on_provision_ended = on_provision_ended
         self.provision_request_count = 0
-        self.provisioning: dict[MachineKind, int] = {}  # machines asked for and not answered
+        self.provisioning: dict[MachineKind, int] = {}  # Machines requested but not answered.
         self.capacity_backoff = CapacityBackoff()
 
     async def loop(self) -> None:
-        """Plan the fleet, provision and terminate by the plan, until the term ends."""
+        """Plan the fleet, and provision and terminate machines by the plan, until the term ends."""
         while True:
-            # Not wait_for, as in the scheduling loop.
+            # asyncio.wait_for would lose the cancellation if the event is set while the term ends.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(PLAN_INTERVAL_S):
                     await self.plan_requested.wait()
             self.plan_requested.clear()
-            began = self.context.now()
+            started_at = self.context.now()
             if not self.context.valid():
                 continue
             plan = fleet_plan.plan(
                 self.ledger, self.context.now(), self.capacity_backoff, self.provisioning
             )
-            self._start(plan)
+            self._execute(plan)
             self.fleet_metrics.update()
             await self.context.sleep_with_jitter(
-                max(MIN_PLAN_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - began))
+                max(MIN_PLAN_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - started_at))
             )
 
-    def _start(self, plan: fleet_plan.Plan) -> None:
-        """Start the calls that a plan asks for."""
+    def _execute(self, plan: fleet_plan.Plan) -> None:
+        """Start the provision and terminate calls of a plan."""
         batch = fleet_plan.MAX_PROVISION_BATCH
         for kind, count in plan.to_provision.items():
-            for at in range(0, count, batch):
-                self.background.spawn(self.provision(kind, min(count - at, batch)))
+            for offset in range(0, count, batch):
+                self.background.spawn(self.provision(kind, min(count - offset, batch)))
         if plan.to_terminate:
             decisions = [
                 TerminationDecision.of(machine, plan.reasons[machine.name])
@@ -96,7 +97,7 @@
             self.background.spawn(self.terminate(decisions))
 
     async def provision(self, kind: MachineKind, count: int) -> None:
-        """Provision machines of a kind; the same request is repeated until it is answered."""
+        """Provision machines of a kind; a request without an answer is retried by the same name."""
         machine_type, zone, spot = kind
         self.provision_request_count += 1
         self.provisioning[kind] = self.provisioning.get(kind, 0) + count
@@ -128,13 +129,13 @@
             self.capacity_backoff.record_shortage(kind, self.context.now())
         else:
             self.capacity_backoff.record_success(kind)
-        self.changed()
+        self.on_provision_ended()
 
     async def _send_until_answered(self, request: ProvisionRequest) -> int:
-        """Add the machines that a request provisions to the ledger; how many these are."""
+        """Add the machines that a request provisions to the ledger, and return their number."""
         for _ in range(PROVISION_ATTEMPTS):
             await self.cloud.wait_for_turn()
-            # Since it was decided the leadership, or the picture that it rests on, may have gone.
+            # The leadership or another precondition may have been lost since the plan was made.
             if not self.context.permits(Action.PROVISION):
                 return 0
             try:
@@ -153,14 +154,15 @@
         return 0
 
     async def terminate(self, decisions: list[TerminationDecision]) -> None:
-        """Terminate machines; they are gone once the cloud has answered."""
+        """Terminate machines, and remove them from the ledger once the cloud has answered."""
         await self.cloud.wait_for_turn()
-        # Looked at again when it is sent: a cut may have healed while the call waited.
-        sent = [decision for decision in decisions if self._still_justified(decision)]
+        # The reasons are checked again before sending: a network partition may have healed while
+        # the call waited.
+        justified = [decision for decision in decisions if self._still_justified(decision)]
         try:
-            if not sent:
+            if not justified:
                 return
-            await self.cloud.terminate([decision.machine.name for decision in sent])
+            await self.cloud.terminate([decision.machine.name for decision in justified])
         except RETRYABLE_ERRORS as error:
             self.context.log_throttled("return", error)
             await self.context.sleep_with_jitter(RETRY_S)
@@ -169,7 +171,7 @@
             for decision in decisions:
                 decision.machine.terminating = False
         now = self.context.now()
-        for decision in sent:
+        for decision in justified:
             machine = decision.machine
             event(
                 log,
@@ -182,5 +184,5 @@
             self.machine_registry.remove(machine.name)
 
     def _still_justified(self, decision: TerminationDecision) -> bool:
-        held = Precondition.REASON_HOLDS if decision.holds() else Precondition(0)
-        return self.context.permits(Action.TERMINATE, held)
+        confirmed = Precondition.REASON_HOLDS if decision.holds() else Precondition(0)
+        return self.context.permits(Action.TERMINATE, confirmed)
--- a/src/salthead/leader/background.py
+++ b/src/salthead/leader/background.py
@@ -1,4 +1,4 @@
-"""Work of a term that runs beside its loops."""
+"""Background tasks of a term, besides its loops."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class BackgroundTasks:
-    """Tasks that run until they are done or the term ends."""
+    """The set of running background tasks, which the term cancels when it ends."""
 
     def __init__(self) -> None:
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something beside the loops until it is done or the term ends."""
-        task = asyncio.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine in the background, and log the exception if it raises one."""
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             error_event(log, "background_task_failed", error)
--- a/src/salthead/leader/cloud.py
+++ b/src/salthead/leader/cloud.py
@@ -1,4 +1,4 @@
-"""Calls of one term to the cloud's interface, within the rate that is its share."""
+"""Calls of one term to the cloud API, within its share of the rate limit."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from salthead.transport.client import HttpClient
 from salthead.transport.limits import TokenBucket
 
-# A quarter is left for the other controllers' reads of machine types.
+# The rest of the rate limit is left for the reads of machine types by the other controllers.
 RATE_SHARE = 0.7
 LIST_PAGE_SIZE = 500
 LIST_TIMEOUT_S, PROVISION_TIMEOUT_S, TERMINATE_TIMEOUT_S = 3.0, 4.0, 4.0
@@ -22,7 +22,7 @@
 
 
 class ProvisionRequest(msgspec.Struct, frozen=True):
-    """POST /hosts. The same name again provisions nothing twice."""
+    """Body of POST /hosts, which is idempotent by name."""
 
     name: str = msgspec.field(name="hire")
     machine_type: str = msgspec.field(name="build")
@@ -32,24 +32,27 @@
 
 
 class TerminateRequest(msgspec.Struct, frozen=True):
-    """POST /hosts/return."""
+    """Body of POST /hosts/return."""
 
     machines: list[str] = msgspec.field(name="saltlicks")
 
 
 class CloudClient:
-    """The cloud's machines: list, provision, terminate."""
+    """Lists, provisions and terminates machines."""
 
     def __init__(self, caller: HttpClient, limits: CloudLimits, now: Callable[[], float]) -> None:
         self.caller = caller
         self.budget = TokenBucket(limits.rps * RATE_SHARE, limits.rps, now)
 
     async def wait_for_turn(self) -> None:
-        """Returns once the rate permits a call."""
+        """Wait until the rate limit permits a call."""
         await self.budget.wait()
 
     async def list_page(self, start: str) -> MachineList:
-        """One page of the machine list, from after a name; RequestRefusedError if it is refused."""
+        """Return the page of the machine list that begins after the name ``start``.
+
+        Raise RequestRefusedError if the cloud refuses.
+        """
         query: dict[str, Any] = {"most": LIST_PAGE_SIZE}
         if start:
             query["from"] = start
@@ -61,9 +64,9 @@
         return shape(answer.body, MachineList)
 
     async def provision(self, request: ProvisionRequest) -> list[str] | None:
-        """The names of the machines that the cloud provisions; None if it has no capacity.
+        """Return the names of the provisioned machines, or None if the cloud has no capacity.
 
-        RequestRefusedError if it refuses for another reason.
+        Raise RequestRefusedError if it refuses for another reason.
         """
         answer = await self.caller.call(
             "POST", wire_names.MACHINES_PATH, request, timeout=PROVISION_TIMEOUT_S
@@ -75,7 +78,10 @@
         return shape(answer.body, ProvisionedMachines).machines
 
     async def terminate(self, names: list[str]) -> None:
-        """Return once the cloud has taken the machines back; RequestRefusedError if it did not."""
+        """Return once the cloud has terminated the machines.
+
+        Raise RequestRefusedError if the cloud refuses.
+        """
         answer = await self.caller.call(
             "POST",
             wire_names.MACHINES_TERMINATE_PATH,
--- a/src/salthead/leader/context.py
+++ b/src/salthead/leader/context.py
@@ -1,4 +1,4 @@
-"""What all loops of one term share: its identity, its clock, and whether it may act."""
+"""The context shared by all loops of a term: its identity, its clock, and whether it may act."""
 
 from __future__ import annotations
 
@@ -13,34 +13,37 @@
 from salthead.state_store.client import Change, ConflictError, StateStore
 from salthead.transport.client import UnansweredError
 
-# A loop whose rounds take long pauses for this many times as long, so that heartbeats have the
-# processor for most of the time whatever the size of the fleet and the queue.
+# Loops sleep for this many times the duration of their last round, which leaves 90 % of the
+# processor time to heartbeats whatever the size of the fleet and the queue.
 PAUSE_FACTOR = 9.0
 
 
 @dataclass(slots=True)
 class TermContext:
-    """One term of one leader, as its loops see it. It knows none of them."""
+    """The identity, clients and limits of a term; it does not depend on the loops that use it."""
 
     fencing_token: int
-    revision: int  # of the leader's key; every write of the term is conditioned on it
+    revision: int  # Of the leader key; every write of the term is conditioned on it.
     lease_id: int
     clock: LeaseClock
     ledger: Ledger
     state_store: StateStore
     limits: Limits
-    state_limits: StateLimits  # of the state service, as all requests keep to them
-    now: Callable[[], float]  # steady time in seconds
+    state_limits: StateLimits  # The limits of the state service that all requests respect.
+    now: Callable[[], float]  # Monotonic time in seconds.
     sleep_with_jitter: Callable[[float], Awaitable[None]]
-    log_throttled: Callable[[str, object], None]  # an error by its kind, counted and logged
+    log_throttled: Callable[[str, object], None]  # Counts an error by kind and logs it.
 
     def valid(self) -> bool:
-        """Whether this term may act now."""
+        """Return whether this term may act now."""
         return self.clock.valid(self.now())
 
-    def permits(self, action: Action, more: int = 0) -> bool:
-        """Whether an action is permitted now, by what is confirmed here and ``more`` facts."""
-        missing = missing_preconditions(action, self.ledger.confirmed_preconditions() | more)
+    def permits(self, action: Action, confirmed: int = 0) -> bool:
+        """Return whether all preconditions of an action hold now, and record it if some don't.
+
+        ``confirmed`` has the bits of preconditions that hold besides those of the ledger.
+        """
+        missing = missing_preconditions(action, self.ledger.confirmed_preconditions() | confirmed)
         if missing:
             self.ledger.blocked_actions.note(action, missing, self.now())
         return not missing
@@ -52,10 +55,10 @@
         bulk: bool = False,
         urgent: bool = False,
     ) -> int:
-        """A write that takes effect only while this term leads; the epoch after it.
+        """Make changes only if this term still leads; return the epoch after the write.
 
-        UnansweredError if the term does not lead any more, ConflictError if another condition
-        failed.
+        Raise UnansweredError if the term does not lead any more, and ConflictError if another
+        condition failed.
         """
         if not self.valid():
             raise UnansweredError("lease not certain")
--- a/src/salthead/leader/controller_interface.py
+++ b/src/salthead/leader/controller_interface.py
@@ -1,4 +1,4 @@
-"""The controller as its term uses it, so that ``leader`` imports nothing of ``controller``."""
+"""The interface of the controller to its term; ``leader`` must not import ``controller``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from salthead.state_store.client import StateStore
 from salthead.transport.client import HttpClient
 
-# Phase, number of tasks, and the time of day of the end if it is known.
+# Phase, number of tasks, and the Unix time of the end if it is known.
 TerminalOutcome = tuple[str, int, float | None]
 
 
@@ -21,23 +21,23 @@
     """Consistent reads of jobs in the state service."""
 
     async def ended(self, job_id: str) -> TerminalOutcome | None:
-        """The outcome of a job, if it has one."""
+        """Return the outcome of a job, or None if it has none."""
 
     async def whole(self, spec: Submission) -> Submission:
-        """A job with all of its dependencies, where its record is continued in further values."""
+        """Return a job with the dependencies that are stored in continuation values."""
 
     async def read(self, job_id: str) -> JobStatus | None:
-        """A job's status; None when it was never accepted."""
+        """Return the status of a job, or None if it was never accepted."""
 
 
 class WorkerSlots(Protocol):
-    """How many calls to workers may be in progress."""
+    """The limit on calls to workers in progress."""
 
     reconcile_slots: int
 
 
 class ControllerInterface(Protocol):
-    """What a term is given of the controller that it leads for."""
+    """The parts of a controller that its term uses."""
 
     settings: Settings
     policy: Policy
@@ -53,26 +53,26 @@
 
     @property
     def job_reader(self) -> JobLookup:
-        """Reads of jobs that the ledger does not hold."""
+        """Return the reader of jobs that are not in the ledger."""
 
     @property
     def sockets(self) -> WorkerSlots:
-        """How the sockets of the process are divided."""
+        """Return the division of the sockets of the process."""
 
     @property
     def terminal_outcomes(self) -> Mapping[str, TerminalOutcome]:
-        """Outcomes that this controller remembers."""
+        """Return the cached outcomes by job id."""
 
     def now(self) -> float:
-        """Steady time in seconds."""
+        """Return the monotonic time in seconds."""
 
     async def sleep_with_jitter(self, seconds: float) -> None:
-        """A pause with jitter."""
+        """Sleep for about ``seconds``, with jitter."""
 
     def log_throttled(self, kind: str, error: object) -> None:
-        """Count an error, and log each kind of them once in a while."""
+        """Count an error, and log errors of the same kind at a limited rate."""
 
     def remember_outcome(
         self, job_id: str, phase: str, task_count: int, at: float | None = None
     ) -> None:
-        """Remember a job's outcome."""
+        """Add a job's outcome to the cache."""
--- a/src/salthead/leader/declared_networks.py
+++ b/src/salthead/leader/declared_networks.py
@@ -1,4 +1,4 @@
-"""The networks that a policy declares, for loops that follow which machines are silent together."""
+"""Silence of the networks that a policy declares."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def network_silence(networks: list[Network]) -> NetworkSilence | None:
-    """Which machines of the declared networks are silent; None where none is declared."""
+    """Return a tracker of silent machines per declared network, or None if none is declared."""
     if not networks:
         return None
-    # Here, so that the libraries are loaded only where networks are declared.
+    # Imported here so that its libraries are loaded only if networks are declared.
     from salthead.networks.directory import NetworkDirectory
     from salthead.networks.silence import NetworkSilence
 
--- a/src/salthead/leader/done_task_pages.py
+++ b/src/salthead/leader/done_task_pages.py
@@ -1,4 +1,4 @@
-"""The pages of done tasks for one term: read from earlier terms, and saved for the next."""
+"""The stored pages of done tasks, loaded from earlier terms and saved for the next."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DoneTaskPages:
-    """Which tasks of unfinished jobs are done, as the state service has it."""
+    """The stored record of which tasks of unfinished jobs are done."""
 
     def __init__(self, context: TermContext) -> None:
         self.context = context
@@ -26,51 +26,51 @@
         return Pages(records.DONE_TASKS, self.context.state_limits.value_kb)
 
     def clear(self) -> None:
-        """Forget what was read, before it is read again."""
+        """Discard the pages before they are loaded again."""
         self.pages = self._empty_pages()
 
     def load(self, pages: dict[str, dict[str, Any]], revisions: dict[str, int]) -> None:
-        """Done tasks as earlier terms saved them, whichever version wrote them."""
-        rewritten = self._load_items(pages, revisions)
-        rewritten |= {parse_item_name(name)[0] for name in self.pages.duplicates}
+        """Load the done tasks that earlier terms saved, in the layout of any version."""
+        to_rewrite = self._load_items(pages, revisions)
+        to_rewrite |= {parse_item_name(name)[0] for name in self.pages.duplicates}
         for name in list(self.pages.page_of):
             if parse_item_name(name)[0] not in self.ledger.jobs:
                 self.pages.drop(name)
-        for job_id in rewritten & self.ledger.jobs.keys():
+        for job_id in to_rewrite & self.ledger.jobs.keys():
             self._rewrite(self.ledger.jobs[job_id])
 
     def _load_items(self, pages: dict[str, dict[str, Any]], revisions: dict[str, int]) -> set[str]:
-        """Take all items in; the jobs of those that were written by another size of segment."""
-        foreign: set[str] = set()
+        """Load all items, and return the jobs that have items with another segment size."""
+        other_size: set[str] = set()
         for key, content in pages.items():
             self.pages.load(key, content, revisions[key])
-            # An item may stand on two pages, if a writer ended between them: what either names is
-            # done.
+            # An item may be on two pages if a writer stopped between writing them. A task that
+            # either of them lists is done.
             for name, item in content.items():
                 job_id, done = self.layout.decode(name, item)
                 job = self.ledger.jobs.get(job_id)
                 if job is not None:
                     self.ledger.job_table.load_done(job, done)
                     if not self.layout.has_own_size(item):
-                        foreign.add(job_id)
-        return foreign
+                        other_size.add(job_id)
+        return other_size
 
     def _rewrite(self, job: Job) -> None:
-        """Write the items of a job once more, as this version writes them."""
+        """Replace the items of a job by those of the current layout."""
         self.put(job, [n for n in range(job.spec.task_count) if job.done[n]])
-        own = set(self.layout.item_names(job.job_id, job.spec.task_count))
+        current_names = set(self.layout.item_names(job.job_id, job.spec.task_count))
         for name in [n for n in self.pages.page_of if parse_item_name(n)[0] == job.job_id]:
-            if name not in own:
+            if name not in current_names:
                 self.pages.drop(name)
 
     def put(self, job: Job, changed: Iterable[int]) -> None:
-        """Put the items that hold these tasks on the pages, as they are now."""
+        """Update the items on the pages that hold the changed tasks."""
         layout = self.layout
         starts: dict[int, None] = dict.fromkeys(layout.start_of(index) for index in changed)
         written_first: list[str] = []
         for start in sorted(starts, reverse=True):
-            # The first item of a segment, whose name every version knows, comes after the others:
-            # it may hold them all as yet.
+            # The first item of a segment, whose name every version reads, is written after the
+            # others: the stored one may still contain all of their tasks.
             end = min(layout.end_of(start), job.spec.task_count)
             name = layout.item_name(job.job_id, start)
             first = start % layout.segment_size == 0
@@ -82,12 +82,12 @@
             written_first = [] if first else [*written_first, name]
 
     def remove(self, job: Job) -> None:
-        """Remove the items of a job that is over."""
+        """Remove the items of a job that is over from the pages."""
         for name in self.layout.item_names(job.job_id, job.spec.task_count):
             self.pages.drop(name)
 
     async def save(self) -> None:
-        """Write the done tasks of jobs that go on."""
+        """Write the unsaved done tasks of unfinished jobs."""
         covered: list[tuple[Job, list[int]]] = []
         for job in self.ledger.ready_jobs.values():
             if job.terminal_phase or not job.unsaved:
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -1,4 +1,4 @@
-"""The loop of one term that follows the links to workers and to the other controllers."""
+"""The loop of one term that observes the connectivity to workers and other controllers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from salthead.transport.client import HttpClient
 
 PEER_CHECK_INTERVAL_S = 2.0
-BLOCKED_SHOWN_S = 60.0
+BLOCKED_ACTION_WINDOW_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAnswer:
-    """What a peer said when it last answered, and when it was asked."""
+    """A peer's latest answer, and when it was requested."""
 
     asked_at: float
     connectivity: PeerConnectivity
@@ -50,7 +50,7 @@
 
 
 class LinkLoop:
-    """Follows the links while the term lasts; what it finds decides nothing by itself."""
+    """Observes the links; its observations permit or block no action by themselves."""
 
     def __init__(
         self,
@@ -66,39 +66,39 @@
             context.ledger, policy, context.now(), network_silence(networks)
         )
         context.ledger.shared_silence = self.silence
-        self.answers: dict[str, PeerAnswer] = {}  # of peers, by member
+        self.peer_answers: dict[str, PeerAnswer] = {}  # By member.
 
     async def loop(self) -> None:
-        """Until the term ends; then this controller confirms nothing any more."""
+        """Observe the links until the term ends, then clear their metrics."""
         try:
             while True:
-                await asyncio.gather(*(self._ask(member) for member in self.peers))
-                began = self.context.now()
+                await asyncio.gather(*(self._ask_peer(member) for member in self.peers))
+                started_at = self.context.now()
                 if self.context.valid():
-                    self._show()
+                    self._update_metrics()
                 await self.context.sleep_with_jitter(
-                    max(PEER_CHECK_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - began))
+                    max(PEER_CHECK_INTERVAL_S, PAUSE_FACTOR * (self.context.now() - started_at))
                 )
         finally:
             metrics.clear_links()
 
-    async def _ask(self, member: str) -> None:
+    async def _ask_peer(self, member: str) -> None:
         sent = self.context.now()
-        found = await ask_connectivity(self.peers[member], leads=True)
-        if found is None:
+        connectivity = await ask_connectivity(self.peers[member], leads=True)
+        if connectivity is None:
             return
-        self.answers[member] = PeerAnswer(sent, found)
-        for seen in found.seen:
-            shows_fencing_token = seen.fencing_token == self.context.fencing_token
+        self.peer_answers[member] = PeerAnswer(sent, connectivity)
+        for heartbeat in connectivity.heartbeats:
+            shows_fencing_token = heartbeat.fencing_token == self.context.fencing_token
             handling.heartbeat_seen_by_peer(
                 self.ledger,
-                seen.worker,
-                (seen.incarnation, seen.sequence),
+                heartbeat.worker,
+                (heartbeat.incarnation, heartbeat.sequence),
                 shows_fencing_token,
                 self.context.now(),
             )
 
-    def _show(self) -> None:
+    def _update_metrics(self) -> None:
         for view in self.worker_views():
             for state in LinkState:
                 metrics.LINK_STATES.labels(view.group, state.value).set(view.counts.get(state, 0))
@@ -110,14 +110,14 @@
         return f"zone {self.ledger.zones[machine.zone]}"
 
     def worker_views(self) -> list[LinkView]:
-        """The links to machines by declared network, or else by zone."""
+        """Return the state of the links to machines, by declared network or else by zone."""
         fresh_s = FRESH_HEARTBEAT_INTERVALS * self.context.limits.workers.heartbeat_interval_s
         return link_views(
             self.ledger.machines.values(), self._group_of, self.context.now(), fresh_s
         )
 
     def overview(self) -> LinkOverview:
-        """The rows of the operators' overview."""
+        """Return the rows about links in the operators' overview."""
         now = self.context.now()
         return LinkOverview(
             links=[_link_row(view) for view in self.worker_views()],
@@ -128,7 +128,7 @@
                     state_service_s=_rounded(answer.connectivity.state_service_s),
                     redirected_workers=answer.connectivity.redirected,
                 )
-                for member, answer in self.answers.items()
+                for member, answer in self.peer_answers.items()
             ],
             blocked_actions=self._blocked_action_rows(now),
             cuts=[
@@ -138,7 +138,7 @@
         )
 
     def _blocked_action_rows(self, now: float) -> list[BlockedActionRow]:
-        recent = self.ledger.blocked_actions.recent(now - BLOCKED_SHOWN_S)
+        recent = self.ledger.blocked_actions.recent(now - BLOCKED_ACTION_WINDOW_S)
         return [
             BlockedActionRow(
                 action=action_name(action),
--- a/src/salthead/leader/machine_list.py
+++ b/src/salthead/leader/machine_list.py
@@ -1,4 +1,4 @@
-"""The loop that reads the cloud's list of machines into the ledger."""
+"""The loop that adds the machines of the cloud's list to the ledger."""
 
 from __future__ import annotations
 
@@ -15,14 +15,13 @@
 
 log = logging.getLogger(__name__)
 
-# Between two readings of the machine list: at least this, and so long that the list, which has a
-# call for each 500 machines, takes no more than this part of the calls; provisions and terminates
-# wait for their turn behind them.
+# The machine list is read at most once per interval and takes at most this share of the rate limit,
+# because it needs one call per 500 machines and provision and terminate calls queue behind them.
 LIST_INTERVAL_S, MAX_LIST_CALL_SHARE = 2.0, 1 / 3
 
 
 class MachineListLoop:
-    """Finds the machines that the cloud has, and those of them that failed."""
+    """Adds listed machines to the ledger, and quarantines those that the cloud lists as failed."""
 
     def __init__(
         self, context: TermContext, cloud: CloudClient, machine_type_records: MachineTypeRecords
@@ -38,13 +37,13 @@
             await self.machine_type_records.update()
             calls = 1
             try:
-                calls = await self.read()
+                calls = await self.read_list()
             except RETRYABLE_ERRORS as error:
                 self.context.log_throttled("cloud list", error)
             await self.context.sleep_with_jitter(self.list_interval_s(calls))
 
     def list_interval_s(self, calls: int) -> float:
-        """The pause in seconds after a reading of the list that took so many calls."""
+        """Return the pause in seconds after reading a list that took ``calls`` calls."""
         reading_s = calls / self.cloud.budget.rate
         return max(
             LIST_INTERVAL_S,
@@ -52,8 +51,8 @@
             reading_s * (1.0 / MAX_LIST_CALL_SHARE - 1.0),
         )
 
-    async def read(self) -> int:
-        """Take in the cloud's list of machines; how many calls that took."""
+    async def read_list(self) -> int:
+        """Add all listed machines to the ledger, and return the number of calls that took."""
         start = ""
         calls = 0
         while True:
@@ -63,12 +62,13 @@
             now = self.context.now()
             for listed in page.machines:
                 start = listed.name
-                if listed.name not in self.ledger.recently_gone:  # else the list lags
-                    self._take(listed, now)
+                # The list lags behind: it may still contain machines that are gone.
+                if listed.name not in self.ledger.recently_gone:
+                    self._add_listed(listed, now)
             if not page.truncated:
                 return calls
 
-    def _take(self, listed: ListedMachine, now: float) -> None:
+    def _add_listed(self, listed: ListedMachine, now: float) -> None:
         known = listed.name in self.ledger.machines
         machine = self.ledger.add_machine(
             listed.name, listed.machine_type, listed.zone, listed.spot, now
--- a/src/salthead/leader/machine_registry.py
+++ b/src/salthead/leader/machine_registry.py
@@ -1,4 +1,4 @@
-"""The machine registry of one term: which machines may run tasks, for the next leader."""
+"""The durable registry of the machines that may run tasks, read by the next leader."""
 
 from __future__ import annotations
 
@@ -16,68 +16,72 @@
 from salthead.state_store.pages import PageBatch, Pages
 
 CHECK_INTERVAL_S = 0.1
-# Machines that are gone are written at most this often, unless others are written with them.
+# Removals alone are written at most this often; otherwise they are written with new machines.
 REMOVAL_INTERVAL_S = 2.0
 
 
 class RegisteredMachine(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """An item of the registry's pages, whose name is the machine's."""
+    """An item of the registry's pages, stored under the machine's name."""
 
     machine_type: str
     zone: str
-    spot: Any  # true or false; truth is what counts
-    endpoint: Any  # text, or nothing where it is not known
+    spot: Any  # Only the truth value counts.
+    endpoint: Any  # Text, or a false value if it is not known.
 
 
 class MachineRegistry:
     """The pages of the machine registry, and the loop that writes them."""
 
-    def __init__(self, context: TermContext, changed: Callable[[], None]) -> None:
-        """``changed`` is called when machines were registered: they may be sent starts now."""
+    def __init__(self, context: TermContext, on_registered: Callable[[], None]) -> None:
+        """Create an empty registry.
+
+        ``on_registered`` is called when start commands may be sent to newly registered machines.
+        """
         self.context = context
-        self.changed = changed
+        self.on_registered = on_registered
         self.ledger = context.ledger
         self.pages = self._empty_pages()
-        self.write_due_at = -1e9
+        self.removals_due_at = -1e9
 
     def _empty_pages(self) -> Pages:
         return Pages(records.MACHINE_REGISTRY, self.context.state_limits.value_kb)
 
     def clear(self) -> None:
-        """Forget what was read, before it is read again."""
+        """Discard the pages before they are loaded again."""
         self.pages = self._empty_pages()
 
     def load(self, rows: dict[str, VersionedValue], now: float) -> None:
-        """Take in the machines that earlier leaders registered."""
+        """Add the machines that earlier leaders registered to the ledger."""
         for key, (value, revision) in rows.items():
             self.pages.load(key, value, revision)
-            for name, found in shape(value, dict[str, RegisteredMachine]).items():
+            for name, item in shape(value, dict[str, RegisteredMachine]).items():
                 machine = self.ledger.add_machine(
-                    name, found.machine_type, found.zone, bool(found.spot), now, registered=True
+                    name, item.machine_type, item.zone, bool(item.spot), now, registered=True
                 )
-                machine.endpoint = machine.endpoint or str(found.endpoint or "")
+                machine.endpoint = machine.endpoint or str(item.endpoint or "")
 
     def remove(self, name: str) -> None:
-        """Remove a machine that was terminated, when there is time for it."""
+        """Remove a terminated machine; the removal is written later."""
         self.pages.drop(name)
 
     async def loop(self) -> None:
-        """A machine is in the registry, durably, before the first start is sent to it."""
+        """Write new machines at once, since none is sent a start command before it is durable."""
         while True:
             self._put_unregistered()
             if self._has_new_machines() or (
-                self.pages.dirty and self.context.now() >= self.write_due_at
+                self.pages.dirty and self.context.now() >= self.removals_due_at
             ):
                 try:
                     batch = await write_pages(self.context, self.pages)
-                    self.write_due_at = self.context.now() + REMOVAL_INTERVAL_S
+                    self.removals_due_at = self.context.now() + REMOVAL_INTERVAL_S
                     self._mark_registered(batch)
-                    self.changed()
+                    self.on_registered()
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
                     self.context.log_throttled("roster", error)
             await self.context.sleep_with_jitter(CHECK_INTERVAL_S)
 
     def _put_unregistered(self) -> None:
+        """Put unregistered machines that are up or were seen in an earlier term on the pages."""
         ledger = self.ledger
         for machine in ledger.unregistered:
             if machine.phase == UP or machine.seen_in_earlier_term:
@@ -94,7 +98,7 @@
                 )
 
     def _has_new_machines(self) -> bool:
-        """Whether a machine waits to be written. Those that are gone wait for the next one."""
+        """Return whether an unregistered machine is on a page that has not been written."""
         return any(
             self.pages.page_of.get(machine.name) in self.pages.dirty
             for machine in self.ledger.unregistered
--- a/src/salthead/leader/machine_type_records.py
+++ b/src/salthead/leader/machine_type_records.py
@@ -1,4 +1,4 @@
-"""Machine types in the state service, for controllers that start while the cloud is down."""
+"""Stored machine types, for controllers that start while the cloud API is unavailable."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class MachineTypeRecords:
-    """Keeps the stored machine types in line with those that the controller knows."""
+    """Keeps the stored machine types up to date with those of the controller."""
 
     def __init__(
         self, context: TermContext, machine_types: Callable[[], Iterable[MachineType]]
     ) -> None:
-        """``machine_types`` returns the types that the controller knows now."""
+        """Create the records; ``machine_types`` returns the types that the controller knows."""
         self.context = context
         self.machine_types = machine_types
         self.stored: list[MachineType] = []
 
     async def update(self) -> None:
-        """Store the machine types if they have changed; errors are logged, and tried again."""
+        """Store the machine types if they have changed; log errors, and retry at the next call."""
         try:
             await self.store()
         except records.RecordTooLargeError as error:
@@ -34,7 +34,7 @@
             self.context.log_throttled("flavors", error)
 
     async def store(self) -> None:
-        """Write the machine types unless they are what was stored last."""
+        """Write the machine types unless they were the last to be stored."""
         machine_types = list(self.machine_types())
         if not machine_types or machine_types == self.stored:
             return
@@ -43,6 +43,6 @@
         rows = dict(records.machine_type_rows(msgspec.to_builtins(machine_types), max_kb))
         changes: list[Change] = [put(key, value) for key, value in rows.items()]
         changes += [delete(key) for key in existing if key not in rows]
-        for at in range(0, len(changes), max_changes):
-            await self.context.transaction({}, changes[at : at + max_changes])
+        for offset in range(0, len(changes), max_changes):
+            await self.context.transaction({}, changes[offset : offset + max_changes])
         self.stored = machine_types
--- a/src/salthead/leader/orphan_jobs.py
+++ b/src/salthead/leader/orphan_jobs.py
@@ -1,4 +1,4 @@
-"""The loop of one term that finds out to which teams orphan tasks belong."""
+"""The loop of one term that finds the teams of orphan tasks."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class OrphanJobsLoop:
-    """Reads the outcomes of jobs that the ledger does not know and that have orphan tasks."""
+    """Reads the outcomes of jobs that have orphan tasks and are not in the ledger."""
 
     def __init__(self, context: TermContext) -> None:
         self.context = context
         self.ledger = context.ledger
 
     async def loop(self) -> None:
-        """Until the term ends; the team of such a job is charged for its tasks from then on."""
+        """Identify the jobs until the term ends, so that their teams are charged for the tasks."""
         while True:
             for job_id in list(self.ledger.unknown_jobs):
                 try:
--- a/src/salthead/leader/overview.py
+++ b/src/salthead/leader/overview.py
@@ -1,6 +1,6 @@
-"""The operators' overview as typed rows, with the key names of the interface.
+"""Typed rows of the operators' overview, with the key names of the API.
 
-The order of the fields is the order of the keys in the answer.
+The keys in the answer have the order of the fields.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class LinkRow(msgspec.Struct, frozen=True):
-    """The links between the leader and the machines of a group."""
+    """State of the links between the leader and the machines of a group."""
 
     group: str
     machines: int
@@ -22,7 +22,7 @@
 
 
 class PeerRow(msgspec.Struct, frozen=True):
-    """What another controller said of itself when it last answered."""
+    """The connectivity that another controller reported in its latest answer."""
 
     member: str = msgspec.field(name="name")
     answered_s: float
@@ -41,7 +41,7 @@
 
 
 class CutRow(msgspec.Struct, frozen=True):
-    """A group of machines that are silent together."""
+    """A group of machines whose silence indicates a network partition."""
 
     group: str
     since_s: float
@@ -57,7 +57,7 @@
 
 
 class JobRow(msgspec.Struct, frozen=True):
-    """One job that is not over."""
+    """A job that is not over."""
 
     job_id: str = msgspec.field(name="uid")
     team: str = msgspec.field(name="crew")
@@ -73,7 +73,7 @@
 
 
 class MachineRow(msgspec.Struct, frozen=True):
-    """One machine of the fleet."""
+    """A machine of the fleet."""
 
     name: str
     machine_type: str = msgspec.field(name="build")
@@ -86,7 +86,7 @@
 
 
 class ZoneRow(msgspec.Struct, frozen=True):
-    """One zone, where the policy has zone recovery."""
+    """A zone; listed only if zone recovery is enabled."""
 
     name: str
     state: str
@@ -99,7 +99,7 @@
 
 
 class NetworkRow(msgspec.Struct, frozen=True):
-    """One declared network, where the policy has zone recovery."""
+    """A declared network; listed only if zone recovery is enabled."""
 
     name: str
     prefix: str
@@ -108,7 +108,7 @@
 
 
 class LinkOverview(msgspec.Struct, frozen=True):
-    """What a leader whose policy follows partial cuts knows of its links."""
+    """Rows about links, which exist only if the policy for partial partitions is enabled."""
 
     links: list[LinkRow]
     controllers: list[PeerRow]
@@ -117,9 +117,9 @@
 
 
 class Overview(msgspec.Struct, frozen=True, kw_only=True):
-    """Queue and fleet, cut to what fits into an answer.
+    """Queue and fleet, truncated to what fits into an answer.
 
-    The first four are there only where the policy follows partial cuts.
+    The first four fields are set only if the policy for partial partitions is enabled.
     """
 
     links: list[LinkRow] | msgspec.UnsetType = msgspec.UNSET
--- a/src/salthead/leader/page_writer.py
+++ b/src/salthead/leader/page_writer.py
@@ -1,4 +1,4 @@
-"""Writing pages of a term to the state service, a transaction at a time."""
+"""Transactions that write the pages of a term to the state service."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 from salthead.state_store.client import ConflictError, delete, put
 from salthead.state_store.pages import PageBatch, Pages
 
-BATCH_KB = 56.0  # of a transaction's 64 KiB
+BATCH_KB = 56.0  # A transaction has at most 64 KiB.
 
 
 async def write_pages(context: TermContext, pages: Pages) -> PageBatch:
-    """Write in one transaction what the service lacks of these pages; returns what was written."""
+    """Write unwritten pages in one transaction, as many as fit, and return them.
+
+    Raise ConflictError, after reading the stored revisions, if an earlier write took effect.
+    """
     batch = pages.batch(context.state_limits.txn_ops, BATCH_KB)
     if not batch:
         return batch
@@ -24,7 +27,8 @@
             bulk=True,
         )
     except ConflictError:
-        # An earlier try took effect after all; what it wrote is replaced.
+        # An earlier write without an answer took effect. With the stored revisions the next write
+        # replaces it.
         for page in batch:
             row = await context.state_store.get(pages.key(page))
             pages.revisions[page] = row.revision if row is not None else 0
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -1,4 +1,4 @@
-"""What a controller asks the other controllers, as typed answers."""
+"""Calls of a controller to its peers, with typed answers."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from salthead.transport.client import HttpClient, UnansweredError
 
 LEADS_FIELD = "leads"
-CONNECTIVITY_TIMEOUT_S = 1.0  # for an answer to a question that is answered from memory
+CONNECTIVITY_TIMEOUT_S = 1.0  # Peers answer from memory.
 
 
 class PeerHeartbeat(NamedTuple):
-    """A worker's heartbeat that came to a peer."""
+    """A worker's heartbeat that a peer received."""
 
     worker: str
     incarnation: int
     sequence: int
-    fencing_token: int  # that the worker had accepted
+    fencing_token: int  # The latest one that the worker had accepted.
 
 
 @dataclass(frozen=True, slots=True)
 class PeerConnectivity:
-    """What a peer says of its own links."""
+    """The connectivity that a peer reports."""
 
-    redirected: int  # workers that came to it lately although it does not lead
-    state_service_s: float | None  # since when the state service has not answered it
-    seen: list[PeerHeartbeat]  # heartbeats that came to it lately although it does not lead
+    redirected: int  # Workers that recently sent heartbeats to it although it does not lead.
+    state_service_s: float | None  # Seconds since the state service last answered it.
+    heartbeats: list[PeerHeartbeat]  # Recently received although it does not lead.
 
 
 async def ask_connectivity(peer: HttpClient, leads: bool = False) -> PeerConnectivity | None:
-    """Ask a peer what it reaches; None when it does not answer.
+    """Return the connectivity that a peer reports, or None if it does not answer.
 
-    ``leads``: by a leader that wants to know which heartbeats came there instead. The version in
-    production ignores that, and names none.
+    With ``leads``, a leader also asks for the heartbeats that the peer received in its place. The
+    version in production ignores the field and lists none.
     """
     body = {LEADS_FIELD: True} if leads else None
     try:
@@ -63,7 +63,7 @@
 
 
 async def ask_to_withhold_vote(peer: HttpClient, member: str, timeout: float) -> bool:
-    """Whether a peer promises ``member``, which leads, not to stand for a while."""
+    """Return whether a peer promises the leader ``member`` not to campaign for a while."""
     try:
         answer = await peer.call(
             "POST", wire_names.PEER_WITHHOLD_VOTE_PATH, {"member": member}, timeout=timeout
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -1,4 +1,4 @@
-"""What operators see of a term: queue and fleet, as the rows of the overview."""
+"""The overview of queue and fleet for operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from salthead.leader.overview import JobRow, MachineRow, NetworkRow, Overview, TeamRow, ZoneRow
 from salthead.zones.views import ZoneView, waiting_reason, zone_views
 
-if TYPE_CHECKING:  # these load libraries that only some policies need
+if TYPE_CHECKING:  # These modules load libraries that only some policies need.
     from salthead.leader.link_loop import LinkLoop
     from salthead.leader.zone_loop import ZoneLoop
     from salthead.networks.silence import NetworkView
@@ -38,7 +38,7 @@
 
 
 class Views:
-    """What operators are shown of one term."""
+    """Builds the overview of one term."""
 
     def __init__(
         self,
@@ -55,13 +55,13 @@
         self.now = context.now
 
     def overview(self) -> Overview:
-        """Queue and fleet for operators, cut to what fits into an answer."""
+        """Return the overview, truncated to what fits into an answer."""
         ledger, now = self.ledger, self.now()
         recovery = self.zone_loop.recovery if self.zone_loop is not None else None
         links = self.link_loop.overview() if self.link_loop is not None else None
         jobs = sorted(ledger.jobs.values(), key=lambda job: job.spec.at)
         machines = sorted(ledger.machines.values(), key=lambda machine: machine.name)
-        found = Overview(
+        overview = Overview(
             leader=self.member,
             fencing_token=self.context.fencing_token,
             ready=ledger.ready,
@@ -79,9 +79,9 @@
             else [],
         )
         if links is None:
-            return found
+            return overview
         return msgspec.structs.replace(
-            found,
+            overview,
             links=links.links,
             controllers=links.controllers,
             blocked_actions=links.blocked_actions,
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -60,7 +60,10 @@
     async def _post_commands(
         self, machine: Machine, incarnation: int, commands: list[Command], timeout: float
     ) -> Answer:
-        """Send a command request with this term's fencing token; raise UnansweredError."""
+        """Send a command request with this term's fencing token.
+
+        Raise UnansweredError if the worker does not answer.
+        """
         body = CommandRequest(self.context.fencing_token, incarnation, commands)
         sent = self.context.now()
         try:
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -1,4 +1,4 @@
-"""The loop of one term that follows the zones and keeps their records in the state service."""
+"""The loop of one term that observes the zones and stores their states."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ZoneLoop:
-    """Observes the zones each second; what changed is written behind."""
+    """Observes the zones each second, and writes changed states to the state service."""
 
     def __init__(
         self,
@@ -40,18 +40,19 @@
         context.ledger.zone_hooks = self.recovery
 
     async def loop(self) -> None:
-        """Until the term ends; then this controller says nothing of zones any more."""
+        """Observe the zones until the term ends, then clear their metrics."""
         try:
             await self._load()
-            await self._follow()
+            await self._observe_until_cancelled()
         finally:
             metrics.clear_zones()
 
-    async def _follow(self) -> None:
+    async def _observe_until_cancelled(self) -> None:
         while True:
-            if self.context.valid():  # else others lead, and what is silent here says nothing
+            # Once another controller leads, silence towards this one is no evidence.
+            if self.context.valid():
                 self.recovery.observe(self.context.now())
-                self._show()
+                self._update_metrics()
             try:
                 await self._write()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
@@ -59,7 +60,7 @@
             await self.context.sleep_with_jitter(OBSERVE_INTERVAL_S)
 
     async def _load(self) -> None:
-        """Go on from the records; without them, the zones are as they are seen."""
+        """Load the stored states; give up, and use only observations, once the ledger is ready."""
         while not self.context.ledger.ready:
             try:
                 rows, _ = await self.context.state_store.list_prefix(records.ZONES)
@@ -74,16 +75,16 @@
     async def _write(self) -> None:
         now = self.context.now()
         rows = list(self.recovery.records.unwritten(now).items())
-        most = self.context.state_limits.txn_ops
-        for at in range(0, len(rows), most):
-            part = rows[at : at + most]
-            covered = self.recovery.records.covered([zone for zone, _ in part], now)
+        batch_size = self.context.state_limits.txn_ops
+        for offset in range(0, len(rows), batch_size):
+            batch = rows[offset : offset + batch_size]
+            covered = self.recovery.records.covered([zone for zone, _ in batch], now)
             await self.context.transaction(
-                {}, [put(key, value) for _, (key, value) in part], bulk=True
+                {}, [put(key, value) for _, (key, value) in batch], bulk=True
             )
             self.recovery.records.mark_written(covered)
 
-    def _show(self) -> None:
+    def _update_metrics(self) -> None:
         for view in zone_views(self.recovery, self.context.now()):
             for phase in ZonePhase:
                 metrics.ZONE_STATES.labels(view.name, phase.value).set(view.phase is phase)
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -373,7 +373,7 @@
         ("plan of the fleet", bench.of_work(plan_fleet), PLANS_PER_S),
         (
             "account of the cost",
-            bench.of_work(lambda: term.fleet_metrics.account(now())),
+            bench.of_work(lambda: term.fleet_metrics.account_cpu_time(now())),
             ACCOUNTS_PER_S,
         ),
         ("log line", bench.of_work(write_lines, REQUESTS), LOG_LINES_PER_S),
