--- a/src/salthead/leader/context.py
+++ b/src/salthead/leader/context.py
@@ -1,4 +1,4 @@
-"""The context shared by all loops of a term: its identity, its clock, and whether it may act."""
+"""The context shared by all loops of a term: its identity, its lease, and whether it may act."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     fencing_token: int
     revision: int  # Of the leader key; every write of the term is conditioned on it.
     lease_id: int
-    clock: LeaseClock
+    lease_clock: LeaseClock
     ledger: Ledger
     state_store: StateStore
     limits: Limits
@@ -36,7 +36,7 @@
 
     def valid(self) -> bool:
         """Return whether this term may act now."""
-        return self.clock.valid(self.now())
+        return self.lease_clock.valid(self.now())
 
     def permits(self, action: Action, confirmed: int = 0) -> bool:
         """Return whether all preconditions of an action hold now, and record it if some don't.
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -47,7 +47,7 @@
 
     async def renew_loop(self) -> None:
         """Renew the lease until it has ended or another controller leads."""
-        ttl = self.context.clock.ttl
+        ttl = self.context.lease_clock.ttl
         while True:
             if self.context.ledger.newer_fencing_token:
                 self._log_ending("deposed")
@@ -55,7 +55,7 @@
             sent = self.context.now()
             try:
                 await self.context.state_store.renew_lease(self.context.lease_id, timeout=ttl / 4)
-                self.context.clock.renewed(sent)
+                self.context.lease_clock.renewed(sent)
                 self.renewal_failed = False
                 await asyncio.sleep(ttl / 5)
             except LeaseExpiredError:
@@ -82,7 +82,7 @@
     async def stickiness_loop(self) -> None:
         """Ask all peers to promise not to campaign, as long as renewals of the lease fail."""
         peers = self.peers
-        interval_s = stickiness_s(self.context.clock.ttl) / 5
+        interval_s = stickiness_s(self.context.lease_clock.ttl) / 5
         while True:
             await asyncio.sleep(interval_s)
             if not peers or len(peers) + 1 < self.context.limits.initial_size:
@@ -97,7 +97,7 @@
                     for peer in peers.values()
                 )
             )
-            withheld_by_all = all(promises) and self.context.clock.votes_withheld_by_all(
+            withheld_by_all = all(promises) and self.context.lease_clock.votes_withheld_by_all(
                 sent, self.context.now()
             )
             if withheld_by_all != self.votes_withheld:
--- a/src/salthead/leader/machine_list.py
+++ b/src/salthead/leader/machine_list.py
@@ -15,8 +15,8 @@
 
 log = logging.getLogger(__name__)
 
-# The machine list is read at most once per interval and takes at most this share of the rate limit,
-# because it needs one call per 500 machines and provision and terminate calls queue behind them.
+# The machine list is read at most once per interval and takes at most this share of the permitted
+# calls, because it needs one per 500 machines, and provision and terminate calls queue behind them.
 LIST_INTERVAL_S, MAX_LIST_CALL_SHARE = 2.0, 1 / 3
 
 
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -75,8 +75,6 @@
         self.write_requested = asyncio.Event()
         self.waiters: dict[str, asyncio.Future[None]] = {}  # Cancel requests by job id.
 
-    # -- interface ----------------------------------------------------------------------
-
     def request_write(self, job: Job) -> None:
         """Request that the outcome of a complete or cancelled job be written."""
         if not job.terminal_phase:
@@ -112,8 +110,6 @@
         waiter = self.waiters.setdefault(job.job_id, asyncio.get_running_loop().create_future())
         await asyncio.shield(waiter)
 
-    # -- writing ------------------------------------------------------------------------
-
     async def loop(self) -> None:
         """Write outcomes as soon as there are any, because dependent jobs start only then."""
         try:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -107,7 +107,7 @@
             fencing_token=fencing_token,
             revision=revision,
             lease_id=lease_id,
-            clock=clock,
+            lease_clock=clock,
             ledger=self.ledger,
             state_store=controller.state_store,
             limits=controller.limits,
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -126,7 +126,8 @@
                 and machine.endpoint
                 and not machine.terminating
             ]
-            # Each round is awaited: rounds started at each heartbeat interval would pile up.
+            # Calls are limited to the slots, and each round is awaited: rounds started at every
+            # heartbeat interval would pile up.
             await _call_each(unresponsive, self._probe, self.reconcile_slots)
 
     async def probe_unreachable_loop(self) -> None:
@@ -161,7 +162,7 @@
         A machine whose lease has expired gets work again only if its heartbeats arrive as well,
         because start commands are sent in the answers to heartbeats. Without the call, a machine
         that had received nothing for longer than a lease was never reconciled again; 98 such
-        machines were terminated in one simulation of one-way network failures.
+        machines were terminated in one run with one-way network failures.
         """
         if machine.reconciled:
             return False
@@ -176,7 +177,8 @@
             for machine in self.ledger.machines.values()
             if machine.endpoint
             and not machine.terminating
-            and machine.unresponsive_since is None  # See probe_unresponsive_loop.
+            # The others are called by probe_unresponsive_loop.
+            and machine.unresponsive_since is None
             and (
                 machine.phase == LOST
                 or (
@@ -210,7 +212,9 @@
         for binding in requested:
             machine = binding.machine
             if binding.stop_grace_s is None or binding.stop_sent or not binding.phase:
-                continue  # A task not yet in a heartbeat is stopped in the answer to one.
+                # A task that no heartbeat has reported yet is stopped in the answer to the first
+                # heartbeat that does.
+                continue
             if (
                 machine.reconciled
                 and machine.endpoint
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -66,7 +66,9 @@
             # Counting requests without a grant delayed each failover by a third of a lease.
             members &= {key.removeprefix(records.DELEGATIONS) for key in grants}
         if members:
-            context.ledger.leases.counted_from = counted_until(context.now(), context.clock.ttl)
+            context.ledger.leases.counted_from = counted_until(
+                context.now(), context.lease_clock.ttl
+            )
 
     async def loop(self) -> None:
         """Watch for the requests of controllers, and grant them."""
@@ -96,9 +98,9 @@
         context = self.context
         if not context.ledger.ready:
             return  # A delegated zone would delay the failover for as long as the partition lasts.
-        # The ledger counts the delegation before it is written, so that it is not ended too early
-        # whatever the result of the write is.
-        until = counted_until(context.now(), context.clock.ttl)
+        # The ledger counts the delegation before it is written, so that its assumed end is never
+        # too early, whatever the result of the write.
+        until = counted_until(context.now(), context.lease_clock.ttl)
         if context.ledger.leases.delegate_zone(str(request.get("area")), until):
             delegation = {"token": context.fencing_token, "nonce": request.get("nonce")}
             await context.transaction(
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -49,7 +49,7 @@
 
     async def _observe_until_cancelled(self) -> None:
         while True:
-            # Once another controller leads, silence towards this one is no evidence.
+            # Without a valid lease another controller may lead, and silence here is no evidence.
             if self.context.valid():
                 self.recovery.observe(self.context.now())
                 self._update_metrics()
