--- a/src/salthead/cluster/allocations.py
+++ b/src/salthead/cluster/allocations.py
@@ -1,4 +1,4 @@
-"""Which task is bound to which machine, and what that takes of machines and of team quotas."""
+"""Bindings of tasks to machines, and their usage of machine capacity and team quotas."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 
 log = logging.getLogger(__name__)
 
-# An attempt is the term's token and a counter, so no two starts of any terms share one.
-ATTEMPT_BITS = 24
+# An attempt number is the fencing token, shifted by these bits, and a counter of the term, so it is
+# unique across terms.
+ATTEMPT_COUNTER_BITS = 24
 
 
 class Allocations:
-    """Bindings, with their bookings. It alone binds and releases tasks and writes what is used."""
+    """All bindings and the usage that they cause; the only code that changes either."""
 
     def __init__(
         self, teams: list[Team], fencing_token: int, jobs: JobTable, invariants: Invariants
@@ -31,25 +32,28 @@
         self.invariants = invariants
         self.events = jobs.events
         self.attempts = 0  # in this term
-        self.usage = [[0.0, 0.0] for _ in teams]  # CPUs and GPUs that are booked, by team
+        self.usage = [[0.0, 0.0] for _ in teams]  # allocated CPUs and GPUs, by team
         self.team_limits = [(team.max_cpus, team.max_gpus) for team in teams]
-        self.bound_by_priority = [0] * len(wire_names.URGENCIES)  # tasks bound, by urgency
-        self.stops: list[Binding] = []  # wanted since they were last sent directly
+        self.bound_by_priority = [0] * len(wire_names.URGENCIES)  # number of bound tasks
+        self.stops: list[Binding] = []  # requested since the last call of take_stops
 
     def next_attempt(self) -> int:
-        """A number that no other attempt of any term has."""
+        """Return an attempt number that is unique across terms."""
         self.attempts += 1
-        return (self.fencing_token << ATTEMPT_BITS) | self.attempts
+        return (self.fencing_token << ATTEMPT_COUNTER_BITS) | self.attempts
 
-    def book(self, machine: Machine, request: Resources, team: int, sign: float) -> None:
-        """Book a task's need on a machine and its team, or take the booking back."""
+    def adjust_usage(self, machine: Machine, request: Resources, team: int, sign: float) -> None:
+        """Add a task's request to the usage of a machine and a team, or subtract it.
+
+        ``sign`` is 1.0 or -1.0. A negative ``team`` stands for an unknown one.
+        """
         allocated = machine.allocated
         allocated.cpus += sign * request.cpus
         allocated.gpus += sign * request.gpus
         allocated.memory_gb += sign * request.memory_gb
         if sign < 0:
             machine.has_freed_capacity = True
-            if not machine.busy():  # what rounding left
+            if not machine.busy():  # clear rounding errors
                 machine.allocated = ResourceUsage()
         self.capacity_index.reindex(machine)
         if team >= 0:
@@ -66,29 +70,33 @@
         now: float,
         granted: bool = False,
     ) -> Binding:
-        """Bind a task to a machine, with its bookings.
+        """Bind a task to a machine and add its request to their usage.
 
-        ``granted``: by a new decision to start it, which its team's limit has to allow.
+        ``granted``: a new decision to start the task, so that its team's limit applies.
         """
-        sound = self.invariants.may_bind(job, index, machine, granted)
+        allowed = self.invariants.may_bind(job, index, machine, granted)
         binding = Binding(job, index, attempt, machine, job.request, job.team, since=now)
-        binding.rejected = not sound
+        binding.rejected = not allowed
         if index in job.bindings or (job.job_id, index) in machine.bindings:
-            # Put in the place of the one that there is, that one would never be released.
+            # If this replaced the existing binding, that one would never be released.
             return binding
         machine.bindings[(job.job_id, index)] = binding
-        machine.unchanged = False
+        machine.nothing_pending = False
         job.bindings[index] = binding
         self.bound_by_priority[job.priority] += 1
-        self.book(machine, job.request, job.team, 1.0)
-        if not sound:
+        self.adjust_usage(machine, job.request, job.team, 1.0)
+        if not allowed:
             self.request_stop(binding, 0.0)
         return binding
 
     def release(
         self, binding: Binding, now: float, proof: ReleaseReason, detail: object = ""
     ) -> None:
-        """The task is certainly not on the machine any more."""
+        """Release a task that is certainly not on its machine any more.
+
+        An unfinished task of an array job waits for a machine again; for an unfinished gang, the
+        whole attempt ends.
+        """
         job = binding.job
         assert job is not None
         self._record_release(binding, proof, detail)
@@ -126,26 +134,26 @@
     def _unbind(self, job: Job, binding: Binding) -> None:
         machine = binding.machine
         machine.bindings.pop((job.job_id, binding.index), None)
-        machine.unchanged = False
+        machine.nothing_pending = False
         job.bindings.pop(binding.index, None)
         self.bound_by_priority[job.priority] -= 1
-        self.book(machine, binding.request, binding.team, -1.0)
+        self.adjust_usage(machine, binding.request, binding.team, -1.0)
 
     def move(self, binding: Binding, machine: Machine, now: float) -> None:
-        """Bind a gang's member, whose start no answer has carried, to another machine."""
+        """Bind a task, whose start no answer has carried yet, to another machine."""
         job = binding.job
         assert job is not None and binding.start_unsent()
         self._unbind(job, binding)
         self.bind(job, binding.index, machine, binding.attempt, now)
 
     def set_priority(self, job: Job, priority: int) -> None:
-        """Change the urgency of a job, and that of its bound tasks."""
+        """Change a job's priority and the count of bound tasks by priority."""
         self.bound_by_priority[job.priority] -= len(job.bindings)
         job.priority = priority
         self.bound_by_priority[job.priority] += len(job.bindings)
 
     def fail_gang(self, job: Job, now: float, why: str) -> None:
-        """A gang's attempt is over: the tasks left of it go before it is drawn anew."""
+        """End a gang's attempt: stop its remaining tasks before the gang is placed again."""
         job.failed = True
         event(log, "gang_attempt_over", job=job.job_id, attempt=job.attempt, why=why)
         for other in list(job.bindings.values()):
@@ -153,26 +161,26 @@
                 self.request_stop(other, 0.0)
 
     def stop_gang(self, job: Job, grace_s: float, why: str) -> None:
-        """Stop a whole gang in order: each member may save its progress within the grace."""
+        """Stop a whole gang; each task may save its progress within the grace period."""
         event(log, "gang_stopped", job=job.job_id, why=why)
         job.failed = True
         for binding in job.bindings.values():
             self.request_stop(binding, grace_s)
 
     def request_stop(self, binding: Binding, grace_s: float) -> None:
-        """Ask for a task's stop; a shorter grace replaces a longer one."""
+        """Request the stop of a task; a shorter grace period replaces a longer one."""
         if binding.stop_grace_s is None or grace_s < binding.stop_grace_s:
             binding.stop_grace_s = grace_s
             binding.stop_sent = False
-            binding.machine.unchanged = False
+            binding.machine.nothing_pending = False
             self.stops.append(binding)
 
     def stop_all(self, job: Job) -> None:
-        """Ask for the stop of all that is bound of a job, without grace."""
+        """Request the stop of all bound tasks of a job, without a grace period."""
         for binding in list(job.bindings.values()):
             self.request_stop(binding, 0.0)
 
     def take_stops(self) -> list[Binding]:
-        """The stops that were wanted since the last call."""
+        """Return the stops that were requested since the last call."""
         stops, self.stops = self.stops, []
         return stops
--- a/src/salthead/cluster/dependencies.py
+++ b/src/salthead/cluster/dependencies.py
@@ -104,7 +104,7 @@
             self.events.aborts_pending()
             self.events.changed()
 
-    def ended(self, job: Job, phase: str, now: float) -> None:
+    def end_job(self, job: Job, phase: str, now: float) -> None:
         """A job's outcome is durable: what awaits it is ready, or ends with it."""
         self.pending_aborts.pop(job.job_id, None)
         if phase == wire_names.DONE:
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -1,12 +1,14 @@
 """The leader's ledger: machines, jobs, and which task is bound to which machine.
 
-Pure: the caller passes the time. A task is *bound* from the decision to place it until it is
-certain that it is not on its machine: a heartbeat without it that is newer than the answer that
-ordered it, a newer incarnation, the end of the worker's lease, or the cloud's word that the machine
-is gone. While it is bound it holds its booking on the machine, its team's quota and its zone.
-
-The parts of the ledger each write their own fields: ``MachineRegistry``, ``JobTable``,
-``Allocations``, ``JobDependencies`` and ``OrphanTasks``. Its public attributes refer to theirs.
+The ledger does no I/O and reads no clock: callers pass the time. A task is *bound* from the
+decision to place it until it is certain that it is not on its machine. Proof of that is a heartbeat
+that does not list the task and is newer than the answer that ordered its start, a newer
+incarnation, the end of the worker's lease, or the cloud's confirmation that the machine is
+terminated. A bound task occupies capacity on its machine and in its zone, and counts against its
+team's quota.
+
+``MachineRegistry``, ``JobTable``, ``Allocations``, ``JobDependencies`` and ``OrphanTasks`` each
+write their own part of the state. The public attributes of ``Ledger`` are references to theirs.
 """
 
 from __future__ import annotations
@@ -47,14 +49,14 @@
 LEADER_LEASE, TOKEN_CURRENT = int(Precondition.LEADER_LEASE), int(Precondition.TOKEN_CURRENT)
 JOBS_KNOWN, FLEET_RECONCILED = int(Precondition.JOBS_KNOWN), int(Precondition.FLEET_RECONCILED)
 
-# A heartbeat is overdue when the last one is older than this many intervals.
+# A machine's heartbeat is overdue when its last one is older than this many intervals.
 OVERDUE_HEARTBEAT_INTERVALS = 3.0
-# How long after the start of a term workers may take to find the leader, beyond one period.
-DISCOVERY_S = 1.0
+# Time that workers may take to find a new leader, on top of one heartbeat interval.
+LEADER_DISCOVERY_S = 1.0
 
 
 class Ledger:
-    """What one leader knows and has decided, for one term."""
+    """What one leader knows and has decided during one term."""
 
     def __init__(
         self,
@@ -67,18 +69,19 @@
         self.fencing_token = fencing_token
         self.term_started_at = now
         self.unloaded_grace_s = unloaded_grace_s(limits.workers.lease_s, limits.workers.cancel_s)
-        # Submission times are kept as times of day; here all else is in steady time.
+        # Wall clock minus monotonic clock: records hold submission times as wall-clock times, and
+        # all other times in the ledger are monotonic.
         self.wall_ahead = 0.0 if wall is None else wall - now
         self.loaded = False  # the records of earlier leaders have been read
-        self.ready = False  # and all machines are accounted for
+        self.ready = False  # loaded, and every registered machine is reconciled
         self.newer_fencing_token = 0
         self.events = LedgerEvents()
         self.blocked_actions = BlockedActions()
-        self.zone_hooks: ZoneHooks | None = None  # where the policy enables them
-        self.shared_silence: SilenceHooks | None = None  # where the policy enables it
-        # A worker whose heartbeat is not answered turns to one of them.
+        self.zone_hooks: ZoneHooks | None = None  # set where the policy enables zone recovery
+        self.shared_silence: SilenceHooks | None = None  # set where the policy enables it
+        # Whether a worker whose heartbeat is not answered has another controller to try.
         self.other_controllers = limits.initial_size > 1
-        # Whether the lease on the lead is certain now; the term knows.
+        # Whether the leader's lease is certainly valid now; set by the term.
         self.leader_lease_valid: Callable[[], bool] = lambda: True
         self._init_machines(now)
         self._init_jobs(now)
@@ -123,11 +126,11 @@
         self.pending_aborts = self.dependencies.pending_aborts
 
     def _init_scheduling(self) -> None:
-        """What scheduling and autoscaling keep from one pass to the next."""
+        """Create the state that scheduling and autoscaling keep between passes."""
         teams = self.limits.teams
         self.guarantees = [(team.guaranteed_cpus, team.guaranteed_gpus) for team in teams]
         self.limit_logged_at = [-math.inf for _ in teams]
-        # Until then no quota is kept for gangs
+        # By team: no quota is reserved for its gangs before this time.
         self.reservation_paused_until = [0.0 for _ in teams]
         self.pending = PendingQueue()
         objective = next((one for one in self.limits.objectives if one.kind == "guarantee"), None)
@@ -137,11 +140,10 @@
             else StartAttainment(0, 1)
         )
 
-    # -- evidence -----------------------------------------------------------------------
+    # -- preconditions -----------------------------------------------------------------------
 
     def confirmed_preconditions(self) -> int:
-        """What is confirmed now of the lead, the jobs and the fleet, as bits of
-        ``Precondition``."""
+        """Return which preconditions on the lead, the jobs and the fleet hold now, as bits."""
         held = LEADER_LEASE if self.leader_lease_valid() else 0
         if not self.newer_fencing_token:
             held |= TOKEN_CURRENT
@@ -152,11 +154,11 @@
         return held
 
     def may_schedule(self, job: Job) -> bool:
-        """Whether all tasks of the job are accounted for: the fact ``TASK_NOWHERE``.
+        """Return whether every task of the job is accounted for (``TASK_NOWHERE``).
 
-        Until every machine of the machine registry is, a task that no heartbeat shows may be on one
-        that is silent. A job accepted after this term began can't be: no earlier leader could start
-        it.
+        Until every registered machine is reconciled, a task that no heartbeat lists may be running
+        on a silent machine. That is impossible for a job accepted in this term, since no earlier
+        leader can have started it.
         """
         if self.ready:
             return True
@@ -166,32 +168,32 @@
         )
 
     def unreconciled_capacity(self) -> tuple[float, float]:
-        """CPUs and GPUs that tasks of any team may be taking on unreconciled machines."""
+        """Return the CPUs and GPUs that any team's tasks may occupy on unreconciled machines."""
         return (0.0, 0.0) if self.ready else self.failover.unreconciled_capacity()
 
     def heartbeats_expected(self, now: float) -> bool:
-        """Whether machines that are well have had the time to find this leader."""
+        """Return whether every healthy machine has had time to find this leader."""
         interval_s = self.limits.workers.heartbeat_interval_s
-        return now - self.term_started_at > DISCOVERY_S + interval_s
+        return now - self.term_started_at > LEADER_DISCOVERY_S + interval_s
 
     def heartbeat_counts(self, now: float) -> tuple[int, int]:
-        """How many machines that are up have sent a heartbeat lately, and how many have not."""
+        """Return how many machines that are up have a recent heartbeat, and how many do not."""
         up = [m for m in self.machines.values() if m.phase == UP]
-        late = now - OVERDUE_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
-        on_time = sum(1 for m in up if m.last_heartbeat_at >= late)
+        overdue_at = now - OVERDUE_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
+        on_time = sum(1 for m in up if m.last_heartbeat_at >= overdue_at)
         return on_time, len(up) - on_time
 
     # -- jobs -----------------------------------------------------------------------------
 
     def run_s(self, job: Job) -> float:
-        """How long one of the job's tasks should run, by its owner's estimate and by experience."""
+        """Return the expected run time of a task: the owner's estimate, corrected by history."""
         return self.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
 
     def add_job(self, spec: Submission, now: float, accepted_this_term: bool = False) -> Job | None:
-        """Take an accepted job in; None when its team is unknown to these settings."""
-        found = self.jobs.get(spec.job_id)
-        if found is not None:
-            return found
+        """Add an accepted job if it is new; return None if the settings lack its team."""
+        known = self.jobs.get(spec.job_id)
+        if known is not None:
+            return known
         submitted = min(now, spec.at - self.wall_ahead) if spec.at else now
         job = self.job_table.add(spec, now, submitted, accepted_this_term)
         if job is not None:
@@ -200,10 +202,11 @@
         return job
 
     def request_cancel(self, job: Job) -> None:
-        """A user has asked to cancel the job: nothing of it starts any more, and what runs stops.
+        """Start no more tasks of a job whose user asked to cancel it, and stop its running tasks.
 
-        That is no outcome yet, and no status shows it; but whatever a job does after its user has
-        asked is of no use, and another controller may confirm the outcome before this one knows.
+        The request is not an outcome, and no status shows it. Tasks are stopped before the outcome
+        is durable because their work is no longer of use, and because another controller may
+        confirm the cancellation to the user first.
         """
         if job.cancel_requested:
             return
@@ -213,25 +216,25 @@
         self.events.changed()
 
     def end_job(self, job: Job, phase: str, now: float) -> None:
-        """The outcome is durable: stop what is left and forget the job once it is gone."""
+        """Apply a durable outcome; the job is forgotten once none of its tasks is bound."""
         job.terminal_phase = phase
         job.unsaved.clear()
-        self.dependencies.ended(job, phase, now)
+        self.dependencies.end_job(job, phase, now)
         if phase == wire_names.ABORTED:
             self.allocations.stop_all(job)
         self.job_table.forget(job)
         self.events.changed()
 
     def resolve_dependency(self, job_id: str, phase: str, at: float | None, now: float) -> None:
-        """What a record says of a job that others await, and that ended before this term.
+        """Apply the recorded outcome of a dependency that ended before this term.
 
-        ``at`` is the time of day; clocks differ within their bound, so it is no later than now.
+        ``at`` is a wall-clock time. It is capped at ``now``, since clocks of controllers differ.
         """
         ended_at = now if at is None else min(now, at - self.wall_ahead)
         self.dependencies.resolve(job_id, phase, ended_at)
 
     def phase_of(self, job: Job) -> tuple[str, int, int]:
-        """Phase, tasks done and tasks running, as a job's status shows them."""
+        """Return the phase, the tasks done and the tasks running, as a job's status shows them."""
         running = sum(
             1
             for b in job.bindings.values()
@@ -247,12 +250,10 @@
         )
         return phase, job.n_done, running
 
-    # -- bindings -------------------------------------------------------------------------
-
     # -- machines -----------------------------------------------------------------------
 
     def set_machine_types(self, machine_types: Iterable[MachineType]) -> None:
-        """Take the cloud's machine types in."""
+        """Add or update the cloud's machine types."""
         self.failover.invalidate_capacity()
         self.machine_registry.set_machine_types(machine_types)
 
@@ -265,13 +266,12 @@
         now: float,
         registered: bool = False,
     ) -> Machine:
-        """A machine that was provisioned, listed, seen by heartbeat, or in the machine registry of
-        an
-        earlier term.
+        """Return the machine of this name, added if it is new.
 
-        A machine enters the machine registry with its first heartbeat. One that a new leader finds
-        there is therefore not booting: it is up until its lease must be over, however long ago it
-        was provisioned. Taking it for a machine that never came up would return running machines.
+        ``registered``: the state service's registry lists it. A machine is registered at its first
+        heartbeat, so one that a new leader finds there is not booting: it counts as up until its
+        worker's lease has certainly expired, however long ago it was provisioned. Treating it as a
+        machine that never came up would terminate running machines.
         """
         machine = self.machine_registry.add(name, machine_type, zone, spot, now)
         if registered:
@@ -282,15 +282,15 @@
         return machine
 
     def set_phase(self, machine: Machine, phase: MachinePhase) -> None:
-        """Change a machine's phase, and what is indexed by it."""
+        """Set a machine's phase, reindex it and notify the hooks."""
         self.machine_registry.set_phase(machine, phase)
         if self.zone_hooks is not None:
             self.zone_hooks.phase_changed(machine)
         if self.shared_silence is not None:
             self.shared_silence.phase_changed(machine)
 
-    def lose_tasks(self, machine: Machine, now: float, proof: ReleaseReason) -> None:
-        """All that was on a machine is certainly gone."""
+    def release_all_tasks(self, machine: Machine, now: float, proof: ReleaseReason) -> None:
+        """Release every task of a machine; the caller has proof that none is left on it."""
         if self.zone_hooks is not None:
             self.zone_hooks.displaced(machine.bindings.values(), now)
         for binding in list(machine.bindings.values()):
@@ -299,8 +299,8 @@
             self.orphans.drop(machine, key)
 
     def machine_gone(self, machine: Machine, now: float) -> None:
-        """The cloud confirmed the termination: the machine and all on it are gone."""
-        self.lose_tasks(machine, now, ReleaseReason.TERMINATED)
+        """Remove a machine, and its tasks, whose termination the cloud has confirmed."""
+        self.release_all_tasks(machine, now, ReleaseReason.TERMINATED)
         self.set_phase(machine, GONE)
         self.machine_registry.remove(machine, now)
         self.events.changed()
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -1,6 +1,6 @@
-"""What the ledger holds: machines, jobs, and the tasks that are bound to machines.
+"""Records of the ledger: machines, jobs, and bindings of tasks to machines.
 
-A binding refers to its job and to its machine, and both list it: so the three share a module.
+A binding refers to its job and its machine, and both list it, so the three share a module.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 
 
 class MachinePhase(StrEnum):
-    """How far a machine is, as the leader knows."""
+    """Lifecycle phase of a machine, as far as the leader knows."""
 
     BOOTING = "booting"  # provisioned; no heartbeat yet
     UP = "up"
-    LOST = "lost"  # its worker's lease must be over; the cloud still has it
+    LOST = "lost"  # its worker's lease has certainly expired; the cloud still lists it
     GONE = "gone"  # the cloud confirmed that it is terminated
 
 
-# Loops over all machines compare these: to name a member by its class costs a call.
+# Loops over all machines compare these names: access to an enum member by its class costs a call.
 BOOTING, UP = MachinePhase.BOOTING, MachinePhase.UP
 LOST, GONE = MachinePhase.LOST, MachinePhase.GONE
 
 
 class ReleaseReason(StrEnum):
-    """Why a task is certainly not on its machine any more."""
+    """Proof that a task is not on its machine any more."""
 
     EXITED = "exited"
-    NOT_SHOWN = "not_shown"  # it was shown, and a newer heartbeat does not show it
-    NEVER_STARTED = "never_started"  # a heartbeat newer than all answers that ordered it lacks it
+    NOT_SHOWN = "not_shown"  # an earlier heartbeat listed it and a newer one does not
+    NEVER_STARTED = "never_started"  # not in a heartbeat newer than every answer with its start
     NEVER_SENT = "never_told"  # no answer carried its start
     LEASE_EXPIRED = "lease_over"
     NEW_INCARNATION = "new_session"
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, eq=False)
 class Binding:
-    """One task on one machine, or on its way there."""
+    """A task bound to a machine: running there, or with its start still to be sent."""
 
     job: Job | None
     index: int
@@ -58,22 +58,22 @@
     machine: Machine
     request: Resources
     team: int
-    phase: str = ""  # empty until a heartbeat shows it
+    phase: str = ""  # empty until a heartbeat lists the task
     since: float = 0.0
     started: float = 0.0
     start_sends: int = 0  # answers that carried its start
-    stop_grace_s: float | None = None  # the leeway of the stop that is wanted
+    stop_grace_s: float | None = None  # grace period of the requested stop; None: no stop
     stop_sent: bool = False
-    orphan: bool = False  # on a machine, but not ours to keep: its stop is wanted
-    rejected: bool = False  # bound against an invariant: its start is not sent
+    orphan: bool = False  # on the machine without a decision of this leader; to be stopped
+    rejected: bool = False  # violates an invariant: its start is not sent
 
     @property
     def task_id(self) -> str:
-        """The task's name, as commands to workers carry it."""
+        """Return the task's id in commands to workers."""
         return f"{self.job.job_id if self.job else '?'}/{self.index}"
 
     def start_unsent(self) -> bool:
-        """Whether no answer carried its start yet, so that it can't be on its machine."""
+        """Return whether no answer carried the start yet, so the task can't be on its machine."""
         return (
             not self.start_sends
             and not self.phase
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """One machine, as the leader knows it."""
+    """A machine and its worker, as far as the leader knows."""
 
     name: str
     machine_type: int
@@ -92,66 +92,68 @@
     spot: bool
     capacity: Resources
     phase: MachinePhase = BOOTING
-    index: int = -1  # a dense number, for sets of machines
+    index: int = -1  # dense, for bitmap sets of machines
     provisioned_at: float = 0.0
     lost_at: float = 0.0
     endpoint: str = ""
     terminating: bool = False  # set by the autoscaler while it asks the cloud to terminate it
 
-    # What the leader knows of its worker.
-    registered: bool = False  # set once the state service knows the machine
-    reconciled: bool = False  # has sent a heartbeat under this term's token
-    seen_in_earlier_term: bool = False  # has sent one, though not under this term's token
+    # State of its worker.
+    registered: bool = False  # the state service's registry lists the machine
+    reconciled: bool = False  # has sent a heartbeat with this term's fencing token
+    seen_in_earlier_term: bool = False  # has sent a heartbeat, with an older fencing token
     incarnation: int = 0
     sequence: int = -1
-    min_incarnation: int = 0  # those before must have ended with their lease
+    min_incarnation: int = 0  # earlier incarnations have certainly ended with their lease
     last_heartbeat_at: float = -math.inf
-    acknowledged_at: float = -math.inf
-    first_acknowledged_at: float = math.inf  # when it was first answered
+    acknowledged_at: float = -math.inf  # when a heartbeat was last answered
+    first_acknowledged_at: float = math.inf  # first answer, while the token is not yet accepted
     links: WorkerLinks = field(default_factory=WorkerLinks)
-    # What its last heartbeat showed, and whether that left nothing to do: then the next one with
-    # the same tasks changes nothing.
+    # Tasks of its last heartbeat, and whether that left no command pending: then the next heartbeat
+    # with the same tasks changes nothing.
     last_tasks: list[TaskStatus] = field(default_factory=list)
-    unchanged: bool = False
+    nothing_pending: bool = False
 
-    # What is on it.
+    # Tasks, allocations and cached images.
     bindings: dict[tuple[str, int], Binding] = field(default_factory=dict)
     orphans: dict[tuple[str, int, int], Binding] = field(default_factory=dict)
     allocated: ResourceUsage = field(default_factory=ResourceUsage)
-    images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # in its cache, by use
-    has_freed_capacity: bool = False  # has room that it had not at its last heartbeat
-    free_whole_cpus: int = -1  # whole CPUs that are free, as the capacity index last noted
+    # Sizes of cached images in GB, the least recently used first.
+    images: OrderedDict[str, float] = field(default_factory=OrderedDict)
+    has_freed_capacity: bool = False  # capacity has become free since its last heartbeat
+    free_whole_cpus: int = -1  # its row in the capacity index; -1: not indexed
 
-    # Why it takes no work, beside its phase: each is set by one owner.
-    # By heartbeats: when the cloud takes the spot machine back, as its worker was warned.
+    # Reasons besides the phase why it takes no work. One component sets each.
+    # Heartbeats: when the cloud will reclaim the spot machine, by the warning that its worker got.
     reclaim_at: float | None = None
-    # By machine health: heartbeats arrive, but nothing reaches it; then a growing pause.
+    # Machine health: its heartbeats arrive, but answers do not reach it. After it responds again, a
+    # pause that doubles each time.
     unresponsive_since: float | None = None
     unresponsive_times: int = 0
     trusted_again_at: float = 0.0
-    # By machine health, after errors of its tasks: a pause, then quarantine. The autoscaler too
+    # Machine health: a pause after its tasks failed, then quarantine. The autoscaler also
     # quarantines a machine that the cloud lists as failed.
     error_jobs: set[str] = field(default_factory=set)
     error_until: float = 0.0
-    quarantine_reason: str = ""  # why it takes no more tasks and is to be returned
-    # By the capacity index: the job for which room is being made here.
+    quarantine_reason: str = ""  # if set, it takes no more tasks and is to be terminated
+    # Capacity index: the job for which its capacity is reserved.
     reserved_for: str = ""
     reserved_until: float = 0.0
-    # By scale-in: since when all there is to do would fit elsewhere; then cordoned, so that it
-    # empties and can be terminated. A heartbeat after its lease ended takes both back.
+    # Scale-in: since when all work would fit on other machines; later cordoned, so that it drains
+    # and can be terminated. A heartbeat after its lease expired resets both.
     surplus_since: float | None = None
     cordoned: bool = False
-    # By zone recovery: in a zone that was lost, and not yet open to new work.
+    # Zone recovery: in a zone that returns after an outage, and not yet admitted to new work.
     awaiting_slow_start: bool = False
 
-    # Kept rather than derived: plans read it a thousand times each.
+    # Stored rather than derived, since each plan reads it about a thousand times.
     kind: MachineKind = field(init=False)
 
     def __post_init__(self) -> None:
         self.kind = machine_kind(self.machine_type, self.zone, self.spot)
 
     def free(self) -> list[float]:
-        """CPUs, GPUs and memory that are not allocated, as a list that the caller may change."""
+        """Return the unallocated CPUs, GPUs and GB of memory as a new list."""
         return [
             self.capacity.cpus - self.allocated.cpus,
             self.capacity.gpus - self.allocated.gpus,
@@ -159,7 +161,7 @@
         ]
 
     def fits(self, request: Resources) -> bool:
-        """Whether there is room for a task."""
+        """Return whether a task with this request fits into the free capacity."""
         capacity, allocated = self.capacity, self.allocated
         return (
             allocated.cpus + request.cpus <= capacity.cpus + EPSILON
@@ -168,7 +170,7 @@
         )
 
     def places_for(self, request: Resources) -> float:
-        """How many tasks with this request fit into what is free, with fractions."""
+        """Return how many tasks with this request fit into the free capacity, as a fraction."""
         capacity, allocated = self.capacity, self.allocated
         places = math.inf
         if request.cpus > 0:
@@ -181,7 +183,7 @@
         return places
 
     def fullest(self) -> float:
-        """The largest booked share of CPUs, GPUs or memory."""
+        """Return the highest allocated share among CPUs, GPUs and memory."""
         allocated, capacity = self.allocated, self.capacity
         return max(
             allocated.cpus / capacity.cpus if capacity.cpus > 0 else 0.0,
@@ -190,24 +192,24 @@
         )
 
     def has_image(self, name: str, size_gb: float, cache_gb: float) -> None:
-        """A task that has its image was seen: the cache keeps the most recently used ones."""
+        """Record that the machine has an image; evict the least recently used beyond the cache."""
         self.images[name] = size_gb
         self.images.move_to_end(name)
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb > 0:
             self.images.popitem(last=False)
 
     def busy(self) -> bool:
-        """Whether any task is on the machine, or on its way there."""
+        """Return whether any task is bound to the machine or an orphan on it."""
         return bool(self.bindings or self.orphans)
 
     def responsive(self, now: float) -> bool:
-        """Whether answers and commands reach its worker, as far as is known."""
+        """Return whether answers and commands are believed to reach its worker."""
         return self.unresponsive_since is None and now >= self.trusted_again_at
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One job that is not over, with what is bound of it."""
+    """A job that has not ended, with its done tasks and its bindings."""
 
     spec: Submission
     team: int
@@ -215,43 +217,41 @@
     request: Resources
     allowed_types: frozenset[int] | None  # None: any
     zone: int | None
-    submitted: float  # in this ledger's steady time
-    since: float = 0.0  # when it could begin: submitted, or the last that it awaits was done
+    submitted: float  # in the ledger's monotonic time
+    since: float = 0.0  # when it became ready: submitted, or its last dependency was done
     done: bytearray = field(default_factory=bytearray)
     n_done: int = 0
-    saved: set[int] = field(default_factory=set)  # done and known to the state service
-    unsaved: set[int] = field(default_factory=set)  # done and not yet saved
+    saved: set[int] = field(default_factory=set)  # done tasks that the state service holds
+    unsaved: set[int] = field(default_factory=set)  # done tasks that are still to be saved
     next_unstarted: int = 0
     retry_queue: deque[int] = field(default_factory=deque)
     bindings: dict[int, Binding] = field(default_factory=dict)
     attempt: int = 0  # of a gang, while it is bound
-    failed: bool = False  # a gang whose attempt is over, until all its tasks are gone
-    preempted: bool = False  # a gang that was stopped to make room or for its machine's sake
+    failed: bool = False  # a gang whose attempt has failed, until all its tasks are released
+    preempted: bool = False  # a gang that was stopped for other jobs, or to vacate a machine
     terminal_phase: str = ""  # done or aborted, once that is durable
-    wait_until: float = 0.0  # after errors and refusals
-    pause_until: float = 0.0  # after a draw without candidates
+    wait_until: float = 0.0  # backoff after task errors and refused starts
+    pause_until: float = 0.0  # backoff after a placement without candidates
     pause: float = 0.0
-    # Quota reserved for gangs ahead of it in the queue
+    # CPUs and GPUs of its team's quota that are reserved for gangs ahead of it in the queue.
     quota_reserved_ahead: tuple[float, float] = (0.0, 0.0)
-    room_until: float = 0.0  # until then room that was made for it by stops is awaited
-    reserved_at: float | None = None  # since when its team's quota is kept for it
-    held_back_since: float | None = None  # since when only what is kept for others keeps it waiting
-    quota_exhausted: bool = False  # of quota, at the last pass
+    room_until: float = 0.0  # until when it waits for the capacity that preemption frees for it
+    reserved_at: float | None = None  # since when its team's quota is reserved for it
+    held_back_since: float | None = None  # since when only reservations for others delay it
+    quota_exhausted: bool = False  # its team's quota was used up at the last pass
     error_machines: set[str] = field(default_factory=set)
     first_start: float | None = None
-    within_guarantee: bool = False  # was within its team's guarantee when it came
-    attainment_recorded: bool = False  # it is known whether it found its machines in time
-    constrained: bool = False  # fits on no type but those that are scarce
-    accepted_this_term: bool = False  # no earlier leader can have started any of it
-    blocked_on_dependencies: bool = (
-        False  # not all jobs that it awaits are known to be durably done
-    )
-    cancel_requested: bool = False  # its user has asked to cancel it: nothing of it starts any more
-    dependency_cancelled: bool = (
-        False  # a job that it needs was cancelled: aborted, if not yet written so
-    )
-    due: tuple[float, float] = (math.inf, math.inf)  # when it has to be done for those after it
-    # Kept rather than derived: a tenth of all calls of a busy leader were to derive them.
+    within_guarantee: bool = False  # was within its team's guarantee at some pass
+    attainment_recorded: bool = False  # counted in the start-time objective
+    constrained: bool = False  # fits on scarce machine types only
+    accepted_this_term: bool = False  # no earlier leader can have started any of its tasks
+    # Not every job that it depends on is known to be durably done.
+    blocked_on_dependencies: bool = False
+    cancel_requested: bool = False  # its user asked to cancel it: none of its tasks may start
+    # A job that it depends on was cancelled, so it is aborted even if that is not yet written.
+    dependency_cancelled: bool = False
+    due: tuple[float, float] = (math.inf, math.inf)  # due times, with those of its dependents
+    # Stored rather than derived: as properties they made up a tenth of a busy leader's calls.
     job_id: str = field(init=False)
     gang: bool = field(init=False)
 
@@ -261,16 +261,16 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all of its tasks are done."""
+        """Return whether all tasks are done."""
         return self.n_done >= self.spec.task_count
 
     def size(self) -> tuple[float, float]:
-        """CPUs and GPUs that all unfinished tasks take together."""
-        left = self.spec.task_count - (0 if self.gang else self.n_done)
-        return self.request.cpus * left, self.request.gpus * left
+        """Return the total request of all unfinished tasks, in CPUs and GPUs."""
+        unfinished = self.spec.task_count - (0 if self.gang else self.n_done)
+        return self.request.cpus * unfinished, self.request.gpus * unfinished
 
     def waiting(self) -> int:
-        """How many tasks have no machine."""
+        """Return how many tasks wait for a machine."""
         if (
             self.terminal_phase
             or self.complete
@@ -284,7 +284,7 @@
         return self.spec.task_count - self.n_done - len(self.bindings)
 
     def next_task(self) -> int | None:
-        """The next task without a machine, if any."""
+        """Pop the index of the next task that waits for a machine, or return None."""
         while self.retry_queue:
             index = self.retry_queue.popleft()
             if not self.done[index] and index not in self.bindings:
@@ -297,6 +297,6 @@
         return None
 
     def requeue_task(self, index: int) -> None:
-        """A task has lost its machine and waits again."""
+        """Let a task that lost its machine wait for another one."""
         if not self.gang and index < self.next_unstarted and not self.done[index]:
             self.retry_queue.append(index)
--- a/src/salthead/cluster/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -59,13 +59,13 @@
         metrics.ORPHAN_TASKS.inc()
         self.count_by_job[job_id] = self.count_by_job.get(job_id, 0) + 1
         machine.orphans[key] = Binding(job, index, attempt, machine, request, team, orphan=True)
-        self.allocations.book(machine, request, team, 1.0)
+        self.allocations.adjust_usage(machine, request, team, 1.0)
 
     def drop(self, machine: Machine, key: OrphanKey) -> None:
         """The orphan task is certainly gone: release what it took."""
         orphan = machine.orphans.pop(key)
         event(log, "orphan_gone", task=f"{key[0]}/{key[1]}", attempt=key[2], machine=machine.name)
-        self.allocations.book(machine, orphan.request, orphan.team, -1.0)
+        self.allocations.adjust_usage(machine, orphan.request, orphan.team, -1.0)
         left = self.count_by_job.pop(key[0], 1) - 1
         if left > 0:
             self.count_by_job[key[0]] = left
@@ -84,4 +84,4 @@
             for key, orphan in machine.orphans.items():
                 if key[0] == spec.job_id and orphan.team < 0:
                     orphan.request, orphan.team = request, team
-                    self.allocations.book(machine, request, orphan.team, 1.0)
+                    self.allocations.adjust_usage(machine, request, orphan.team, 1.0)
--- a/src/salthead/cluster/sweep.py
+++ b/src/salthead/cluster/sweep.py
@@ -45,7 +45,7 @@
     # It holds nothing any more, and may join if it heals.
     machine.first_acknowledged_at = math.inf
     machine.reconciled = False
-    ledger.lose_tasks(machine, now, ReleaseReason.LEASE_EXPIRED)
+    ledger.release_all_tasks(machine, now, ReleaseReason.LEASE_EXPIRED)
 
 
 def _complete_failover(ledger: Ledger, now: float) -> None:
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -39,7 +39,7 @@
     machine = ledger.machines.get(heartbeat.worker)
     if (
         machine is not None
-        and machine.unchanged
+        and machine.nothing_pending
         and not machine.has_freed_capacity
         and heartbeat.fencing_token == ledger.fencing_token
         and not direct
@@ -124,14 +124,14 @@
     """Take in a new heartbeat under this term's token; the commands that follow."""
     _take_in(ledger, machine, heartbeat, now)
     if (
-        machine.unchanged
+        machine.nothing_pending
         and not machine.has_freed_capacity
         and heartbeat.tasks == machine.last_tasks
     ):
         return []  # nothing is new, and nothing is wanted
     commands = commands_for(ledger, machine, heartbeat, now, direct)
     machine.last_tasks = heartbeat.tasks
-    machine.unchanged = (
+    machine.nothing_pending = (
         not commands
         and not machine.orphans
         and all(
@@ -239,7 +239,7 @@
     if machine.reconciled and now - machine.last_heartbeat_at < early_s:
         why = "its lease ended though its heartbeats were answered"
         mark_unresponsive(ledger, machine, now, why)
-    ledger.lose_tasks(machine, now, ReleaseReason.NEW_INCARNATION)
+    ledger.release_all_tasks(machine, now, ReleaseReason.NEW_INCARNATION)
 
 
 def _mark_up(ledger: Ledger, machine: Machine, now: float) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -96,7 +96,7 @@
     done = shown(led, "m1", gone=1)
     for sequence in (6, 7):  # the exit is shown again until it may be reaped
         handle_heartbeat(led, heartbeat("m1", sequence, *done), 5.0)
-        assert not led.machines["m1"].unchanged
+        assert not led.machines["m1"].nothing_pending
 
 
 @pytest.mark.parametrize(("what", "most"), [("machine", 1600), ("job", 3500), ("task", 600)])
