--- a/src/salthead/cluster/dependencies.py
+++ b/src/salthead/cluster/dependencies.py
@@ -1,4 +1,4 @@
-"""What the graph of awaited jobs means for the jobs of the ledger."""
+"""Effects of dependencies between jobs on the jobs of the ledger."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 log = logging.getLogger(__name__)
 
-# Due times follow an estimate that has moved by more than this part of itself.
+# Due times are recomputed when the factor on a class's estimates changed by more than this share.
 ESTIMATE_TOLERANCE = 0.1
 MAX_LOGGED_JOBS = 5
 
 
 class JobDependencies:
-    """Which jobs are ready, which end with one that they need, and what they inherit."""
+    """Makes jobs ready or cancels them by their dependencies, and applies what they inherit."""
 
     def __init__(
         self, jobs: JobTable, allocations: Allocations, objectives: Sequence[Objective]
@@ -32,14 +32,20 @@
         self.events = jobs.events
         self.deadline_objectives = [one for one in objectives if one.kind == "deadline"]
         self.graph = DependencyGraph()
-        self.factors: dict[str, float] = {}  # of estimates, as the pipelines' due times use them
-        self.pending_aborts: dict[str, None] = {}  # jobs whose outcome follows and is to be written
+        # By class: the factor on estimates with which due times were last computed.
+        self.estimate_factors: dict[str, float] = {}
+        # Jobs that a dependency cancelled and whose outcome is still to be written.
+        self.pending_aborts: dict[str, None] = {}
 
     def add_job(self, job: Job) -> None:
-        """Find the job's place among those that wait for others."""
+        """Add a job to the graph; make it ready, blocked or cancelled by its dependencies."""
         spec, depends_on = job.spec, job.spec.depends_on or []
         job.since = job.submitted
-        due = (math.inf, math.inf) if spec.deadline_s is None else self._due(job, spec.deadline_s)
+        due = (
+            (math.inf, math.inf)
+            if spec.deadline_s is None
+            else self._due_times(job, spec.deadline_s)
+        )
         self.graph.add(
             job.job_id,
             depends_on,
@@ -51,17 +57,17 @@
         job.blocked_on_dependencies = bool(self.graph.nodes[job.job_id].unfinished)
         if not job.blocked_on_dependencies:
             self.job_table.ready_jobs[job.job_id] = job
-            self._count_from(job)
+            self._set_ready_time(job)
         if any(
             known.dependency_cancelled or known.terminal_phase == wire_names.ABORTED
             for job_id in depends_on
             if (known := self.job_table.jobs.get(job_id)) is not None
         ):
-            self._cancel_dependents([job.job_id, *self.graph.aborted(job.job_id)])
-        self._inherit()
+            self._cancel_dependents([job.job_id, *self.graph.mark_aborted(job.job_id)])
+        self._apply_inherited()
 
-    def _due(self, job: Job, deadline_s: float) -> tuple[float, float]:
-        """When the job is due by its own deadline, and the last time that still counts."""
+    def _due_times(self, job: Job, deadline_s: float) -> tuple[float, float]:
+        """Return the due time by the job's deadline, and the latest completion that counts."""
         times = [
             objective.times
             for objective in self.deadline_objectives
@@ -72,26 +78,29 @@
             job.submitted + deadline_s * max(times, default=1.0),
         )
 
-    def _count_from(self, job: Job) -> None:
-        ended = self.graph.ended
-        awaited = job.spec.depends_on or []
+    def _set_ready_time(self, job: Job) -> None:
+        done_at = self.graph.done_at
+        depends_on = job.spec.depends_on or []
         job.since = max(
-            [job.submitted, *(at for job_id in awaited if (at := ended.get(job_id)) is not None)]
+            [
+                job.submitted,
+                *(at for job_id in depends_on if (at := done_at.get(job_id)) is not None),
+            ]
         )
 
-    def _ready(self, job_ids: list[str]) -> None:
-        """All that these await is durably done."""
+    def _mark_ready(self, job_ids: list[str]) -> None:
+        """Make jobs ready whose dependencies are all durably done."""
         for job_id in job_ids:
             job = self.job_table.jobs[job_id]
             job.blocked_on_dependencies = False
             self.job_table.ready_jobs[job_id] = job
-            self._count_from(job)
+            self._set_ready_time(job)
             event(log, "job_ready", job=job_id)
         if job_ids:
             self.events.changed()
 
     def _cancel_dependents(self, job_ids: list[str]) -> None:
-        """A job that these need was cancelled, durably: their end follows from that."""
+        """Cancel jobs that depend on a job whose outcome ``aborted`` is durable."""
         for job_id in job_ids:
             job = self.job_table.jobs[job_id]
             job.dependency_cancelled = True
@@ -105,48 +114,49 @@
             self.events.changed()
 
     def end_job(self, job: Job, phase: str, now: float) -> None:
-        """A job's outcome is durable: what awaits it is ready, or ends with it."""
+        """Apply a durable outcome to a job's dependents: they become ready or are cancelled."""
         self.pending_aborts.pop(job.job_id, None)
         if phase == wire_names.DONE:
             node = self.graph.nodes.get(job.job_id)
             for job_id in node.dependents if node is not None else ():
-                # Until now nobody could start it.
+                # No earlier leader can have started a dependent while this job was unfinished.
                 self.job_table.jobs[job_id].accepted_this_term = True
-            self._ready(self.graph.done(job.job_id, now))
+            self._mark_ready(self.graph.mark_done(job.job_id, now))
         else:
-            self._cancel_dependents(self.graph.aborted(job.job_id))
-        self._inherit()
+            self._cancel_dependents(self.graph.mark_aborted(job.job_id))
+        self._apply_inherited()
 
     def resolve(self, job_id: str, phase: str, ended_at: float) -> None:
-        """What a record says of a job that others await, and that ended before this term."""
+        """Apply the recorded outcome of a dependency that ended before this term."""
         if phase == wire_names.DONE:
-            self._ready(self.graph.done(job_id, ended_at))
+            self._mark_ready(self.graph.mark_done(job_id, ended_at))
         else:
-            self._cancel_dependents(self.graph.aborted(job_id))
-        self._inherit()
+            self._cancel_dependents(self.graph.mark_aborted(job_id))
+        self._apply_inherited()
 
-    def _inherit(self) -> None:
-        """Ranks and due times that have changed with the graph."""
-        for job_id, node in self.graph.take_moved():
+    def _apply_inherited(self) -> None:
+        """Copy the inherited priorities and due times that changed to the jobs."""
+        for job_id, node in self.graph.take_changed():
             job = self.job_table.jobs.get(job_id)
             if job is not None:
                 job.due = node.inherited_due
                 self.allocations.set_priority(job, node.inherited_priority)
 
-    def revise_runs(self) -> None:
-        """Where estimates of run times have moved by more than a tenth, so do due times."""
+    def update_due_times(self) -> None:
+        """Recompute due times where the factor on estimates changed beyond the tolerance."""
         jobs, estimates = self.job_table.jobs, self.job_table.estimates
         for job_class, job_ids in self.graph.job_classes.items():
             factor = estimates.factor(job_class)
-            if abs(factor - self.factors.get(job_class, 1.0)) > ESTIMATE_TOLERANCE * factor:
-                self.factors[job_class] = factor
-                self.graph.revise(
+            known_factor = self.estimate_factors.get(job_class, 1.0)
+            if abs(factor - known_factor) > ESTIMATE_TOLERANCE * factor:
+                self.estimate_factors[job_class] = factor
+                self.graph.update_run_times(
                     (job_id, estimates.run_s(job_class, jobs[job_id].spec.estimated_run_s))
                     for job_id in job_ids
                 )
-        self._inherit()
+        self._apply_inherited()
 
     def unfinished(self, job_id: str, most: int) -> list[str]:
-        """Up to ``most`` of the jobs that a job still waits for, by id."""
+        """Return up to ``most`` unfinished dependencies of a job, sorted by id."""
         node = self.graph.nodes.get(job_id)
         return sorted(node.unfinished)[:most] if node is not None else []
--- a/src/salthead/cluster/dependency_graph.py
+++ b/src/salthead/cluster/dependency_graph.py
@@ -1,11 +1,14 @@
-"""Jobs that wait for others: who waits for whom, and what a job inherits from those after it.
-
-Pure, and an index: a job's end wakes what waits for it, and nothing here costs anything per
-heartbeat or per pass. A job is *ready* when the outcome of every job that it awaits is durable and
-``done``. An awaited job is *unsure* when neither the ledger nor a record read in this term says
-what became of it; what needs an unsure job waits. An outcome ``aborted`` is the one fact from which
-the end of all that needs the job follows, so those are *cancelled by dependency* from then on,
-whatever is written of them. Nothing recurses: a chain may be as long as users like.
+"""Graph of dependencies between jobs, with the priority and due times that they inherit.
+
+The graph does no I/O. It is updated when a job is added or ends, and costs nothing per heartbeat or
+per scheduling pass.
+
+A job is *ready* when every job that it depends on has the durable outcome ``done``. A dependency is
+*unresolved* while neither the ledger nor a record read in this term tells its outcome; its
+dependents wait. When the outcome ``aborted`` is durable, all direct and indirect dependents count
+as cancelled, even before their own outcomes are written.
+
+All traversals are iterative, since the length of a chain of dependencies is not limited.
 """
 
 from __future__ import annotations
@@ -22,26 +25,29 @@
 
     priority: int  # its own
     job_class: str
-    run_s: float  # a task's, as expected when this was last worked out
-    due: tuple[float, float]  # its own: the time it is due, and the last that still counts
-    unfinished: set[str] = field(default_factory=set)  # what it still awaits
-    dependents: dict[str, None] = field(default_factory=dict)  # what awaits it
+    run_s: float  # expected run time of a task, as of the last update
+    due: tuple[float, float]  # its own due time, and the latest completion that still counts
+    unfinished: set[str] = field(default_factory=set)  # dependencies that are not known to be done
+    dependents: dict[str, None] = field(default_factory=dict)  # used as an ordered set
     inherited_priority: int = 0
     inherited_due: tuple[float, float] = (math.inf, math.inf)
 
 
 class DependencyGraph:
-    """The jobs that depend on others, as a graph."""
+    """Jobs that have not ended, linked to their dependencies and dependents."""
+
+    MAX_REMEMBERED_DONE = 20_000
 
     def __init__(self) -> None:
         self.nodes: dict[str, DependencyNode] = {}
-        # Awaited jobs of which nothing is known yet, and what awaits them.
+        # Dependents by the id of a dependency whose outcome is not known yet.
         self.unresolved: dict[str, dict[str, None]] = {}
-        self.ended: dict[str, float] = {}  # jobs done in this term, and when
-        self.moved: dict[str, None] = {}  # jobs whose inherited rank or due time has changed
-        self.job_classes: dict[
-            str, dict[str, None]
-        ] = {}  # jobs on whose run time others' times rest
+        # When jobs were done, for as many as MAX_REMEMBERED_DONE.
+        self.done_at: dict[str, float] = {}
+        self.changed: dict[str, None] = {}  # jobs whose inherited priority or due times changed
+        # Jobs with unfinished dependencies, by class: a new estimate of their run time changes the
+        # due times of those dependencies.
+        self.job_classes: dict[str, dict[str, None]] = {}
 
     def add(
         self,
@@ -52,14 +58,17 @@
         run_s: float,
         due: tuple[float, float],
     ) -> None:
-        """A job that is not over. What it awaits and is neither here nor done is unsure."""
+        """Add a job that has not ended.
+
+        A dependency that is neither in the graph nor known to be done becomes unresolved.
+        """
         node = self.nodes[job_id] = DependencyNode(
             priority, job_class, run_s, due, inherited_priority=priority, inherited_due=due
         )
         for other in self.unresolved.pop(job_id, {}):
             node.dependents[other] = None
         for other in depends_on:
-            if other in self.ended:
+            if other in self.done_at:
                 continue
             node.unfinished.add(other)
             known = self.nodes.get(other)
@@ -68,138 +77,142 @@
             else:
                 self.unresolved.setdefault(other, {})[job_id] = None
         if node.dependents:
-            self._update([job_id])
+            self._update_inherited([job_id])
         if node.unfinished:
             self.job_classes.setdefault(job_class, {})[job_id] = None
-            self._update(other for other in node.unfinished if other in self.nodes)
+            self._update_inherited(other for other in node.unfinished if other in self.nodes)
 
-    def done(self, job_id: str, at: float) -> list[str]:
-        """A job's ``done`` is durable; what became ready by that."""
-        self._note(job_id, at)
+    def mark_done(self, job_id: str, at: float) -> list[str]:
+        """Record that a job's outcome ``done`` is durable; return the jobs that became ready."""
+        self._remember_done(job_id, at)
         ready = []
-        for other in self._leave(job_id):
+        for other in self._remove(job_id):
             node = self.nodes[other]
             node.unfinished.discard(job_id)
             if not node.unfinished:
-                self._not_waiting(other)
+                self._remove_from_class(other)
                 ready.append(other)
         return ready
 
-    def _not_waiting(self, job_id: str) -> None:
+    def _remove_from_class(self, job_id: str) -> None:
         job_class = self.nodes[job_id].job_class
         waiting = self.job_classes.get(job_class, {})
         waiting.pop(job_id, None)
         if not waiting:
             self.job_classes.pop(job_class, None)
 
-    MAX_REMEMBERED_ENDED = 20_000
+    def _remember_done(self, job_id: str, at: float) -> None:
+        self.done_at[job_id] = at
+        if len(self.done_at) > self.MAX_REMEMBERED_DONE:
+            self.done_at.pop(next(iter(self.done_at)))
 
-    def _note(self, job_id: str, at: float) -> None:
-        self.ended[job_id] = at
-        if len(self.ended) > self.MAX_REMEMBERED_ENDED:
-            self.ended.pop(next(iter(self.ended)))
+    def mark_aborted(self, job_id: str) -> list[str]:
+        """Record that a job's outcome ``aborted`` is durable.
 
-    def aborted(self, job_id: str) -> list[str]:
-        """A job's ``aborted`` is durable; what is cancelled by that, directly or through others."""
+        Return and remove all jobs that this cancels, direct and indirect dependents.
+        """
         cancelled: dict[str, None] = {}
-        queue = deque(self._leave(job_id))
+        queue = deque(self._remove(job_id))
         while queue:
             other = queue.popleft()
             if other not in cancelled and other in self.nodes:
                 cancelled[other] = None
                 queue.extend(self.nodes[other].dependents)
-        before = {p: None for other in cancelled for p in self.nodes[other].unfinished}
+        dependencies = {p: None for other in cancelled for p in self.nodes[other].unfinished}
         for other in cancelled:
             for p in self.nodes[other].unfinished:
                 self._unlink(p, other)
-            self._not_waiting(other)
+            self._remove_from_class(other)
             del self.nodes[other]
-        self._update(p for p in before if p in self.nodes)
+        self._update_inherited(p for p in dependencies if p in self.nodes)
         return list(cancelled)
 
-    def _unlink(self, before: str, job_id: str) -> None:
-        known = self.nodes.get(before)
+    def _unlink(self, dependency: str, job_id: str) -> None:
+        known = self.nodes.get(dependency)
         if known is not None:
             known.dependents.pop(job_id, None)
-        elif before in self.unresolved:
-            self.unresolved[before].pop(job_id, None)
-            if not self.unresolved[before]:
-                del self.unresolved[before]
+        elif dependency in self.unresolved:
+            self.unresolved[dependency].pop(job_id, None)
+            if not self.unresolved[dependency]:
+                del self.unresolved[dependency]
 
-    def _leave(self, job_id: str) -> list[str]:
-        """Take a job that is over out; what awaited it."""
+    def _remove(self, job_id: str) -> list[str]:
+        """Remove a job that has ended; return its direct dependents."""
         if job_id in self.nodes:
-            self._not_waiting(job_id)
+            self._remove_from_class(job_id)
         node = self.nodes.pop(job_id, None)
-        after = self.unresolved.pop(job_id, {}) if node is None else node.dependents
+        dependents = self.unresolved.pop(job_id, {}) if node is None else node.dependents
         if node is not None and node.unfinished:
-            for before in node.unfinished:
-                self._unlink(before, job_id)
-            self._update(before for before in node.unfinished if before in self.nodes)
-        return list(after)
+            for dependency in node.unfinished:
+                self._unlink(dependency, job_id)
+            self._update_inherited(p for p in node.unfinished if p in self.nodes)
+        return list(dependents)
 
     def has_dependents(self, job_id: str) -> bool:
-        """Whether another job awaits this one."""
+        """Return whether another job depends directly on this one."""
         node = self.nodes.get(job_id)
         return node is not None and bool(node.dependents)
 
     def has_unresolved_dependency(self, job_id: str) -> bool:
-        """Whether the job needs, directly or through others, one of which nothing is known."""
+        """Return whether the job depends, directly or indirectly, on an unresolved job."""
         return self.needs(job_id, self.unresolved.keys())
 
     def needs(self, job_id: str, among: Set[str]) -> bool:
-        """Whether the job needs, directly or through others, one of these."""
+        """Return whether the job depends, directly or indirectly, on one of ``among``."""
         if not among:
             return False
         seen = {job_id}
         queue = deque([job_id])
         while queue:
             node = self.nodes.get(queue.popleft())
-            for before in node.unfinished if node is not None else ():
-                if before in among:
+            for dependency in node.unfinished if node is not None else ():
+                if dependency in among:
                     return True
-                if before not in seen:
-                    seen.add(before)
-                    queue.append(before)
+                if dependency not in seen:
+                    seen.add(dependency)
+                    queue.append(dependency)
         return False
 
-    def revise(self, runs: Iterable[tuple[str, float]]) -> None:
-        """Estimates have moved."""
-        before: dict[str, None] = {}
-        for job_id, run_s in runs:
+    def update_run_times(self, run_times: Iterable[tuple[str, float]]) -> None:
+        """Set the expected run times of jobs, and recompute the due times that follow from them."""
+        dependencies: dict[str, None] = {}
+        for job_id, run_s in run_times:
             node = self.nodes.get(job_id)
             if node is not None and node.run_s != run_s:
                 node.run_s = run_s
-                before.update((p, None) for p in node.unfinished if p in self.nodes)
-        self._update(before)
+                dependencies.update((p, None) for p in node.unfinished if p in self.nodes)
+        self._update_inherited(dependencies)
+
+    def _update_inherited(self, job_ids: Iterable[str]) -> None:
+        """Recompute what these jobs inherit from their dependents.
 
-    def _update(self, job_ids: Iterable[str]) -> None:
-        """The backward pass: work out anew what these inherit, and whatever hangs on it."""
+        A change is propagated to their own dependencies.
+        """
         queue = deque(job_ids)
-        waiting = set(queue)
+        queued = set(queue)
         while queue:
             job_id = queue.popleft()
-            waiting.discard(job_id)
+            queued.discard(job_id)
             node = self.nodes[job_id]
             priority, due, last = node.priority, *node.due
             for other in node.dependents:
-                after = self.nodes[other]
-                priority = min(priority, after.inherited_priority)
-                due = min(due, after.inherited_due[0] - after.run_s)
-                last = min(last, after.inherited_due[1] - after.run_s)
+                dependent = self.nodes[other]
+                priority = min(priority, dependent.inherited_priority)
+                due = min(due, dependent.inherited_due[0] - dependent.run_s)
+                last = min(last, dependent.inherited_due[1] - dependent.run_s)
             if (priority, (due, last)) == (node.inherited_priority, node.inherited_due):
                 continue
             node.inherited_priority, node.inherited_due = priority, (due, last)
-            self.moved[job_id] = None
-            for before in node.unfinished:
-                if before in self.nodes and before not in waiting:
-                    waiting.add(before)
-                    queue.append(before)
-
-    def take_moved(self) -> Iterator[tuple[str, DependencyNode]]:
-        """Jobs whose inherited urgency or due time has changed since the last call."""
-        moved, self.moved = self.moved, {}
-        for job_id in moved:
+            self.changed[job_id] = None
+            for dependency in node.unfinished:
+                if dependency in self.nodes and dependency not in queued:
+                    queued.add(dependency)
+                    queue.append(dependency)
+
+    def take_changed(self) -> Iterator[tuple[str, DependencyNode]]:
+        """Yield the jobs whose inherited priority or due times changed since the last call."""
+        changed, self.changed = self.changed, {}
+        for job_id in changed:
             node = self.nodes.get(job_id)
             if node is not None:
                 yield job_id, node
--- a/src/salthead/cluster/sweep.py
+++ b/src/salthead/cluster/sweep.py
@@ -17,7 +17,7 @@
 
 def sweep(ledger: Ledger, now: float) -> None:
     """Bring the ledger in line with the time; called about twice a second."""
-    ledger.dependencies.revise_runs()
+    ledger.dependencies.update_due_times()
     ledger.invariants.audit(now)
     # Workers of a leader without its lease may send their heartbeats to the next one by now: such a
     # leader had declared 135 machines lost that the next one heard from.
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -88,7 +88,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(job_cache, "MAX_REMEMBERED_OUTCOMES", CACHE)
-    monkeypatch.setattr(DependencyGraph, "MAX_REMEMBERED_ENDED", CACHE)
+    monkeypatch.setattr(DependencyGraph, "MAX_REMEMBERED_DONE", CACHE)
     monkeypatch.setattr(job_table, "MIN_REMEMBERED_JOBS", CACHE)
     monkeypatch.setattr(machine_registry, "MIN_REMEMBERED_MACHINES", CACHE)
     monkeypatch.setattr(redirects, "MIN_REMEMBERED_REDIRECTS", CACHE)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -72,7 +72,7 @@
     ready: list[list[str]],
 ) -> None:
     made = graph(jobs)
-    assert [made.done(job_id, 1.0) for job_id in done] == ready
+    assert [made.mark_done(job_id, 1.0) for job_id in done] == ready
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
     dependency_cancelled: str,
 ) -> None:
     made = graph(jobs)
-    assert "".join(sorted(made.aborted(root))) == dependency_cancelled
+    assert "".join(sorted(made.mark_aborted(root))) == dependency_cancelled
     assert not set(dependency_cancelled) & made.nodes.keys()
     left = set(jobs) - set(dependency_cancelled) - {root}
     assert set(made.nodes) == left and not made.unresolved
@@ -129,26 +129,26 @@
         assert (node.inherited_priority, node.inherited_due) == (priority, (due, due + 50.0)), (
             job_id
         )
-    assert expected.keys() - {"c", "b"} <= set(made.moved)
+    assert expected.keys() - {"c", "b"} <= set(made.changed)
 
 
 def test_inheritance_goes_with_the_job_that_it_came_from_and_follows_estimates() -> None:
     made = graph(DIAMOND | {"e": ["c"]}, {"d": 1, "e": 2}, {"d": 100.0, "e": 300.0})
-    made.revise([("c", 25.0), ("b", 25.0)])
+    made.update_run_times([("c", 25.0), ("b", 25.0)])
     assert made.nodes["a"].inherited_due[0] == 65.0
-    assert made.aborted("d") == []
+    assert made.mark_aborted("d") == []
     assert made.nodes["a"].inherited_priority == 2 and made.nodes["b"].inherited_priority == 3
     assert made.nodes["b"].inherited_due == NEVER
     assert made.nodes["a"].inherited_due[0] == 300.0 - 10.0 - 25.0
-    made.done("a", 1.0)
-    made.done("c", 2.0)
+    made.mark_done("a", 1.0)
+    made.mark_done("c", 2.0)
     assert made.job_classes == {} and not made.unresolved
 
 
 def test_a_job_is_unsure_while_one_that_it_needs_is() -> None:
     made = graph({"b": ["z"], "c": ["b"], "d": []})
     assert [made.has_unresolved_dependency(job_id) for job_id in "bcd"] == [True, True, False]
-    made.done("z", 1.0)
+    made.mark_done("z", 1.0)
     assert not made.has_unresolved_dependency("c")
 
 
