--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -1,11 +1,10 @@
-"""What a new leader can't know until each machine of the machine registry is accounted for.
+"""Machines that a new leader has not reconciled yet, and the limits that follow from them.
 
-A machine that an earlier leader had in the machine registry may run anything until it sends a
-heartbeat under this term's token, or its worker's lease must be over. Until then it counts against
-every team, and no job that it could be running is started anywhere else.
+A registered machine may run any task that an earlier leader started until it sends a heartbeat with
+this term's fencing token, or its worker's lease has certainly expired. Until then its capacity
+counts against every team's quota, and no job that it could be running is started elsewhere.
 
-What is not known counts as the unfavourable case: a machine of a type that is not known, not yet or
-not any more, has room for anything.
+Unknown means the worst case: a machine of unknown type has unbounded capacity.
 """
 
 from __future__ import annotations
@@ -23,22 +22,23 @@
 
 
 class Failover:
-    """The machines that one term has not accounted for, and what follows from them."""
+    """The unreconciled machines of one term."""
 
     def __init__(self, registry: MachineRegistry, fencing_token: int, now: float) -> None:
         self.registry = registry
         self.fencing_token = fencing_token
         self.term_started_at = now
         self.logged_at = now
+        # CPUs and GPUs of all unreconciled machines; None: to be computed.
         self._capacity_total: tuple[float, float] | None = None
-        self._kinds: dict[MachineKind, Resources] = {}
+        self._capacity_by_kind: dict[MachineKind, Resources] = {}  # of one machine
 
     def invalidate_capacity(self) -> None:
-        """What was summed may have grown: machines or their types have become known."""
+        """Drop the cached capacity, since machines or machine types have been added."""
         self._capacity_total = None
 
     def unreconciled_machines(self) -> list[Machine]:
-        """Machines that may run anything an earlier leader started."""
+        """Return the machines that may run any task that an earlier leader started."""
         return [
             machine
             for machine in self.registry.machines.values()
@@ -46,7 +46,7 @@
         ]
 
     def sweep(self, now: float) -> bool:
-        """What time has changed; whether all machines are accounted for."""
+        """Refresh the cached capacity; return whether every machine is reconciled."""
         self._capacity_total = None
         unreconciled = self.unreconciled_machines()
         if unreconciled and now - self.logged_at >= LOG_INTERVAL_S:
@@ -63,45 +63,45 @@
         return not unreconciled
 
     def by_reason(self) -> dict[str, int]:
-        """How many machines are not accounted for, by what is known of them."""
-        found = {"type_unknown": 0, "answered": 0, "silent": 0}
+        """Count the unreconciled machines by what is known of them."""
+        counts = {"type_unknown": 0, "answered": 0, "silent": 0}
         for machine in self.unreconciled_machines():
             if machine.machine_type not in self.registry.machine_types:
-                found["type_unknown"] += 1
+                counts["type_unknown"] += 1
             else:
-                found["silent" if machine.links.acknowledged_sequence < 0 else "answered"] += 1
-        return found
+                counts["silent" if machine.links.acknowledged_sequence < 0 else "answered"] += 1
+        return counts
 
     def unreconciled_capacity(self) -> tuple[float, float]:
-        """CPUs and GPUs that tasks of any team may be taking on those.
+        """Return the CPUs and GPUs that any team's tasks may occupy on unreconciled machines.
 
-        As of the last look at the latest. Between looks a machine can only be accounted for;
-        whatever makes the sum larger calls ``invalidate_capacity``. Before, a type that became
-        known did not: what had been summed as nothing stood for half a second, in which placement
-        took every task of every job for startable (``days/types-unknown.toml``: ``ran_twice``).
+        The sum is cached until the next sweep. Whatever makes it larger must call
+        ``invalidate_capacity``; a machine that is reconciled only makes it smaller. When new
+        machine types did not invalidate it, a sum of zero stayed valid for half a second, and
+        placement started tasks a second time (``days/types-unknown.toml``: ``ran_twice``).
         """
         if self._capacity_total is None:
             unreconciled = self.unreconciled_machines()
-            capacities = [self._capacity(machine) for machine in unreconciled]
+            capacities = [self._max_capacity(machine) for machine in unreconciled]
             self._capacity_total = (
                 sum(capacity.cpus for capacity in capacities),
                 sum(capacity.gpus for capacity in capacities),
             )
-            self._kinds = {
+            self._capacity_by_kind = {
                 m.kind: capacity for m, capacity in zip(unreconciled, capacities, strict=True)
             }
         return self._capacity_total
 
-    def _capacity(self, machine: Machine) -> Resources:
-        """What the machine may hold: anything while its type is unknown."""
+    def _max_capacity(self, machine: Machine) -> Resources:
+        """Return the machine's capacity, unbounded while its type is unknown."""
         known = machine.machine_type in self.registry.machine_types
         return machine.capacity if known else UNBOUNDED_RESOURCES
 
     def could_run(self, job: Job) -> bool:
-        """Whether one of them may be running a task of the job that an earlier leader started.
+        """Return whether an unreconciled machine may run a task of the job.
 
-        An earlier leader started tasks only on machines of the machine registry that their job
-        allows and that they fit on.
+        Earlier leaders started tasks only on registered machines that their job allows and that
+        they fit on.
         """
         self.unreconciled_capacity()
         return any(
@@ -109,5 +109,5 @@
             and (job.allowed_types is None or type_index in job.allowed_types)
             and (job.zone is None or job.zone == zone)
             and all(c + EPSILON >= n for c, n in zip(capacity, job.request, strict=True))
-            for (type_index, zone, spot), capacity in self._kinds.items()
+            for (type_index, zone, spot), capacity in self._capacity_by_kind.items()
         )
--- a/src/salthead/cluster/job_table.py
+++ b/src/salthead/cluster/job_table.py
@@ -1,4 +1,4 @@
-"""The jobs that are not over, with the tasks of theirs that are done."""
+"""The jobs that have not ended, and which of their tasks are done."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from salthead.cluster.estimates import Arrivals, Estimates
 from salthead.cluster.events import LedgerEvents
-from salthead.cluster.machine_registry import REMEMBERED_FLEETS, MachineRegistry
+from salthead.cluster.machine_registry import REMEMBERED_FLEET_SIZES, MachineRegistry
 from salthead.cluster.model import Job
 from salthead.cluster.resources import EPSILON, Resources
 from salthead.event_log import event
@@ -17,12 +17,13 @@
 
 log = logging.getLogger(__name__)
 
-# Ended jobs whose team is remembered, for orphan tasks of theirs: at the least.
+# Number of ended jobs whose team and request are remembered for their orphan tasks. Larger for a
+# large fleet.
 MIN_REMEMBERED_JOBS = 5000
 
 
 class JobTable:
-    """Jobs by their id. It alone adds and forgets jobs and notes which of their tasks are done."""
+    """Jobs by id; the only code that adds and forgets jobs and marks their tasks as done."""
 
     def __init__(
         self, registry: MachineRegistry, team_names: Interner, events: LedgerEvents, now: float
@@ -33,31 +34,33 @@
         self.estimates = Estimates()
         self.arrivals = Arrivals(now)
         self.jobs: dict[str, Job] = {}
-        # Those that wait for no other job: what passes and plans look at.
+        # Jobs without unfinished dependencies, which scheduling passes and fleet plans consider.
         self.ready_jobs: dict[str, Job] = {}
-        # Types that are the only ones for some class of jobs, as seen in this term.
+        # Machine types that were the only fitting ones for some job of this term.
         self.scarce: set[int] = set()
-        self.team_of: dict[str, tuple[int, Resources]] = {}  # of ended jobs: team and request
+        self.ended_jobs: dict[str, tuple[int, Resources]] = {}  # team and request by job id
 
     def add(
         self, spec: Submission, now: float, submitted: float, accepted_this_term: bool
     ) -> Job | None:
-        """Add an accepted job; None when its team is unknown to these settings."""
+        """Add an accepted job; return None if the settings lack its team."""
         team = self.team_names.get(spec.team)
         if team is None:
             event(log, "team_unknown", logging.WARNING, job=spec.job_id, team=spec.team)
             return None
-        job = self._job(spec, team, submitted, accepted_this_term)
+        job = self._build_job(spec, team, submitted, accepted_this_term)
         self.jobs[spec.job_id] = job
         if accepted_this_term:
             self.arrivals.record_arrival(now)
-        fitting = self.fitting(job)
-        if len(fitting) == 1 < len(self.registry.machine_types):
-            self.scarce |= fitting
-        job.constrained = fitting <= self.scarce
+        fitting_types = self.fitting_types(job)
+        if len(fitting_types) == 1 < len(self.registry.machine_types):
+            self.scarce |= fitting_types
+        job.constrained = fitting_types <= self.scarce
         return job
 
-    def _job(self, spec: Submission, team: int, submitted: float, accepted_this_term: bool) -> Job:
+    def _build_job(
+        self, spec: Submission, team: int, submitted: float, accepted_this_term: bool
+    ) -> Job:
         registry = self.registry
         allowed_types = None
         if spec.machine_types is not None:
@@ -76,8 +79,8 @@
             accepted_this_term=accepted_this_term,
         )
 
-    def fitting(self, job: Job) -> set[int]:
-        """Types that a task of the job may be on and fits on."""
+    def fitting_types(self, job: Job) -> set[int]:
+        """Return the machine types that the job allows and that one of its tasks fits on."""
         return {
             type_index
             for type_index, capacity in self.registry.capacities.items()
@@ -86,7 +89,7 @@
         }
 
     def load_done(self, job: Job, indices: Iterable[int]) -> None:
-        """Tasks that an earlier term saved as done."""
+        """Mark tasks as done that an earlier term saved as done."""
         for index in indices:
             if 0 <= index < job.spec.task_count and not job.done[index]:
                 job.done[index] = 1
@@ -96,30 +99,30 @@
             self.events.completed(job)
 
     def mark_done(self, job: Job, index: int) -> None:
-        """A heartbeat says that a task is done."""
-        # A gang's tasks complete together: one that is done speaks for all.
-        which = range(job.spec.task_count) if job.gang else (index,)
-        for one in which:
-            if not job.done[one]:
-                job.done[one] = 1
+        """Mark a task as done that a heartbeat reports as done."""
+        # The tasks of a gang complete together, so one done task completes them all.
+        done_indices = range(job.spec.task_count) if job.gang else (index,)
+        for done_index in done_indices:
+            if not job.done[done_index]:
+                job.done[done_index] = 1
                 job.n_done += 1
-                job.unsaved.add(one)
+                job.unsaved.add(done_index)
         if job.complete:
             self.events.completed(job)
         self.events.changed()
 
     def mark_saved(self, job: Job, indices: Iterable[int]) -> None:
-        """These done tasks are known to the state service."""
+        """Record that the state service holds these done tasks."""
         for index in indices:
             job.saved.add(index)
             job.unsaved.discard(index)
 
     def forget(self, job: Job) -> None:
-        """Remove a job that is over and has no task on a machine any more; its team stays known."""
+        """Remove a job that has ended and has no bound task; remember its team and request."""
         if job.terminal_phase and not job.bindings and self.jobs.get(job.job_id) is job:
-            self.team_of[job.job_id] = (job.team, job.request)
-            most = max(MIN_REMEMBERED_JOBS, REMEMBERED_FLEETS * self.registry.largest_fleet)
-            if len(self.team_of) > most:
-                self.team_of.pop(next(iter(self.team_of)))
+            self.ended_jobs[job.job_id] = (job.team, job.request)
+            most = max(MIN_REMEMBERED_JOBS, REMEMBERED_FLEET_SIZES * self.registry.largest_fleet)
+            if len(self.ended_jobs) > most:
+                self.ended_jobs.pop(next(iter(self.ended_jobs)))
             del self.jobs[job.job_id]
             self.ready_jobs.pop(job.job_id, None)
--- a/src/salthead/cluster/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -1,8 +1,8 @@
-"""Orphan tasks: those on a machine that no binding explains, so that their stop is wanted.
+"""Orphan tasks: tasks that run on a machine without a binding, and are to be stopped.
 
-Until a heartbeat shows that one is gone it holds its booking on the machine, its team's quota, and
-its job, of which nothing is started. Of a job that is unknown here the team is unknown as well, and
-nothing at all is started until its record has been read.
+Until a heartbeat no longer lists it, an orphan task occupies capacity on its machine, counts
+against its team's quota, and prevents starts of its job. The team of an unknown job is unknown too,
+so no task of any job is started until the record of that job has been read.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 
 
 class OrphanTasks:
-    """The orphan tasks on all machines. It alone adds and drops them."""
+    """The orphan tasks on all machines; the only code that adds and drops them."""
 
     def __init__(self, jobs: JobTable, allocations: Allocations) -> None:
         self.job_table = jobs
         self.allocations = allocations
-        # Orphan tasks whose job is not known: their team is unknown until its record is read.
+        # Jobs of orphan tasks whose records are still to be read, to learn their team.
         self.unknown_jobs: set[str] = set()
-        self.count_by_job: dict[str, int] = {}  # such a job starts nothing
+        self.count_by_job: dict[str, int] = {}  # jobs with orphan tasks, of which none is started
 
     def add(self, machine: Machine, key: OrphanKey) -> None:
-        """Note an orphan task that a heartbeat shows, and book what it takes."""
+        """Add an orphan task that a heartbeat lists, and count its usage."""
         if key in machine.orphans:
             return
         job_id, index, attempt = key
         job = self.job_table.jobs.get(job_id)
         if job is not None:
             team, request = job.team, job.request
-        elif job_id in self.job_table.team_of:
-            team, request = self.job_table.team_of[job_id]
+        elif job_id in self.job_table.ended_jobs:
+            team, request = self.job_table.ended_jobs[job_id]
         else:
             team, request = -1, NO_RESOURCES
             self.unknown_jobs.add(job_id)
@@ -62,23 +62,23 @@
         self.allocations.adjust_usage(machine, request, team, 1.0)
 
     def drop(self, machine: Machine, key: OrphanKey) -> None:
-        """The orphan task is certainly gone: release what it took."""
+        """Remove an orphan task that is certainly gone, and release its usage."""
         orphan = machine.orphans.pop(key)
         event(log, "orphan_gone", task=f"{key[0]}/{key[1]}", attempt=key[2], machine=machine.name)
         self.allocations.adjust_usage(machine, orphan.request, orphan.team, -1.0)
-        left = self.count_by_job.pop(key[0], 1) - 1
-        if left > 0:
-            self.count_by_job[key[0]] = left
+        remaining = self.count_by_job.pop(key[0], 1) - 1
+        if remaining > 0:
+            self.count_by_job[key[0]] = remaining
         else:
             self.unknown_jobs.discard(key[0])
         self.job_table.events.changed()
 
     def identify_job(self, spec: Submission) -> None:
-        """The record of an ended job whose tasks are still on machines: count them in."""
-        found = self.job_table.team_names.get(spec.team)
-        team = -1 if found is None else found
+        """Count the usage of orphan tasks by the record of their job, which has ended."""
+        known_team = self.job_table.team_names.get(spec.team)
+        team = -1 if known_team is None else known_team
         request = Resources(spec.vcpus, spec.accelerators, spec.ram_gb)
-        self.job_table.team_of[spec.job_id] = (team, request)
+        self.job_table.ended_jobs[spec.job_id] = (team, request)
         self.unknown_jobs.discard(spec.job_id)
         for machine in self.job_table.registry.machines.values():
             for key, orphan in machine.orphans.items():
