--- a/src/salthead/cluster/__init__.py
+++ b/src/salthead/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The state of the cluster as one leader knows it: machines, jobs, allocations. No I/O."""
+"""State of the cluster as one leader knows it: machines, jobs and allocations, without I/O."""
--- a/src/salthead/cluster/capacity_index.py
+++ b/src/salthead/cluster/capacity_index.py
@@ -1,4 +1,4 @@
-"""Room on machines: an index of what is free, and machines that are kept for a job."""
+"""Index of the free capacity of machines, and reservations of machines for jobs."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class CapacityIndex:
-    """Free room of all machines that are up."""
+    """Machines that are up by their free capacity, and machines reserved for a job."""
 
     def __init__(self) -> None:
-        # Machines that are up, by kind and by how many whole CPUs they have free. A pass looks
-        # at the rows with room alone, so that its cost does not grow with a full fleet.
+        # Machines that are up, by kind and by their number of whole free CPUs. A pass scans only
+        # rows with enough free CPUs, so full machines add nothing to its cost.
         self.free: dict[MachineKind, list[dict[Machine, None]]] = {}
-        self.reserved: dict[Machine, None] = {}  # machines that are, or lately were, kept for a job
+        self.reserved: dict[Machine, None] = {}  # includes reservations that have expired
 
     def reindex(self, machine: Machine) -> None:
-        """Note how much is free on the machine now."""
-        whole = -1
+        """Move the machine to the row of its free CPUs; only machines that are up are indexed."""
+        whole_cpus = -1
         if machine.phase == UP:
-            whole = max(0, int(machine.capacity.cpus - machine.allocated.cpus + EPSILON))
-        if whole == machine.free_whole_cpus:
+            whole_cpus = max(0, int(machine.capacity.cpus - machine.allocated.cpus + EPSILON))
+        if whole_cpus == machine.free_whole_cpus:
             return
         rows = self.free.setdefault(machine.kind, [])
         if machine.free_whole_cpus >= 0:
             del rows[machine.free_whole_cpus][machine]
-        if whole >= 0:
-            while len(rows) <= whole:
+        if whole_cpus >= 0:
+            while len(rows) <= whole_cpus:
                 rows.append({})
-            rows[whole][machine] = None
-        machine.free_whole_cpus = whole
+            rows[whole_cpus][machine] = None
+        machine.free_whole_cpus = whole_cpus
 
     def with_room(self, kinds: Iterable[MachineKind], request: Resources) -> Iterable[Machine]:
-        """Machines of these kinds that have room, in the index's own order."""
+        """Yield the machines of these kinds that the request fits on, in the index's order."""
         for kind in kinds:
             for row in self.free[kind][int(request.cpus) :]:
                 for machine in row:
@@ -42,23 +42,23 @@
                         yield machine
 
     def reserve(self, machine: Machine, job_id: str, until: float) -> None:
-        """Keep a machine for a job: placement hides it from the others."""
+        """Reserve a machine for a job; placement offers it to no other job."""
         machine.reserved_for = job_id
         machine.reserved_until = max(machine.reserved_until, until)
         self.reserved[machine] = None
 
     def expire_reservations(self, now: float) -> None:
-        """Forget machines that were kept for a job until now."""
+        """Remove the reservations that have expired."""
         for machine in [m for m in self.reserved if now >= m.reserved_until]:
             machine.reserved_for = ""
             del self.reserved[machine]
 
     def release_reservations(self, job_id: str) -> None:
-        """Keep no machine for a job any more."""
+        """Remove all reservations of a job."""
         for machine in [m for m in self.reserved if m.reserved_for == job_id]:
             machine.reserved_for = ""
             del self.reserved[machine]
 
     def reserved_machines(self, job_id: str, now: float) -> list[Machine]:
-        """Machines that are kept for a job now."""
+        """Return the machines that are reserved for a job now."""
         return [m for m in self.reserved if m.reserved_for == job_id and now < m.reserved_until]
--- a/src/salthead/cluster/estimates.py
+++ b/src/salthead/cluster/estimates.py
@@ -1,76 +1,81 @@
-"""How long tasks run, learned from those that were seen to complete."""
+"""Run times of tasks, arrival rates of jobs and attainment of the start-time objective."""
 
 from __future__ import annotations
 
 
 class Estimates:
-    """How owners' estimates of run time compare to what was seen, by class of job."""
+    """Measured against estimated run times of completed tasks, by job class."""
 
-    PRIOR_S = 300.0  # seconds of run time for which the owners are simply believed
+    PRIOR_S = 300.0  # weight of the prior that estimates are right, in seconds of run time
 
     def __init__(self) -> None:
-        self.seen: dict[str, float] = {}
-        self.said: dict[str, float] = {}
+        # Total run times by job class, in seconds.
+        self.measured: dict[str, float] = {}
+        self.estimated: dict[str, float] = {}
 
-    def learn(self, job_class: str, estimated_run_s: float, run_s: float) -> None:
-        """Note that a task with this estimate ran for so long."""
+    def record_run(self, job_class: str, estimated_run_s: float, run_s: float) -> None:
+        """Record the run time of a completed task; a task without an estimate is ignored."""
         if estimated_run_s <= 0 or run_s <= 0:
             return
-        self.seen[job_class] = self.seen.get(job_class, 0.0) + run_s
-        self.said[job_class] = self.said.get(job_class, 0.0) + estimated_run_s
+        self.measured[job_class] = self.measured.get(job_class, 0.0) + run_s
+        self.estimated[job_class] = self.estimated.get(job_class, 0.0) + estimated_run_s
 
     def factor(self, job_class: str) -> float:
-        """By how much the estimates of a class are wrong."""
-        seen, said = self.seen.get(job_class, 0.0), self.said.get(job_class, 0.0)
-        return (seen + self.PRIOR_S) / (said + self.PRIOR_S)
+        """Return the ratio of measured to estimated run time of a class."""
+        measured = self.measured.get(job_class, 0.0)
+        estimated = self.estimated.get(job_class, 0.0)
+        return (measured + self.PRIOR_S) / (estimated + self.PRIOR_S)
 
     def run_s(self, job_class: str, estimated_run_s: float) -> float:
-        """How long a task should run, by its estimate and what was seen of its class."""
+        """Return the expected run time of a task: its estimate, corrected by its class."""
         return max(1.0, estimated_run_s * self.factor(job_class))
 
 
-# One that has outlived its estimate goes on for this part of what it has run.
+# Expected remaining run time of a task that has exceeded its estimate, as a share of its run time
+# so far.
 OVERDUE_RUN_SHARE = 0.5
 
 
 def left_s(run_s: float, age_s: float) -> float:
-    """How long a task goes on that is thought to run for ``run_s`` and has run for ``age_s``.
+    """Return the expected remaining run time of a task that has run for ``age_s`` of ``run_s``.
 
-    One that has outlived its estimate is not about to end: nothing is known but that it runs
-    long. Seen on busy, prairie-ledger-fleet: the plan counted on the room of gangs that were
-    overdue, and two others waited for it for 100 s in a fleet that was being given back.
+    A task that has exceeded its estimate is not assumed to end soon. When the fleet plan counted on
+    capacity that overdue gangs would free, two other gangs waited 100 s for it while the fleet was
+    scaled in.
     """
     return run_s - age_s if age_s < run_s else age_s * OVERDUE_RUN_SHARE
 
 
 class Arrivals:
-    """How far apart jobs come, and whether they have stopped coming."""
+    """Moving average of the interval between job arrivals."""
 
-    WEIGHT = 0.1  # of one gap
-    # Where jobs come independently, a gap this many times the mean is one in 3,000.
-    STOPPED = 8.0
+    WEIGHT = 0.1  # of one interval in the moving average
+    # Arrivals count as stopped after this many mean intervals. If jobs arrive independently, one
+    # interval in 3,000 is as long.
+    STOPPED_INTERVALS = 8.0
 
     def __init__(self, now: float) -> None:
-        self.last = now
+        self.last_arrival_at = now
         self.interval_s: float | None = None
 
     def record_arrival(self, now: float) -> None:
-        """Note that a job has come."""
-        interval_s, self.last = now - self.last, now
+        """Record that a job has arrived."""
+        interval_s, self.last_arrival_at = now - self.last_arrival_at, now
         old = interval_s if self.interval_s is None else self.interval_s
         self.interval_s = old + self.WEIGHT * (interval_s - old)
 
     def stopped(self, now: float) -> bool:
-        """Whether none has come for far longer than usual."""
-        return self.interval_s is not None and now - self.last > self.STOPPED * max(
-            self.interval_s, 1.0
+        """Return whether no job has arrived for much longer than the mean interval."""
+        return (
+            self.interval_s is not None
+            and now - self.last_arrival_at > self.STOPPED_INTERVALS * max(self.interval_s, 1.0)
         )
 
 
 class StartAttainment:
-    """How much of the work within guarantees has lately found its machines as fast as aimed for."""
+    """Moving share of jobs within guarantees that started within the target time."""
 
-    WEIGHT = 0.05  # of one job
+    WEIGHT = 0.05  # of one job in the moving average
 
     def __init__(self, within_s: float, share: float) -> None:
         self.within_s = within_s
@@ -78,11 +83,11 @@
         self.share = share
 
     def record_attainment(self, in_time: bool) -> None:
-        """Note whether a job began in time."""
+        """Record whether a job started in time."""
         self.share += self.WEIGHT * (float(in_time) - self.share)
 
     def spare(self) -> float:
-        """How far the aim is surpassed: 0 where it is missed or just met, 1 where none is late."""
+        """Return the margin above the target share: 0 if it is just met or missed, 1 at most."""
         if self.target_share >= 1.0:
             return 0.0
         return min(1.0, max(0.0, (self.share - self.target_share) / (1.0 - self.target_share)))
--- a/src/salthead/cluster/events.py
+++ b/src/salthead/cluster/events.py
@@ -1,4 +1,4 @@
-"""What the ledger tells whoever acts on it."""
+"""Callbacks by which the ledger notifies the term of changes."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 @dataclass
 class LedgerEvents:
-    """Callbacks of a term; each does nothing until it is set."""
+    """Callbacks that the term sets; each does nothing until then."""
 
     changed: Callable[[], None] = lambda: None
     completed: Callable[[Job], None] = lambda job: None  # all tasks of the job are done
     aborts_pending: Callable[[], None] = lambda: None
-    # Placement, called between what a heartbeat says and the starts that its answer carries.
+    # Places tasks on a machine with freed capacity. Called after a heartbeat's tasks are reconciled
+    # and before its answer is built, so that the answer carries the new starts.
     room_freed: Callable[[Machine, float], None] = lambda machine, now: None
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -1,7 +1,7 @@
-"""What must hold of a ledger whatever happens, checked while it runs.
+"""Invariants of the ledger, checked at run time.
 
-Decisions are made elsewhere and never rest on these checks. One that fails shows a fault in them:
-it is logged with its evidence, counted, and the start concerned is not sent. In tests it raises.
+No decision relies on these checks: one that fails shows a bug elsewhere. The failure is logged with
+its evidence and counted, and the start concerned is not sent. In tests it raises.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 
 log = logging.getLogger(__name__)
 
-AUDIT_INTERVAL_S = 30.0  # between sums over the bookings of teams
-SWEEPS_PER_AUDIT = 60  # looks, two a second, in which each machine is looked at once
-AUDIT_TOLERANCE = 1e-3  # what rounding may add up to over many bookings
+AUDIT_INTERVAL_S = 30.0  # between audits of the teams' usage
+SWEEPS_PER_AUDIT = 60  # sweeps, at two a second, in which each machine is audited once
+AUDIT_TOLERANCE = 1e-3  # accumulated rounding errors of many additions and subtractions
 
 
 class Invariant(StrEnum):
-    """What must hold."""
+    """An invariant, by its name in logs and metrics."""
 
-    BOUND_ONCE = "bound_once"  # a task has one machine at the most
-    NOT_TERMINAL = (
-        "not_over"  # nothing of a job that is over or cancelled, nor a done task, is bound
-    )
-    WITHIN_LIMIT = "within_limit"  # bookings and silent room are within the limit at each grant
-    START_BOUND = "start_bound"  # no start is sent of what its job does not know to be there
-    TOTALS_AGREE = "sums_agree"  # bookings of teams and machines are the sums of what is bound
+    BOUND_ONCE = "bound_once"  # a task is bound to at most one machine
+    # No done task is bound, and no task of a job that has ended or is cancelled.
+    NOT_TERMINAL = "not_over"
+    # At each new start, a team's usage and the unreconciled capacity are within its limit.
+    WITHIN_LIMIT = "within_limit"
+    START_BOUND = "start_bound"  # a start is sent only for a binding that its job lists
+    TOTALS_AGREE = "sums_agree"  # usage of teams and machines is the sum over their tasks
 
 
 class InvariantBrokenError(SaltheadError, AssertionError):
-    """Raised instead of logged where ``Invariants.strict`` is set."""
+    """Raised for a broken invariant if ``Invariants.strict`` is set."""
 
 
 class CheckedLedger(Protocol):
-    """What the checks read of a ledger."""
+    """The part of a ledger that the checks read."""
 
     fencing_token: int
     term_started_at: float
@@ -53,20 +53,21 @@
     unknown_jobs: set[str]
 
     def unreconciled_capacity(self) -> tuple[float, float]:
-        """CPUs and GPUs that tasks of any team may be taking on unreconciled machines."""
+        """Return the CPUs and GPUs that any team's tasks may occupy on unreconciled machines."""
 
 
 class Invariants:
     """The checks of one ledger."""
 
-    strict = False  # set by tests
+    strict = False  # raise on a broken invariant; set by tests
 
     def __init__(self, ledger: CheckedLedger) -> None:
         self.ledger = ledger
         self.teams_audited_at = ledger.term_started_at
         self.unaudited: list[Machine] = []
 
-    def _broken(self, which: Invariant, **evidence: object) -> bool:
+    def _report_broken(self, which: Invariant, **evidence: object) -> bool:
+        """Log and count a broken invariant; return False."""
         metrics.INVARIANTS_BROKEN.labels(which).inc()
         fencing_token = self.ledger.fencing_token
         event(
@@ -82,15 +83,16 @@
         return False
 
     def may_bind(self, job: Job, index: int, machine: Machine, granted: bool) -> bool:
-        """Before a task is bound. ``granted``: by a decision of this leader to start it.
+        """Check that a task may be bound to a machine.
 
-        What an earlier leader started is bound as it is found, whatever the limit.
+        ``granted``: by a decision of this leader to start it. A task that an earlier leader started
+        is bound whatever its team's limit.
         """
-        found = {"task": f"{job.job_id}/{index}", "machine": machine.name, "granted": granted}
-        before = job.bindings.get(index)
-        if before is not None or (job.job_id, index) in machine.bindings:
-            there = before.machine.name if before is not None else machine.name
-            return self._broken(Invariant.BOUND_ONCE, bound_to=there, **found)
+        evidence = {"task": f"{job.job_id}/{index}", "machine": machine.name, "granted": granted}
+        existing = job.bindings.get(index)
+        if existing is not None or (job.job_id, index) in machine.bindings:
+            bound_to = existing.machine.name if existing is not None else machine.name
+            return self._report_broken(Invariant.BOUND_ONCE, bound_to=bound_to, **evidence)
         if (
             job.terminal_phase
             or job.cancel_requested
@@ -98,41 +100,41 @@
             or job.done[index]
         ):
             done = bool(job.done[index])
-            return self._broken(
-                Invariant.NOT_TERMINAL, terminal_phase=job.terminal_phase, done=done, **found
+            return self._report_broken(
+                Invariant.NOT_TERMINAL, terminal_phase=job.terminal_phase, done=done, **evidence
             )
-        return not granted or self._within_limit(job, found)
+        return not granted or self._within_limit(job, evidence)
 
-    def _within_limit(self, job: Job, found: dict[str, object]) -> bool:
+    def _within_limit(self, job: Job, evidence: dict[str, object]) -> bool:
         ledger = self.ledger
         silent = ledger.unreconciled_capacity()
-        usage, most = ledger.usage[job.team], ledger.team_limits[job.team]
+        usage, limit = ledger.usage[job.team], ledger.team_limits[job.team]
         fits = all(
-            not job.request[n] or usage[n] + silent[n] + job.request[n] <= most[n] + EPSILON * 10
+            not job.request[n] or usage[n] + silent[n] + job.request[n] <= limit[n] + EPSILON * 10
             for n in range(2)
         )
         if fits and not ledger.unknown_jobs:
             return True
-        return self._broken(
+        return self._report_broken(
             Invariant.WITHIN_LIMIT,
             team=job.spec.team,
             booked=usage[0],
             silent=silent[0],
             needed=job.request.cpus,
-            limit=most[0],
+            limit=limit[0],
             unknown_jobs=len(ledger.unknown_jobs),
-            **found,
+            **evidence,
         )
 
     def may_send_start(self, binding: Binding) -> bool:
-        """Before an answer carries a start."""
+        """Check that an answer may carry the start of this binding."""
         if binding.rejected:
-            return False  # logged when it was bound, or when its start was refused before
+            return False  # already reported
         job = binding.job
         if job is not None and job.bindings.get(binding.index) is binding:
             return True
         binding.rejected = True
-        return self._broken(
+        return self._report_broken(
             Invariant.START_BOUND,
             task=binding.task_id,
             attempt=binding.attempt,
@@ -140,16 +142,17 @@
         )
 
     def audit(self, now: float) -> None:
-        """Compare bookings with their sums: a part of the machines each time, teams now and then.
+        """Compare usage with the sum over tasks: a slice of the machines, and at times all teams.
 
-        All machines at once would hold a leader with a small share of a core up for a second.
+        An audit of all machines at once would block a leader with a small share of a core for one
+        second.
         """
         if not self.unaudited:
             self.unaudited = list(self.ledger.machines.values())
-        part = len(self.ledger.machines) // SWEEPS_PER_AUDIT + 1
-        for machine in self.unaudited[-part:]:
+        slice_size = len(self.ledger.machines) // SWEEPS_PER_AUDIT + 1
+        for machine in self.unaudited[-slice_size:]:
             self._audit_machine(machine)
-        del self.unaudited[-part:]
+        del self.unaudited[-slice_size:]
         if now - self.teams_audited_at >= AUDIT_INTERVAL_S:
             self.teams_audited_at = now
             self._audit_teams()
@@ -162,7 +165,9 @@
         allocated = machine.allocated
         booked = [allocated.cpus, allocated.gpus, allocated.memory_gb]
         if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, booked, strict=True)):
-            self._broken(Invariant.TOTALS_AGREE, machine=machine.name, sum=total, booked=booked)
+            self._report_broken(
+                Invariant.TOTALS_AGREE, machine=machine.name, sum=total, booked=booked
+            )
 
     def _audit_teams(self) -> None:
         ledger = self.ledger
@@ -177,4 +182,4 @@
         for team, (total, usage) in enumerate(zip(totals, ledger.usage, strict=True)):
             if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, usage, strict=True)):
                 name = ledger.team_names[team]
-                self._broken(Invariant.TOTALS_AGREE, team=name, sum=total, booked=usage)
+                self._report_broken(Invariant.TOTALS_AGREE, team=name, sum=total, booked=usage)
--- a/src/salthead/cluster/machine_health.py
+++ b/src/salthead/cluster/machine_health.py
@@ -1,4 +1,4 @@
-"""Machines whose tasks fail, and machines that nothing seems to reach."""
+"""Health of machines: failing tasks and workers that answers do not reach."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 log = logging.getLogger(__name__)
 
-# Errors of different jobs in a row, with nothing completed between, that condemn a machine.
-QUARANTINE_ERRORS = 2
-# A job that fails on this many machines and completes nowhere is taken to be at fault itself.
+# Number of jobs that must fail on a machine, with no task completed in between, to quarantine it.
+QUARANTINE_FAILED_JOBS = 2
+# A job that fails on this many machines without completing a task is considered faulty itself.
 FAULTY_JOB_MACHINES = 3
 ERROR_PAUSE_STEP_S, MAX_ERROR_PAUSE_S = 5.0, 30.0
 
 
 def mark_unresponsive(ledger: Ledger, machine: Machine, now: float, why: str) -> None:
-    """Its heartbeats arrive, but answers do not reach it: it gets no work until one does."""
+    """Give a machine no work: its heartbeats arrive, but answers do not reach it."""
     if machine.unresponsive_since is None:
         event(log, "machine_unresponsive", machine=machine.name, why=why)
         machine.unresponsive_since = now
@@ -27,13 +27,13 @@
 
 
 def mark_responsive(ledger: Ledger, machine: Machine, now: float) -> None:
-    """An unresponsive machine answered a call: it is tried again after a growing pause."""
+    """Give an unresponsive machine that answered a call work again, after a doubling pause."""
     if machine.unresponsive_since is not None:
         event(log, "machine_responsive", machine=machine.name)
         machine.unresponsive_since = None
         machine.trusted_again_at = (
             now
-            + min(  # bounded, or jobs that it fits would wait for minutes
+            + min(  # bounded by a lease: a longer pause would delay jobs by minutes
                 ledger.limits.workers.heartbeat_interval_s * 2.0**machine.unresponsive_times,
                 ledger.limits.workers.lease_s,
             )
@@ -41,15 +41,18 @@
         machine.has_freed_capacity = True
 
 
-def errored(ledger: Ledger, job: Job, machine: Machine, now: float) -> None:
-    """Tell a sick machine from a job that fails everywhere."""
+def record_task_error(ledger: Ledger, job: Job, machine: Machine, now: float) -> None:
+    """Back off the machine and the job after a task error; quarantine a machine that is at fault.
+
+    Jobs that fail on many machines do not count against a machine.
+    """
     if ledger.zone_hooks is not None:
         ledger.zone_hooks.failed(machine)
     job.error_machines.add(machine.name)
     machine.error_jobs.add(job.job_id)
     machine.error_until = now + min(MAX_ERROR_PAUSE_S, ERROR_PAUSE_STEP_S * len(machine.error_jobs))
     job.wait_until = max(job.wait_until, now + min(30.0, 1.0 * len(job.error_machines)))
-    blamed = [
+    failed_jobs = [
         job_id
         for job_id in machine.error_jobs
         if (other := ledger.jobs.get(job_id)) is None
@@ -63,5 +66,5 @@
         machine=machine.name,
         jobs_failed_there=len(machine.error_jobs),
     )
-    if len(blamed) >= QUARANTINE_ERRORS and not machine.quarantine_reason:
+    if len(failed_jobs) >= QUARANTINE_FAILED_JOBS and not machine.quarantine_reason:
         machine.quarantine_reason = "fails its tasks"
--- a/src/salthead/cluster/pending_queue.py
+++ b/src/salthead/cluster/pending_queue.py
@@ -1,4 +1,4 @@
-"""The jobs that the last scheduling pass left waiting."""
+"""Queue of the jobs that the last scheduling pass left waiting."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass
 class PendingQueue:
-    """Jobs with tasks that wait, in the order of the last pass: who is offered freed room."""
+    """Jobs with waiting tasks, in the order in which freed capacity is offered to them."""
 
     jobs: list[Job] = field(default_factory=list)
-    min_cpus: float = 0.0  # of the smallest task in the queue
-    constrained: bool = False  # whether a job is queued that fits on scarce types alone
-    long_since: float | None = None  # since when the fleet can't keep up with it
+    min_cpus: float = 0.0  # smallest request of a task in the queue
+    constrained: bool = False  # whether a queued job fits on scarce machine types only
+    long_since: float | None = None  # since when the fleet can't keep up with the queue
--- a/src/salthead/cluster/resources.py
+++ b/src/salthead/cluster/resources.py
@@ -1,4 +1,4 @@
-"""CPUs, GPUs and memory: what tasks request, and what machines of a kind have."""
+"""CPUs, GPUs and memory that tasks request and machines offer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Resources(NamedTuple):
-    """What a task requests, or what a machine has."""
+    """The request of one task, or the capacity of one machine."""
 
     cpus: float
     gpus: float
@@ -17,7 +17,7 @@
 
 
 class MachineKind(NamedTuple):
-    """Machines that are alike: type and zone by their dense indices, and whether they are spot."""
+    """Machine type and zone, as dense indices, and whether the machines are spot instances."""
 
     machine_type: int
     zone: int
@@ -26,13 +26,13 @@
 
 @functools.cache
 def machine_kind(machine_type: int, zone: int, spot: bool) -> MachineKind:
-    """The kind with these indices: one object for each, since plans ask for thousands."""
+    """Return the one shared object for a kind; a fleet plan asks for thousands."""
     return MachineKind(machine_type, zone, spot)
 
 
 @dataclass(slots=True)
 class ResourceUsage:
-    """What the tasks of one machine have been allocated."""
+    """Total request of the tasks on one machine."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -41,4 +41,4 @@
 
 NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 UNBOUNDED_RESOURCES = Resources(math.inf, math.inf, math.inf)
-EPSILON = 1e-6  # what rounding may leave over when bookings are added and taken back
+EPSILON = 1e-6  # tolerance for rounding errors of repeated additions and subtractions
--- a/src/salthead/cluster/silence_hooks.py
+++ b/src/salthead/cluster/silence_hooks.py
@@ -1,4 +1,4 @@
-"""What the ledger and autoscaling call of whoever looks for silence that machines share."""
+"""Interface of the ledger and autoscaling to the detection of network partitions."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class SilenceHooks(Protocol):
-    """Receives heartbeats and phases; answers which machines are taken to be behind a cut."""
+    """Receives heartbeats and phase changes; tells which machines seem to be partitioned."""
 
     @property
     def policy(self) -> PartialCutPolicy:
-        """The operator's policy for partial cuts."""
+        """Return the operator's policy for partial partitions."""
 
     @property
     def silent_zones(self) -> Set[int]:
-        """Zones none of whose machines sends heartbeats, while those of others do."""
+        """Return the zones from which no heartbeat arrives while other zones send them."""
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """The machine has sent a new heartbeat."""
+        """Record that the machine has sent a new heartbeat."""
 
     def phase_changed(self, machine: Machine) -> None:
-        """A machine is up, its lease has ended, or it is gone."""
+        """Record that a machine is up, lost or gone."""
 
     def sweep(self, now: float) -> None:
-        """Find the cuts that there are now."""
+        """Detect the current partitions."""
 
     def behind_cut(self, machine: Machine) -> bool:
-        """Whether the machine's silence was shared at the last look."""
+        """Return whether the last sweep found the machine silent together with others."""
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -1,7 +1,7 @@
-"""Which tasks may start now, and how much of a team's limit is left: every path asks here.
+"""Conditions for starting a task, and the quota that a team has left.
 
-Scheduling passes, backfill, rescheduling, preemption and the answers that carry starts share these
-conditions.
+Scheduling passes, backfill, rescheduling, preemption and the answers that carry starts all use
+these functions.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 def startable(ledger: Ledger, job: Job) -> bool:
-    """Whether tasks of the job that have no machine may be given one now.
+    """Return whether waiting tasks of the job may be placed now.
 
-    An orphan task of the job may be any of them; what an earlier leader started may be on a machine
-    that is not accounted for.
+    Not while the job has an orphan task, which may be any of the waiting tasks, nor while an
+    earlier leader may have started one of them on a machine that is not reconciled.
     """
     return (
         not job.failed
@@ -26,7 +26,7 @@
 
 
 def should_still_run(binding: Binding) -> bool:
-    """Whether a task that has a machine is still to run there."""
+    """Return whether a bound task is still to run: not stopped, cancelled, ended or done."""
     job = binding.job
     return (
         job is not None
@@ -39,17 +39,20 @@
 
 
 def quota_left(ledger: Ledger, job: Job, heed: bool = True) -> int:
-    """How many more tasks of the job its team's limit allows; ``heed`` what is kept of it."""
+    """Return how many more tasks of the job its team's limit allows.
+
+    ``heed``: subtract the quota that is reserved for gangs ahead of the job.
+    """
     if ledger.unknown_jobs:
-        return 0  # an orphan task's team is not known yet
-    usage, most = ledger.usage[job.team], ledger.team_limits[job.team]
-    left = float(job.spec.task_count)
+        return 0  # the team of an orphan task is not known yet
+    usage, limit = ledger.usage[job.team], ledger.team_limits[job.team]
+    task_count = float(job.spec.task_count)
     for n in range(2):
         if job.request[n] > 0:
-            # Any team may be using all of the machines that are not reconciled.
+            # Tasks of any one team may occupy all machines that are not reconciled.
             silent = 0.0 if ledger.ready else ledger.failover.unreconciled_capacity()[n]
-            free = most[n] - usage[n] - silent - (job.quota_reserved_ahead[n] if heed else 0.0)
+            free = limit[n] - usage[n] - silent - (job.quota_reserved_ahead[n] if heed else 0.0)
             if free + EPSILON < job.request[n]:
-                return 0  # of an unlimited silent room a division would make no number
-            left = min(left, (free + EPSILON) // job.request[n])
-    return max(0, int(left))
+                return 0  # before the division, which gives NaN for unbounded unreconciled capacity
+            task_count = min(task_count, (free + EPSILON) // job.request[n])
+    return max(0, int(task_count))
--- a/src/salthead/cluster/sweep.py
+++ b/src/salthead/cluster/sweep.py
@@ -1,4 +1,4 @@
-"""What time alone decides: leases that have certainly expired, and the end of a failover."""
+"""Periodic updates of the ledger: expired worker leases and the end of a failover."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def sweep(ledger: Ledger, now: float) -> None:
-    """Bring the ledger in line with the time; called about twice a second."""
+    """Apply what has expired by ``now``; called about twice a second."""
     ledger.dependencies.update_due_times()
     ledger.invariants.audit(now)
-    # Workers of a leader without its lease may send their heartbeats to the next one by now: such a
-    # leader had declared 135 machines lost that the next one heard from.
+    # A leader without a valid lease must not declare machines lost, since their workers may already
+    # send heartbeats to the next leader. Without this check, one declared 135 such machines lost.
     if permits(Action.DECLARE_LOST, ledger.confirmed_preconditions() | WORKER_LEASE_EXPIRED):
         for machine in ledger.machines.values():
             if machine.phase == UP and now > ledger.leases.expires_at(machine):
@@ -30,8 +30,8 @@
 
 
 def _declare_lost(ledger: Ledger, machine: Machine, now: float) -> None:
-    # Heartbeats of this incarnation that still come are late: a worker that goes on does so with
-    # the next incarnation and no tasks.
+    # Later heartbeats of this incarnation are late copies: a worker whose lease expired continues
+    # with the next incarnation and without tasks.
     event(
         log,
         "machine_lost",
@@ -42,7 +42,7 @@
     ledger.set_phase(machine, LOST)
     machine.lost_at = now
     machine.min_incarnation = machine.incarnation + 1
-    # It holds nothing any more, and may join if it heals.
+    # It runs no tasks any more, and may become up again.
     machine.first_acknowledged_at = math.inf
     machine.reconciled = False
     ledger.release_all_tasks(machine, now, ReleaseReason.LEASE_EXPIRED)
@@ -63,10 +63,10 @@
 
 
 def _end_partial_gangs(ledger: Ledger, now: float) -> None:
-    """Gangs of which an earlier leader had started only a part when it ended.
+    """End the attempts of gangs that an earlier leader had started only in part.
 
-    With all machines accounted for, the rest of the gang is nowhere: the part would hold its places
-    and wait for it until it gives up. It is stopped, and the gang drawn anew.
+    Once all machines are reconciled, the missing tasks are on none of them. The running part would
+    occupy its machines and wait for its peers until it gives up, so the gang is placed again.
     """
     for job in list(ledger.jobs.values()):
         if job.gang and 0 < len(job.bindings) < job.spec.task_count and not job.complete:
--- a/src/salthead/cluster/worker_leases.py
+++ b/src/salthead/cluster/worker_leases.py
@@ -1,4 +1,4 @@
-"""When a worker that is not answered any more certainly has no tasks left."""
+"""Expiry of worker leases: from when an unanswered worker certainly has no tasks left."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WorkerLeases:
-    """The leases of all workers, as one leader has to count them. Times are steady, in seconds."""
+    """The leases of all workers as one leader counts them, in seconds of monotonic time."""
 
     def __init__(
         self,
@@ -25,34 +25,34 @@
         self.workers = workers
         self.registry = registry
         self.jobs = jobs
-        # An earlier leader may have answered workers until it lost the lead, and this one answers
-        # them before it has read the machine registry: no lease is counted from before this.
+        # No lease is counted from an earlier time: an earlier leader may have answered workers
+        # until it lost its lease, and this one does so before it has read the machine registry.
         self.counted_from = now
-        # Zones whose workers another controller may be answering for this leader, and until when.
+        # By zone: until when another controller may answer its workers for this leader.
         self.delegated_until: dict[int, float] = {}
 
     def expires_at(self, machine: Machine) -> float:
-        """When the machine's worker has no tasks any more unless it is answered again."""
+        """Return when the worker's lease has certainly expired unless it is answered again."""
         delegated_until = self.delegated_until.get(machine.zone, -math.inf)
         answered = max(machine.acknowledged_at, self.counted_from, delegated_until)
         return certainly_expired_at(answered, self.workers.lease_s)
 
     def delegate_zone(self, area: str, until: float) -> bool:
-        """Count no lease of a zone from before ``until``; False if its tasks may not live on.
+        """Count the leases of a zone from ``until`` or later; return whether they may be extended.
 
-        A cancelled job's tasks have to be gone in time, and nothing but the end of their leases
-        stops those behind a cut.
+        False if a task in the zone has to stop: a cancelled job's tasks have a time limit, and only
+        the expiry of the lease stops a task behind a network partition.
         """
         zone = self.registry.zones.get(area)
         if zone is None:
             return False
         if self.workers.cancel_s < 2.0 * self.workers.lease_s:
-            return False  # a cancel just after a permission would come too late for the leases
+            return False  # leases extended just before a cancel could outlast its time limit
         self.delegated_until[zone] = max(until, self.delegated_until.get(zone, -math.inf))
-        return not self._has_to_end(zone)
+        return not self._has_tasks_to_stop(zone)
 
-    def _has_to_end(self, zone: int) -> bool:
-        """Whether anything in the zone is cancelled, or not this leader's to keep."""
+    def _has_tasks_to_stop(self, zone: int) -> bool:
+        """Return whether the zone has tasks of cancelled jobs or orphan tasks."""
         return any(
             (job.cancel_requested or job.terminal_phase == wire_names.ABORTED)
             and binding.machine.zone == zone
--- a/src/salthead/cluster/zone_hooks.py
+++ b/src/salthead/cluster/zone_hooks.py
@@ -1,4 +1,4 @@
-"""What the ledger and scheduling call of whoever follows the state of zones."""
+"""Interface of the ledger and scheduling to zone recovery."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class ZoneHooks(Protocol):
-    """Receives what happens on machines; answers what may be admitted, and in which order."""
+    """Receives events of machines; decides which work is admitted and in which order."""
 
     def heartbeat_received(self, machine: Machine) -> None:
-        """The machine has sent a new heartbeat."""
+        """Record that the machine has sent a new heartbeat."""
 
     def phase_changed(self, machine: Machine) -> None:
-        """A machine is up, its lease has ended, or it is gone."""
+        """Record that a machine is up, lost or gone."""
 
     def displaced(self, bindings: Iterable[Binding], now: float) -> None:
-        """The tasks were lost with their machine."""
+        """Record that these tasks were lost with their machine."""
 
     def started(self, binding: Binding, now: float) -> None:
-        """A heartbeat shows for the first time that the task has its image."""
+        """Record the first heartbeat by which the task has fetched its image."""
 
     def failed(self, machine: Machine) -> None:
-        """A task has failed on the machine."""
+        """Record that a task has failed on the machine."""
 
     def evacuating(self) -> bool:
-        """Whether work that a lost zone has displaced still waits."""
+        """Return whether jobs displaced from a lost zone still wait."""
 
-    def evacuation_order(self, jobs: list[Job], within: set[str], now: float) -> list[Job]:
-        """The queue, as it is served while a zone is evacuated."""
+    def evacuation_order(self, jobs: list[Job], guaranteed_ids: set[str], now: float) -> list[Job]:
+        """Return the queue, reordered while a zone is evacuated."""
 
     def claim(self, machine: Machine, now: float) -> None:
-        """A machine has room that displaced gangs may be about to need."""
+        """Reserve a machine's freed capacity for displaced gangs that may need it."""
 
     def restarts_whole(self, machine: Machine) -> bool:
-        """Whether a gang that lost this machine must not be completed elsewhere."""
+        """Return whether a gang that lost this machine must restart as a whole, not in part."""
 
     def max_provision(self, zone: int) -> int | None:
-        """How many machines of a kind may be provisioned in the zone at a time; None: no bound."""
+        """Return how many machines of a kind may be provisioned there at once; None: no limit."""
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -7,7 +7,7 @@
 
 from salthead import metrics
 from salthead.cluster.ledger import Ledger
-from salthead.cluster.machine_health import errored, mark_unresponsive
+from salthead.cluster.machine_health import mark_unresponsive, record_task_error
 from salthead.cluster.model import Binding, Job, Machine, ReleaseReason
 from salthead.cluster.orphans import OrphanKey
 from salthead.cluster.start_rules import should_still_run
@@ -211,7 +211,7 @@
         if cause == wire_names.DONE:
             self._completed(job, binding)
         elif cause == wire_names.ERROR:
-            errored(ledger, job, machine, self.now)
+            record_task_error(ledger, job, machine, self.now)
         elif cause in (wire_names.FULL, wire_names.IN_USE, wire_names.UNKNOWN):
             event(log, "start_refused", task=task.task_id, machine=machine.name, cause=cause)
             interval_s = ledger.limits.workers.heartbeat_interval_s
@@ -227,7 +227,7 @@
         machine.error_until = 0.0
         if binding.started and not job.gang:
             run_s = self.now - binding.started
-            self.ledger.estimates.learn(spec.job_class, spec.estimated_run_s, run_s)
+            self.ledger.estimates.record_run(spec.job_class, spec.estimated_run_s, run_s)
         self.ledger.job_table.mark_done(job, binding.index)
 
     def _late_exit(self, key: TaskKey, task: TaskStatus) -> None:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -62,10 +62,10 @@
     estimates = Estimates()
     assert estimates.run_s("b", 20.0) == 20.0
     for _ in range(200):
-        estimates.learn("b", 20.0, 40.0)
+        estimates.record_run("b", 20.0, 40.0)
     assert 36.0 < estimates.run_s("b", 20.0) < 40.0
     assert estimates.run_s("other", 20.0) == 20.0
-    estimates.learn("b", 0.0, 5.0)  # an owner without an estimate teaches nothing
+    estimates.record_run("b", 0.0, 5.0)  # an owner without an estimate teaches nothing
     assert estimates.run_s("b", 0.0) == 1.0
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -305,7 +305,7 @@
     pipeline(led, deadline_s=100.0)
     assert led.jobs["req-1"].due[0] == 60.0
     for _ in range(200):
-        led.estimates.learn("b", 20.0, 30.0)
+        led.estimates.record_run("b", 20.0, 30.0)
     sweep(led, 1.0)
     run_s = led.estimates.run_s("b", 20.0)
     assert run_s > 28.0 and led.jobs["req-1"].due[0] == pytest.approx(100.0 - 2 * run_s)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -870,5 +870,5 @@
     machine_health.mark_responsive(led, found, 10.0)
     assert found.trusted_again_at - 10.0 <= led.limits.workers.lease_s
     for n in range(times):
-        machine_health.errored(led, job(led, job_id=f"req-{n + 100}"), found, 20.0)
+        machine_health.record_task_error(led, job(led, job_id=f"req-{n + 100}"), found, 20.0)
     assert found.error_until - 20.0 <= 30.0
