--- a/src/salthead/heartbeats/__init__.py
+++ b/src/salthead/heartbeats/__init__.py
@@ -1,1 +1,1 @@
-"""What the heartbeat of a worker changes, and the commands that answer it. No I/O."""
+"""Handling of workers' heartbeats: ledger updates and the commands that answer them. No I/O."""
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -1,4 +1,4 @@
-"""How a worker's heartbeat is answered, and what it changes in the ledger, its tasks aside."""
+"""Handling of a worker's heartbeat: whether to answer it, and updates of its machine."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 MACHINE_NOT_TERMINATED = int(Precondition.MACHINE_NOT_TERMINATED)
 INCARNATION_CURRENT = int(Precondition.INCARNATION_CURRENT)
 RESPONSES_DELIVERED = int(Precondition.RESPONSES_DELIVERED)
-# A new incarnation this soon after the last heartbeat, in leases, ended while it was answered.
+# A new incarnation within this part of a lease after the last heartbeat shows that the previous one
+# ended although its heartbeats were answered.
 EARLY_INCARNATION_LEASES = 0.5
 
 
@@ -30,11 +31,11 @@
     now: float,
     direct: bool = False,
 ) -> list[Command] | None:
-    """Commands for the worker, or None when the heartbeat must not be answered with 200.
+    """Return commands for the worker, or None if the heartbeat must not be answered with 200.
 
-    A ``direct`` heartbeat is the answer to a call of ours. It renews no lease and carries no
-    commands back, and it may have been made while an answer with starts was under way, so what it
-    does not show may still begin.
+    A ``direct`` heartbeat is the worker's response to a call by this controller. It renews no lease
+    and is not answered with commands. It may have been made while an answer with starts was in
+    flight, so a bound task that it does not list may still start.
     """
     machine = ledger.machines.get(heartbeat.worker)
     if (
@@ -51,9 +52,10 @@
         and machine.reclaim_at is None
         and not ledger.newer_fencing_token
     ):
-        # Nearly all heartbeats of a busy fleet are like this: all that an answer requires holds, as
-        # at the last one, nothing is new and nothing is wanted. Inlined from what follows, since at
-        # 570 machines half of what a leader did for heartbeats was to find that out.
+        # Fast path for nearly all heartbeats of a busy fleet: the preconditions of an answer hold
+        # as they did for the last one, the tasks are the same and no command is pending. The
+        # general path is inlined here, since it took half of the time that a leader spent on
+        # heartbeats at 570 machines.
         links = machine.links
         if heartbeat.sequence == links.acknowledged_sequence + 1 and ledger.other_controllers:
             links.answers_at = links.acknowledged_at
@@ -67,30 +69,30 @@
         if ledger.shared_silence is not None:
             ledger.shared_silence.heartbeat_received(machine)
         return []
-    return _answer(ledger, machine, heartbeat, now, direct)
+    return _handle_changed(ledger, machine, heartbeat, now, direct)
 
 
-def _answer(
+def _handle_changed(
     ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[Command] | None:
-    """Any other heartbeat: whether it may be answered, and with which commands."""
-    # Made after an answer of this term was accepted: a heartbeat of an earlier term, or of
-    # before the worker's first answer, may be a copy that comes late.
+    """Handle a heartbeat that the fast path does not cover."""
+    # A heartbeat with this term's token was made after the worker accepted an answer of this term.
+    # Any other may be a late copy.
     current = heartbeat.fencing_token == ledger.fencing_token
     if heartbeat.fencing_token > ledger.fencing_token:
         ledger.newer_fencing_token = max(ledger.newer_fencing_token, heartbeat.fencing_token)
     if machine is not None and not direct:
         _record_acknowledgements(ledger, machine, heartbeat, current, now)
-    facts = _answer_facts(ledger, machine, heartbeat, current or direct, now)
-    missing = missing_preconditions(Action.ACKNOWLEDGE_HEARTBEAT, facts)
+    held = _acknowledgement_preconditions(ledger, machine, heartbeat, current or direct, now)
+    missing = missing_preconditions(Action.ACKNOWLEDGE_HEARTBEAT, held)
     if missing:
         ledger.blocked_actions.note(Action.ACKNOWLEDGE_HEARTBEAT, missing, now)
         return None
     if machine is None:
         if not current or not ledger.loaded:
-            # The answer carries the token, and the next heartbeat is under it. Nothing is recorded:
-            # a machine that an earlier leader terminated looks like this in a late copy, and
-            # one that is not in the machine registry was never started anything.
+            # The answer carries the token, so the worker's next heartbeat shows it. The machine is
+            # not added yet, since this may be a late copy from a machine that an earlier leader
+            # terminated. No task was ever started on a machine that is not registered.
             return []
         machine = _add_unexpected(ledger, heartbeat, now)
     if not direct:
@@ -98,19 +100,18 @@
         machine.links.acknowledged(heartbeat.incarnation, heartbeat.sequence, now)
     newer = (heartbeat.incarnation, heartbeat.sequence) > (machine.incarnation, machine.sequence)
     if not newer or not ledger.loaded:
-        return []  # not loaded: keep the worker alive, look at its tasks next time
+        return []  # if not loaded, this renews the lease, and a later heartbeat shows the tasks
     if not current:
-        # Its tasks may be those of long ago: an exit reaped since, a task that is elsewhere
-        # now. A machine that comes up may enter the machine registry meanwhile.
+        # A late copy may list outdated tasks: exits that were reaped since, or tasks that run
+        # elsewhere now. The machine may be registered meanwhile.
         machine.seen_in_earlier_term = True
         machine.endpoint = machine.endpoint or heartbeat.endpoint
         return []
-    return _take_new_heartbeat(ledger, machine, heartbeat, now, direct)
+    return _apply_heartbeat(ledger, machine, heartbeat, now, direct)
 
 
 def _add_unexpected(ledger: Ledger, heartbeat: Heartbeat, now: float) -> Machine:
-    """A machine that shows this term's token, though neither the registry nor the cloud lists
-    it."""
+    """Add a machine with this term's token that is neither registered nor listed by the cloud."""
     machine = ledger.add_machine(
         heartbeat.worker, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now
     )
@@ -118,17 +119,17 @@
     return machine
 
 
-def _take_new_heartbeat(
+def _apply_heartbeat(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[Command]:
-    """Take in a new heartbeat under this term's token; the commands that follow."""
-    _take_in(ledger, machine, heartbeat, now)
+    """Apply a new heartbeat with this term's token; return the commands that follow from it."""
+    _update_machine(ledger, machine, heartbeat, now)
     if (
         machine.nothing_pending
         and not machine.has_freed_capacity
         and heartbeat.tasks == machine.last_tasks
     ):
-        return []  # nothing is new, and nothing is wanted
+        return []
     commands = commands_for(ledger, machine, heartbeat, now, direct)
     machine.last_tasks = heartbeat.tasks
     machine.nothing_pending = (
@@ -145,24 +146,24 @@
 def _record_acknowledgements(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, current: bool, now: float
 ) -> None:
-    """What a worker's own heartbeat shows of the answers to those before it."""
+    """Update the machine's link by what a heartbeat shows of the answers to earlier ones."""
     lost = machine.links.heartbeat_received(
         heartbeat.incarnation, heartbeat.sequence, current, ledger.other_controllers, now
     )
     if lost and not machine.reconciled and ledger.shared_silence is not None:
-        # None of our answers renewed its lease, nor will one of them. Counted from the last of
-        # them, deaf machines held up a failover for two leases (33 s and 46 s of 15 s and 21 s).
+        # No answer of this controller has renewed the worker's lease, nor will one of those already
+        # sent. When the lease was counted from the last answer, machines that receive no answers
+        # delayed a failover by two leases: 33 s with a lease of 15 s, and 46 s with one of 21 s.
         machine.acknowledged_at = -math.inf
 
 
 def heartbeat_seen_by_peer(
     ledger: Ledger, worker: str, number: tuple[int, int], shows_fencing_token: bool, now: float
 ) -> None:
-    """A heartbeat, by incarnation and sequence, came to another controller: it missed this one's
-    answer.
+    """Record that a worker turned to another controller, having missed the answer of this one.
 
-    A deaf worker asks all controllers in turn, so that its next heartbeat here may be three
-    time-outs away.
+    ``number``: the incarnation and sequence of its heartbeat there. A worker that receives no
+    answers tries all controllers in turn, so its next heartbeat here may be three time-outs away.
     """
     machine = ledger.machines.get(worker)
     if machine is None:
@@ -172,17 +173,18 @@
         machine.acknowledged_at = -math.inf
 
 
-def _answer_facts(
-    ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, heeds: bool, now: float
+def _acknowledgement_preconditions(
+    ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, receives: bool, now: float
 ) -> int:
-    """What is confirmed about a worker whose heartbeat asks for an answer.
+    """Return which preconditions for answering the heartbeat hold, as bits.
 
-    ``heeds``: it has shown this term's token, or it answers a call of ours.
+    ``receives``: the worker has shown this term's token, or responds to a call by this controller.
     """
     held = ledger.confirmed_preconditions()
     if now - ledger.term_started_at <= ledger.unloaded_grace_s:
-        # Which jobs were cancelled may not be known here yet. In an outage of the state service
-        # that may go on for longer than their tasks may be kept alive by answers.
+        # Within the grace period no confirmed cancellation can be overdue, even if it is not known
+        # here yet. An outage of the state service may last longer than that, and answers would then
+        # keep the tasks of cancelled jobs alive for too long.
         held |= JOBS_KNOWN
     if heartbeat.worker not in ledger.recently_gone:
         held |= MACHINE_NOT_TERMINATED
@@ -190,17 +192,18 @@
         return held | INCARNATION_CURRENT | RESPONSES_DELIVERED
     if heartbeat.incarnation >= machine.min_incarnation:
         held |= INCARNATION_CURRENT
-    if heeds or machine.reconciled or _may_receive(ledger, machine, now):
+    if receives or machine.reconciled or _may_receive(ledger, machine, now):
         held |= RESPONSES_DELIVERED
     return held
 
 
 def _may_receive(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether a worker that has not shown the token may receive the answer to this heartbeat.
+    """Return whether a worker that has not shown the token may still receive answers.
 
-    Its lease has to be counted from some last answer, or it would hold up a failover: one that
-    still does not know the token after a whole lease gets no more, nor one that neither answers
-    nor direct calls reach. Such calls are repeated, and one that is answered ends that.
+    Each answer may renew its lease, which would delay a failover without end. A worker is therefore
+    not answered any more if it has not shown the token a whole lease after the first answer, or if
+    neither answers nor direct calls reach it. Such calls are repeated, and one that the worker
+    answers lifts this.
     """
     if ledger.shared_silence is not None and machine.links.unreachable():
         return False
@@ -208,10 +211,10 @@
     return now - machine.first_acknowledged_at <= ledger.limits.workers.lease_s
 
 
-def _take_in(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-    """What a new heartbeat says of its machine, its tasks aside."""
+def _update_machine(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
+    """Update the machine by a new heartbeat, except for its tasks."""
     if heartbeat.incarnation > machine.incarnation and machine.incarnation > 0:
-        _new_incarnation(ledger, machine, heartbeat, now)
+        _handle_new_incarnation(ledger, machine, heartbeat, now)
     if machine.phase in (BOOTING, LOST):
         _mark_up(ledger, machine, now)
     machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
@@ -224,16 +227,18 @@
         machine.reconciled = True
         machine.has_freed_capacity = True
         ledger.events.changed()
-    warned = None if heartbeat.warning_s is None else now + heartbeat.warning_s
-    if warned is not None and machine.reclaim_at is None:
+    reclaim_at = None if heartbeat.warning_s is None else now + heartbeat.warning_s
+    if reclaim_at is not None and machine.reclaim_at is None:
         event(log, "machine_reclaim_warning", machine=machine.name, in_s=heartbeat.warning_s)
-    machine.reclaim_at = warned
+    machine.reclaim_at = reclaim_at
     if heartbeat.endpoint:
         machine.endpoint = heartbeat.endpoint
 
 
-def _new_incarnation(ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-    """The worker's lease has ended, and with it all that it ran."""
+def _handle_new_incarnation(
+    ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float
+) -> None:
+    """Release all tasks of a worker whose lease has expired, as its new incarnation shows."""
     event(log, "incarnation_changed", machine=machine.name, incarnation=heartbeat.incarnation)
     early_s = EARLY_INCARNATION_LEASES * ledger.limits.workers.lease_s
     if machine.reconciled and now - machine.last_heartbeat_at < early_s:
@@ -245,8 +250,8 @@
 def _mark_up(ledger: Ledger, machine: Machine, now: float) -> None:
     event(log, "machine_up", machine=machine.name, after_s=now - machine.provisioned_at)
     if machine.phase == LOST:
-        # That it was not needed was found while others did its work: seen on one-way-machines,
-        # moana-buoys-hunt, 7 and 19 machines returned within seconds of coming back.
+        # It was found to be surplus while other machines did its work. If that were kept, scale-in
+        # would terminate it within seconds of its return, as it did with 7 and with 19 machines.
         machine.surplus_since, machine.cordoned = None, False
     ledger.set_phase(machine, UP)
     machine.has_freed_capacity = True
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""What the tasks that a heartbeat shows change in the ledger, and the commands that answer it."""
+"""Reconciliation of the tasks in a heartbeat with the bindings of its machine."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 log = logging.getLogger(__name__)
 
-# Keeps an answer to a worker well under 64 KiB; the rest follows in the next answer.
+# Commands per answer, which keeps it well under 64 KiB. The others follow in the next answer.
 MAX_COMMANDS = 400
-# Answers with the same start of which none was executed, before a machine is unresponsive.
+# A machine is unresponsive if this many answers carried the same start and none was executed.
 MAX_UNEXECUTED_STARTS = 3
 
 TaskKey = tuple[str, int]  # job and task number
@@ -42,32 +42,33 @@
 def commands_for(
     ledger: Ledger, machine: Machine, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[Command]:
-    """Bring the ledger in line with the tasks that a heartbeat shows; the commands that follow."""
-    found = TaskReconciliation(ledger, machine, now)
-    found.take_tasks(heartbeat.tasks)
-    found.release_missing(direct)
-    # Room that this heartbeat freed is filled by this answer, not a heartbeat period later.
+    """Reconcile the ledger with the tasks of a heartbeat; return the commands that follow."""
+    reconciliation = TaskReconciliation(ledger, machine, now)
+    reconciliation.process_tasks(heartbeat.tasks)
+    reconciliation.release_missing(direct)
+    # Place tasks on freed capacity now, so that this answer carries their starts and not the one a
+    # heartbeat interval later.
     if machine.has_freed_capacity:
         machine.has_freed_capacity = False
         ledger.events.room_freed(machine, now)
     if not direct:
-        found.send_starts()
-    return found.commands[:MAX_COMMANDS]
+        reconciliation.add_starts()
+    return reconciliation.commands[:MAX_COMMANDS]
 
 
 class TaskReconciliation:
-    """The tasks of one heartbeat against what is bound to its machine."""
+    """Compares the tasks of one heartbeat with the bindings of its machine."""
 
     def __init__(self, ledger: Ledger, machine: Machine, now: float) -> None:
         self.ledger = ledger
         self.machine = machine
         self.now = now
         self.commands: list[Command] = []
-        self.seen: set[TaskKey] = set()  # shown, and bound to the machine
-        self.seen_orphans: set[OrphanKey] = set()
+        self.listed: set[TaskKey] = set()  # bound tasks that the heartbeat lists as not exited
+        self.listed_orphans: set[OrphanKey] = set()
 
-    def take_tasks(self, tasks: Iterable[TaskStatus]) -> None:
-        """Take in each task that the heartbeat shows."""
+    def process_tasks(self, tasks: Iterable[TaskStatus]) -> None:
+        """Process each task that the heartbeat lists."""
         for task in tasks:
             try:
                 key = split_task_id(task.task_id)
@@ -77,35 +78,39 @@
             if binding is not None and binding.attempt != task.attempt:
                 binding = None
             if task.phase == wire_names.EXITED:
-                self._take_exit(binding, key, task)
+                self._process_exit(binding, key, task)
                 continue
             if binding is None:
                 binding = self._adopt(key, task)
             if binding is None:
-                self._take_orphan(key, task)
+                self._add_orphan(key, task)
                 continue
-            self.seen.add(key)
+            self.listed.add(key)
             if binding.phase != task.phase:
-                self._take_phase(binding, task.phase)
+                self._update_phase(binding, task.phase)
             if binding.stop_grace_s is not None:
                 self._repeat_stop(binding, binding.stop_grace_s, task)
 
     def release_missing(self, direct: bool) -> None:
-        """Release what the heartbeat does not show, and what is therefore certainly not there."""
+        """Release tasks that are certainly not on the machine, as the heartbeat does not list them.
+
+        After a ``direct`` heartbeat, a task that was not listed before may still start.
+        """
         for key, binding in list(self.machine.bindings.items()):
-            if key in self.seen or self.machine.bindings.get(key) is not binding:
+            if key in self.listed or self.machine.bindings.get(key) is not binding:
                 continue
             if binding.phase:
                 self.ledger.allocations.release(binding, self.now, ReleaseReason.NOT_SHOWN)
             elif not direct:
                 self._release_unstarted(binding)
         for orphan_key in list(self.machine.orphans):
-            if orphan_key not in self.seen_orphans:
+            if orphan_key not in self.listed_orphans:
                 self.ledger.orphans.drop(self.machine, orphan_key)
 
     def _release_unstarted(self, binding: Binding) -> None:
-        # One heartbeat is in flight at a time and late answers are dropped, so a heartbeat without
-        # the task, newer than the answers that ordered it, is proof.
+        # A worker has one heartbeat in flight at a time and drops late answers. A heartbeat that is
+        # newer than every answer with the start and does not list the task therefore proves that
+        # the task has not started.
         if binding.stop_grace_s is None:
             if binding.start_sends < MAX_UNEXECUTED_STARTS:
                 return
@@ -113,8 +118,8 @@
             mark_unresponsive(self.ledger, self.machine, self.now, why)
         self.ledger.allocations.release(binding, self.now, ReleaseReason.NEVER_STARTED)
 
-    def send_starts(self) -> None:
-        """Starts for what is bound to the machine and not seen on it yet."""
+    def add_starts(self) -> None:
+        """Add start commands for bound tasks that no heartbeat has listed yet."""
         machine, ledger = self.machine, self.ledger
         held = ledger.confirmed_preconditions()
         held |= MACHINE_REGISTERED if machine.registered else 0
@@ -127,27 +132,27 @@
             if len(self.commands) >= MAX_COMMANDS:
                 break
             if not should_still_run(binding):
-                # Since it was bound its task was found done elsewhere, as one of a gang whose
-                # earlier attempt had completed: the next heartbeat, without it, releases it.
+                # The task was reported done elsewhere after it was bound, for example by a gang's
+                # earlier attempt. The next heartbeat, which will not list it, releases it.
                 ledger.allocations.request_stop(binding, 0.0)
             elif ledger.invariants.may_send_start(binding):
                 binding.start_sends += 1
                 self.commands.append(StartCommand(binding.task_id, binding.attempt))
 
-    # -- one task -------------------------------------------------------------------------
+    # -- running tasks -------------------------------------------------------------------------
 
     def _repeat_stop(self, binding: Binding, grace_s: float, task: TaskStatus) -> None:
         if task.phase != wire_names.FLUSHING or grace_s == 0.0:
             self.commands.append(StopCommand(task.task_id, task.attempt, grace_s))
             binding.stop_sent = True
 
-    def _take_orphan(self, key: TaskKey, task: TaskStatus) -> None:
+    def _add_orphan(self, key: TaskKey, task: TaskStatus) -> None:
         orphan_key = (*key, task.attempt)
-        self.seen_orphans.add(orphan_key)
+        self.listed_orphans.add(orphan_key)
         self.ledger.orphans.add(self.machine, orphan_key)
         self.commands.append(StopCommand(task.task_id, task.attempt, 0.0))
 
-    def _take_phase(self, binding: Binding, phase: str) -> None:
+    def _update_phase(self, binding: Binding, phase: str) -> None:
         hooks = self.ledger.zone_hooks
         if (
             hooks is not None
@@ -161,9 +166,9 @@
                 binding.job.first_start = self.now
         binding.phase = phase
         if phase in (wire_names.RUNNING, wire_names.GATHERING):
-            self._image_seen(binding)
+            self._record_image(binding)
 
-    def _image_seen(self, binding: Binding) -> None:
+    def _record_image(self, binding: Binding) -> None:
         spec = binding.job.spec if binding.job else None
         if spec is not None and spec.image:
             machine_type = self.ledger.machine_types.get(binding.machine.machine_type)
@@ -171,8 +176,7 @@
             binding.machine.has_image(spec.image, spec.image_gb, cache_gb)
 
     def _adopt(self, key: TaskKey, task: TaskStatus) -> Binding | None:
-        """Bind a task that no binding explains, since an earlier term started it; None for an
-        orphan."""
+        """Bind a running task that an earlier leader started; return None if it is an orphan."""
         job_id, index = key
         job = self.ledger.jobs.get(job_id)
         if job is None or not _may_adopt(job, index, task):
@@ -196,20 +200,20 @@
 
     # -- exits ----------------------------------------------------------------------------
 
-    def _take_exit(self, binding: Binding | None, key: TaskKey, task: TaskStatus) -> None:
-        """A task that has exited, and the command that removes it from the heartbeats."""
+    def _process_exit(self, binding: Binding | None, key: TaskKey, task: TaskStatus) -> None:
+        """Process an exited task, and reap it so that later heartbeats do not list it."""
         if binding is not None:
-            self._exited(binding, task)
+            self._process_bound_exit(binding, task)
         else:
-            self._late_exit(key, task)
+            self._process_unbound_exit(key, task)
         if self._may_reap(key, task):
             self.commands.append(ReapCommand(task.task_id, task.attempt))
 
-    def _exited(self, binding: Binding, task: TaskStatus) -> None:
+    def _process_bound_exit(self, binding: Binding, task: TaskStatus) -> None:
         job, machine, ledger, cause = binding.job, binding.machine, self.ledger, task.cause
         assert job is not None
         if cause == wire_names.DONE:
-            self._completed(job, binding)
+            self._record_completion(job, binding)
         elif cause == wire_names.ERROR:
             record_task_error(ledger, job, machine, self.now)
         elif cause in (wire_names.FULL, wire_names.IN_USE, wire_names.UNKNOWN):
@@ -217,11 +221,12 @@
             interval_s = ledger.limits.workers.heartbeat_interval_s
             job.wait_until = max(job.wait_until, self.now + interval_s)
         if job.gang and cause == wire_names.HALTED and task.saved:
-            # Saved: the others have saved too or are about to exit, nothing is lost by waiting.
+            # Its checkpoint is saved, and its peers have saved theirs or are about to exit: no work
+            # is lost by waiting for them.
             job.failed = True
         ledger.allocations.release(binding, self.now, ReleaseReason.EXITED, cause)
 
-    def _completed(self, job: Job, binding: Binding) -> None:
+    def _record_completion(self, job: Job, binding: Binding) -> None:
         machine, spec = binding.machine, job.spec
         machine.error_jobs.clear()
         machine.error_until = 0.0
@@ -230,8 +235,8 @@
             self.ledger.estimates.record_run(spec.job_class, spec.estimated_run_s, run_s)
         self.ledger.job_table.mark_done(job, binding.index)
 
-    def _late_exit(self, key: TaskKey, task: TaskStatus) -> None:
-        """An exit that no binding explains: done is done, whoever started it."""
+    def _process_unbound_exit(self, key: TaskKey, task: TaskStatus) -> None:
+        """Process the exit of a task without a binding; it counts as done if it completed."""
         job_id, index = key
         job = self.ledger.jobs.get(job_id)
         if job is None or job.terminal_phase or not 0 <= index < job.spec.task_count:
@@ -243,7 +248,7 @@
                 self.ledger.allocations.request_stop(other, 0.0)
 
     def _may_reap(self, key: TaskKey, task: TaskStatus) -> bool:
-        """Done tasks are reaped once that is durable, all others at once."""
+        """Return whether to reap an exited task: if it is done, once its result is durable."""
         if task.cause != wire_names.DONE:
             return True
         job_id, index = key
@@ -253,7 +258,7 @@
 
 
 def _may_adopt(job: Job, index: int, task: TaskStatus) -> bool:
-    """Whether a task that is found running may be the job's, and may go on."""
+    """Return whether a running task without a binding may be bound, and so may continue."""
     if (
         job.terminal_phase
         or job.dependency_cancelled
