--- a/src/salthead/cluster/dependencies.py
+++ b/src/salthead/cluster/dependencies.py
@@ -16,7 +16,8 @@
 
 log = logging.getLogger(__name__)
 
-# Due times are recomputed when the factor on a class's estimates changed by more than this share.
+# Due times are recomputed when the factor on the estimates of a job class changes by more than this
+# share of itself.
 ESTIMATE_TOLERANCE = 0.1
 MAX_LOGGED_JOBS = 5
 
@@ -30,9 +31,11 @@
         self.job_table = jobs
         self.allocations = allocations
         self.events = jobs.events
-        self.deadline_objectives = [one for one in objectives if one.kind == "deadline"]
+        self.deadline_objectives = [
+            objective for objective in objectives if objective.kind == "deadline"
+        ]
         self.graph = DependencyGraph()
-        # By class: the factor on estimates with which due times were last computed.
+        # By job class: the factor on estimates with which due times were last computed.
         self.estimate_factors: dict[str, float] = {}
         # Jobs that a dependency cancelled and whose outcome is still to be written.
         self.pending_aborts: dict[str, None] = {}
--- a/src/salthead/cluster/dependency_graph.py
+++ b/src/salthead/cluster/dependency_graph.py
@@ -42,7 +42,7 @@
         self.nodes: dict[str, DependencyNode] = {}
         # Dependents by the id of a dependency whose outcome is not known yet.
         self.unresolved: dict[str, dict[str, None]] = {}
-        # When jobs were done, for as many as MAX_REMEMBERED_DONE.
+        # Completion times of the last MAX_REMEMBERED_DONE jobs.
         self.done_at: dict[str, float] = {}
         self.changed: dict[str, None] = {}  # jobs whose inherited priority or due times changed
         # Jobs with unfinished dependencies, by class: a new estimate of their run time changes the
--- a/src/salthead/cluster/estimates.py
+++ b/src/salthead/cluster/estimates.py
@@ -56,19 +56,19 @@
 
     def __init__(self, now: float) -> None:
         self.last_arrival_at = now
-        self.interval_s: float | None = None
+        self.mean_interval_s: float | None = None
 
     def record_arrival(self, now: float) -> None:
         """Record that a job has arrived."""
         interval_s, self.last_arrival_at = now - self.last_arrival_at, now
-        old = interval_s if self.interval_s is None else self.interval_s
-        self.interval_s = old + self.WEIGHT * (interval_s - old)
+        old = interval_s if self.mean_interval_s is None else self.mean_interval_s
+        self.mean_interval_s = old + self.WEIGHT * (interval_s - old)
 
     def stopped(self, now: float) -> bool:
         """Return whether no job has arrived for much longer than the mean interval."""
         return (
-            self.interval_s is not None
-            and now - self.last_arrival_at > self.STOPPED_INTERVALS * max(self.interval_s, 1.0)
+            self.mean_interval_s is not None
+            and now - self.last_arrival_at > self.STOPPED_INTERVALS * max(self.mean_interval_s, 1.0)
         )
 
 
@@ -80,14 +80,16 @@
     def __init__(self, within_s: float, share: float) -> None:
         self.within_s = within_s
         self.target_share = share
-        self.share = share
+        self.attained_share = share
 
     def record_attainment(self, in_time: bool) -> None:
         """Record whether a job started in time."""
-        self.share += self.WEIGHT * (float(in_time) - self.share)
+        self.attained_share += self.WEIGHT * (float(in_time) - self.attained_share)
 
     def spare(self) -> float:
         """Return the margin above the target share: 0 if it is just met or missed, 1 at most."""
         if self.target_share >= 1.0:
             return 0.0
-        return min(1.0, max(0.0, (self.share - self.target_share) / (1.0 - self.target_share)))
+        return min(
+            1.0, max(0.0, (self.attained_share - self.target_share) / (1.0 - self.target_share))
+        )
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -133,7 +133,7 @@
         # By team: no quota is reserved for its gangs before this time.
         self.reservation_paused_until = [0.0 for _ in teams]
         self.pending = PendingQueue()
-        objective = next((one for one in self.limits.objectives if one.kind == "guarantee"), None)
+        objective = next((o for o in self.limits.objectives if o.kind == "guarantee"), None)
         self.start_attainment = (
             StartAttainment(objective.within_s, objective.share)
             if objective
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -101,7 +101,7 @@
     # State of its worker.
     registered: bool = False  # the state service's registry lists the machine
     reconciled: bool = False  # has sent a heartbeat with this term's fencing token
-    seen_in_earlier_term: bool = False  # has sent a heartbeat, with an older fencing token
+    seen_in_earlier_term: bool = False  # has sent one with another fencing token only
     incarnation: int = 0
     sequence: int = -1
     min_incarnation: int = 0  # earlier incarnations have certainly ended with their lease
@@ -170,7 +170,7 @@
         )
 
     def places_for(self, request: Resources) -> float:
-        """Return how many tasks with this request fit into the free capacity, as a fraction."""
+        """Return how many tasks with this request fit into the free capacity, with fractions."""
         capacity, allocated = self.capacity, self.allocated
         places = math.inf
         if request.cpus > 0:
@@ -265,7 +265,7 @@
         return self.n_done >= self.spec.task_count
 
     def size(self) -> tuple[float, float]:
-        """Return the total request of all unfinished tasks, in CPUs and GPUs."""
+        """Return the CPUs and GPUs of all tasks of a gang, or all unfinished tasks of an array."""
         unfinished = self.spec.task_count - (0 if self.gang else self.n_done)
         return self.request.cpus * unfinished, self.request.gpus * unfinished
 
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -69,10 +69,10 @@
         if ledger.shared_silence is not None:
             ledger.shared_silence.heartbeat_received(machine)
         return []
-    return _handle_changed(ledger, machine, heartbeat, now, direct)
+    return _handle_slow_path(ledger, machine, heartbeat, now, direct)
 
 
-def _handle_changed(
+def _handle_slow_path(
     ledger: Ledger, machine: Machine | None, heartbeat: Heartbeat, now: float, direct: bool
 ) -> list[Command] | None:
     """Handle a heartbeat that the fast path does not cover."""
