--- a/src/salthead/cluster/job_table.py
+++ b/src/salthead/cluster/job_table.py
@@ -17,8 +17,8 @@
 
 log = logging.getLogger(__name__)
 
-# Number of ended jobs whose team and request are remembered for their orphan tasks. Larger for a
-# large fleet.
+# Minimum number of ended jobs whose team and request are remembered, for their orphan tasks.
+# A larger fleet raises it.
 MIN_REMEMBERED_JOBS = 5000
 
 
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -140,7 +140,7 @@
             else StartAttainment(0, 1)
         )
 
-    # -- preconditions -----------------------------------------------------------------------
+    # -- preconditions ------------------------------------------------------------------
 
     def confirmed_preconditions(self) -> int:
         """Return which preconditions on the lead, the jobs and the fleet hold now, as bits."""
--- a/src/salthead/cluster/zone_hooks.py
+++ b/src/salthead/cluster/zone_hooks.py
@@ -39,4 +39,4 @@
         """Return whether a gang that lost this machine must restart as a whole, not in part."""
 
     def max_provision(self, zone: int) -> int | None:
-        """Return how many machines of a kind may be provisioned there at once; None: no limit."""
+        """Return how many machines of a kind may be provisioned in a zone at once, or None."""
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -158,17 +158,21 @@
 
 
 def heartbeat_seen_by_peer(
-    ledger: Ledger, worker: str, number: tuple[int, int], shows_fencing_token: bool, now: float
+    ledger: Ledger,
+    worker: str,
+    heartbeat_id: tuple[int, int],
+    shows_fencing_token: bool,
+    now: float,
 ) -> None:
     """Record that a worker turned to another controller, having missed the answer of this one.
 
-    ``number``: the incarnation and sequence of its heartbeat there. A worker that receives no
+    ``heartbeat_id``: the incarnation and sequence of its heartbeat there. A worker that receives no
     answers tries all controllers in turn, so its next heartbeat here may be three time-outs away.
     """
     machine = ledger.machines.get(worker)
     if machine is None:
         return
-    lost = machine.links.turned_away(*number, shows_fencing_token, now)
+    lost = machine.links.turned_away(*heartbeat_id, shows_fencing_token, now)
     if lost and not shows_fencing_token and not machine.reconciled:
         machine.acknowledged_at = -math.inf
 
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -139,7 +139,7 @@
                 binding.start_sends += 1
                 self.commands.append(StartCommand(binding.task_id, binding.attempt))
 
-    # -- running tasks -------------------------------------------------------------------------
+    # -- running tasks --------------------------------------------------------------------
 
     def _repeat_stop(self, binding: Binding, grace_s: float, task: TaskStatus) -> None:
         if task.phase != wire_names.FLUSHING or grace_s == 0.0:
