--- a/src/salthead/autoscaling/capacity_backoff.py
+++ b/src/salthead/autoscaling/capacity_backoff.py
@@ -15,20 +15,20 @@
 class CapacityBackoff:
     """Kinds of machines that the cloud refused lately."""
 
-    until: dict[MachineKind, float] = field(default_factory=dict)
-    pause: dict[MachineKind, float] = field(default_factory=dict)
+    retry_at: dict[MachineKind, float] = field(default_factory=dict)
+    pause_s: dict[MachineKind, float] = field(default_factory=dict)
 
     def record_shortage(self, kind: MachineKind, now: float) -> None:
         """The cloud had too few of a kind: ask again later, each time after twice as long."""
-        pause = min(MAX_BACKOFF_S, self.pause.get(kind, FIRST_BACKOFF_S / 2) * 2)
-        self.pause[kind] = pause
-        self.until[kind] = now + pause
+        pause_s = min(MAX_BACKOFF_S, self.pause_s.get(kind, FIRST_BACKOFF_S / 2) * 2)
+        self.pause_s[kind] = pause_s
+        self.retry_at[kind] = now + pause_s
 
     def record_success(self, kind: MachineKind) -> None:
         """The cloud had what was asked for."""
-        self.pause.pop(kind, None)
-        self.until.pop(kind, None)
+        self.pause_s.pop(kind, None)
+        self.retry_at.pop(kind, None)
 
     def allows(self, kind: MachineKind, now: float) -> bool:
         """Whether a kind may be asked for now."""
-        return now >= self.until.get(kind, -math.inf)
+        return now >= self.retry_at.get(kind, -math.inf)
--- a/src/salthead/autoscaling/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -6,7 +6,7 @@
 
 from salthead.autoscaling.capacity_backoff import CapacityBackoff
 from salthead.autoscaling.fleet_supply import Slot, SlotPool, current_supply
-from salthead.autoscaling.queue_demand import serving_span_s, soon_ready
+from salthead.autoscaling.queue_demand import serving_span_s, soon_ready_jobs
 from salthead.autoscaling.queue_packing import QueuePacking
 from salthead.autoscaling.scale_in import FleetCounts, cordon_surplus, termination_reason
 from salthead.cluster.ledger import Ledger
@@ -44,7 +44,7 @@
         ledger.shared_silence.sweep(now)
     needed: set[str] = set()
     if ledger.ready:
-        needed = _provide_for_queue(ledger, result, capacity_backoff, provisioning, now)
+        needed = _plan_provisioning(ledger, result, capacity_backoff, provisioning, now)
         cordon_surplus(ledger, needed, now)
     counts = FleetCounts(ledger, now)
     for machine in ledger.machines.values():
@@ -56,7 +56,7 @@
     return result
 
 
-def _provide_for_queue(
+def _plan_provisioning(
     ledger: Ledger,
     result: Plan,
     capacity_backoff: CapacityBackoff,
@@ -66,19 +66,19 @@
     """Plan provisions for the queue; the names of the machines there are that it needs."""
     queue = pending_jobs(ledger, guaranteed_job_ids(ledger), now)
     span_s = serving_span_s(ledger, queue, now)
-    soon = soon_ready(ledger, now)
+    ready_soon = soon_ready_jobs(ledger, now)
     slots: list[Slot] = []
-    if queue or soon:  # with nothing to place, free room need not be known
+    if queue or ready_soon:  # with nothing to place, free room need not be known
         supply = current_supply(ledger, now, provisioning)
         slots = supply.slots
         # A place that is still taken serves the queue for what is left of the span. Counted as
         # free at once, a fleet of short tasks looked large enough for too long a queue.
         span_s = max(1.0, span_s - supply.mean_wait_s())
-    min_cpus = min((job.request.cpus for job in [*queue, *soon]), default=0.0)
+    min_cpus = min((job.request.cpus for job in [*queue, *ready_soon]), default=0.0)
     packing = QueuePacking(ledger, capacity_backoff, SlotPool(slots, min_cpus), span_s, now)
     for job in queue:
         packing.add(job, job.waiting())
-    for job in soon:
+    for job in ready_soon:
         packing.add(job, job.spec.task_count)
     result.to_provision = packing.provisions()
-    return {slot.machine.name for slot in slots if slot.machine is not None and slot.taken}
+    return {slot.machine.name for slot in slots if slot.machine is not None and slot.used}
--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -17,7 +17,7 @@
 class Slot:
     """A machine in the plan: one that there is, that boots, or that would be provisioned."""
 
-    __slots__ = ("kind", "room", "machine", "taken")
+    __slots__ = ("kind", "room", "machine", "used")
 
     def __init__(
         self, kind: MachineKind, room: list[float], machine: Machine | None = None
@@ -25,7 +25,7 @@
         self.kind = kind
         self.room = room
         self.machine = machine
-        self.taken = False
+        self.used = False
 
     def fill(self, request: Resources, task_count: int) -> int:
         """Take as many of the tasks as fit; how many that were."""
@@ -38,7 +38,7 @@
                     count = places
         if count <= 0:
             return 0
-        self.taken = True
+        self.used = True
         for n in (0, 1, 2):
             room[n] -= count * request[n]
         return count
@@ -84,7 +84,7 @@
         )
 
 
-def price(ledger: Ledger, kind: MachineKind) -> float:
+def hourly_price(ledger: Ledger, kind: MachineKind) -> float:
     """What a machine of a kind costs an hour."""
     machine_type = ledger.machine_types[kind.machine_type]
     if kind.spot and machine_type.spot_price is not None:
@@ -92,7 +92,7 @@
     return machine_type.rate
 
 
-def per_machine(capacity: Resources, request: Resources) -> int:
+def tasks_per_machine(capacity: Resources, request: Resources) -> int:
     """How many tasks fit on an empty machine."""
     return int(min((c + EPSILON) // n for c, n in zip(capacity, request, strict=True) if n > 0))
 
@@ -119,14 +119,14 @@
     """The room on machines that are up, that boot, or that are being provisioned."""
     supply = Supply()
     soon_s = SOON_FREE_BOOTS * min_boot_s(ledger)
-    runs = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
+    run_s_by_job = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
     for machine in ledger.machines.values():
-        if not _usable(ledger, machine, now):
+        if not _is_usable(ledger, machine, now):
             continue
         if machine.phase == BOOTING:
             supply.slots.append(Slot(machine.kind, list(machine.capacity), machine))
         elif machine.phase == UP:
-            room = _room_soon(machine, runs, soon_s, supply, now)
+            room = _add_expected_room(machine, run_s_by_job, soon_s, supply, now)
             supply.slots.append(Slot(machine.kind, room, machine))
     for kind, count in provisioning.items():
         supply.slots += [
@@ -136,7 +136,7 @@
     return supply
 
 
-def _usable(ledger: Ledger, machine: Machine, now: float) -> bool:
+def _is_usable(ledger: Ledger, machine: Machine, now: float) -> bool:
     """Whether any task may start on a machine in the time that a plan looks at."""
     if machine.quarantine_reason or machine.terminating or machine.reclaim_at is not None:
         return False
@@ -148,8 +148,8 @@
     )
 
 
-def _room_soon(
-    machine: Machine, runs: dict[str, float], soon_s: float, supply: Supply, now: float
+def _add_expected_room(
+    machine: Machine, run_s_by_job: dict[str, float], soon_s: float, supply: Supply, now: float
 ) -> list[float]:
     """What is free on a machine, and what will be soon; counted in the supply."""
     room = machine.free()
@@ -160,7 +160,7 @@
         if binding.stop_grace_s is not None:
             remaining_s = 0.0
         elif job is not None and binding.started > 0.0:
-            remaining_s = left_s(runs.get(job.job_id, math.inf), now - binding.started)
+            remaining_s = left_s(run_s_by_job.get(job.job_id, math.inf), now - binding.started)
         if remaining_s <= soon_s:
             supply.cpus += binding.request.cpus
             supply.wait_cpu_s += remaining_s * binding.request.cpus
--- a/src/salthead/autoscaling/provision_limits.py
+++ b/src/salthead/autoscaling/provision_limits.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from salthead.autoscaling.capacity_backoff import CapacityBackoff
-from salthead.autoscaling.fleet_supply import per_machine, price
+from salthead.autoscaling.fleet_supply import hourly_price, tasks_per_machine
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job
 from salthead.cluster.resources import MachineKind, machine_kind
@@ -53,17 +53,17 @@
     Scarce types come last: their number is limited, and small tasks on them would keep the jobs
     waiting that fit on no other type.
     """
-    tasks_on_type: dict[int, int] = {}
-    found: list[tuple[bool, float, MachineKind]] = []
+    tasks_by_type: dict[int, int] = {}
+    candidates: list[tuple[bool, float, MachineKind]] = []
     for kind in allowed_kinds(job, offered):
-        if kind.machine_type not in tasks_on_type:
+        if kind.machine_type not in tasks_by_type:
             capacity = ledger.machine_registry.capacity(kind.machine_type)
-            tasks_on_type[kind.machine_type] = per_machine(capacity, job.request)
-        tasks = tasks_on_type[kind.machine_type]
+            tasks_by_type[kind.machine_type] = tasks_per_machine(capacity, job.request)
+        tasks = tasks_by_type[kind.machine_type]
         if tasks < 1:
             continue
         if capacity_backoff.allows(kind, now) and max_provision(ledger, kind.zone) > 0:
             scarce = kind.machine_type in ledger.scarce and not job.constrained
-            found.append((scarce, price(ledger, kind) / tasks, kind))
-    found.sort()
-    return [kind for _, _, kind in found]
+            candidates.append((scarce, hourly_price(ledger, kind) / tasks, kind))
+    candidates.sort()
+    return [kind for _, _, kind in candidates]
--- a/src/salthead/autoscaling/queue_demand.py
+++ b/src/salthead/autoscaling/queue_demand.py
@@ -39,25 +39,27 @@
     return boot_s if lasts else max(MIN_CHARGE_S, boot_s)
 
 
-def soon_ready(ledger: Ledger, now: float) -> list[Job]:
+def soon_ready_jobs(ledger: Ledger, now: float) -> list[Job]:
     """Jobs whose dependencies should all be done by the time that a new machine could be up."""
     boot_s = min_boot_s(ledger)
-    found = []
+    ready_soon = []
     for job_ids in ledger.dependency_graph.job_classes.values():
         for job_id in job_ids:
             dependencies = [
-                ledger.ready_jobs.get(other)
-                for other in ledger.dependency_graph.nodes[job_id].unfinished
+                ledger.ready_jobs.get(dependency)
+                for dependency in ledger.dependency_graph.nodes[job_id].unfinished
             ]
             if all(
-                other is not None and not other.waiting() and end_s(ledger, other, now) <= boot_s
-                for other in dependencies
+                dependency is not None
+                and not dependency.waiting()
+                and remaining_s(ledger, dependency, now) <= boot_s
+                for dependency in dependencies
             ):
-                found.append(ledger.jobs[job_id])
-    return found
+                ready_soon.append(ledger.jobs[job_id])
+    return ready_soon
 
 
-def end_s(ledger: Ledger, job: Job, now: float) -> float:
+def remaining_s(ledger: Ledger, job: Job, now: float) -> float:
     """In how many seconds the last of a job's tasks should end, all of which have a machine."""
     run_s = ledger.run_s(job)
     return max(
--- a/src/salthead/autoscaling/queue_packing.py
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 
 from salthead.autoscaling.capacity_backoff import CapacityBackoff
-from salthead.autoscaling.fleet_supply import Slot, SlotPool, price
+from salthead.autoscaling.fleet_supply import Slot, SlotPool, hourly_price
 from salthead.autoscaling.provision_limits import (
     max_provision,
     max_provision_per_plan,
@@ -16,7 +16,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job
 from salthead.cluster.resources import EPSILON, MachineKind
-from salthead.scheduling.eligibility import allowed_kinds, max_per_zone, zone_counts
+from salthead.scheduling.eligibility import allowed_kinds, max_tasks_per_zone, zone_counts
 
 
 class QueuePacking:
@@ -55,13 +55,13 @@
 
     def add(self, job: Job, task_count: int) -> None:
         """Pack tasks of a job, as many as its team's limit allows at a time."""
-        places = self._book_quota(job, task_count)
+        places = self._reserve_quota(job, task_count)
         if not places:
             return
         provisionable = provisionable_kinds(
             self.ledger, job, self.offered, self.capacity_backoff, self.now
         )
-        usable = provisionable + self._other_kinds(job, provisionable)
+        usable = provisionable + self._unprovisionable_kinds(job, provisionable)
         if job.gang and job.spec.single_zone:
             zone = self._best_zone(job, usable, provisionable, places)
             if zone is None:
@@ -73,7 +73,7 @@
         else:
             self._fill_or_provision(job, places, usable, provisionable)
 
-    def _book_quota(self, job: Job, task_count: int) -> int:
+    def _reserve_quota(self, job: Job, task_count: int) -> int:
         """Take what a number of tasks needs of their team's limit; how many places that gives."""
         left = self.quota_left[job.team]
         places = task_count
@@ -91,29 +91,33 @@
             left[n] -= places * job.request[n]
         return places
 
-    def _other_kinds(self, job: Job, provisionable: list[MachineKind]) -> list[MachineKind]:
+    def _unprovisionable_kinds(
+        self, job: Job, provisionable: list[MachineKind]
+    ) -> list[MachineKind]:
         """Kinds in the pool that may not be provisioned now, the cheapest first.
 
         They are filled after those that may, so that it is the expensive machines that fall empty.
         """
         others = [kind for kind in allowed_kinds(job, self.pool.slots) if kind not in provisionable]
-        return sorted(others, key=lambda kind: (self._price(kind), kind))
+        return sorted(others, key=lambda kind: (self._price_or_inf(kind), kind))
 
-    def _price(self, kind: MachineKind) -> float:
+    def _price_or_inf(self, kind: MachineKind) -> float:
         known = kind.machine_type in self.ledger.machine_types
-        return price(self.ledger, kind) if known else math.inf
+        return hourly_price(self.ledger, kind) if known else math.inf
 
     def _best_zone(
         self, job: Job, usable: list[MachineKind], provisionable: list[MachineKind], places: int
     ) -> int | None:
         """The zone in which a gang that must stay in one lacks the fewest machines; None if no
         zone can have them all."""
-        there: dict[int, int] = defaultdict(int)
+        existing_places: dict[int, int] = defaultdict(int)
         for kind in usable:
-            there[kind.zone] += self.pool.places(kind, job.request)
+            existing_places[kind.zone] += self.pool.places(kind, job.request)
         provisionable_zones = {kind.zone for kind in provisionable}
-        zones = [z for z in there if there[z] >= places or z in provisionable_zones]
-        return max(zones, key=lambda z: (min(there[z], places), -z), default=None)
+        zones = [
+            z for z in existing_places if existing_places[z] >= places or z in provisionable_zones
+        ]
+        return max(zones, key=lambda z: (min(existing_places[z], places), -z), default=None)
 
     def _fill_or_provision_by_zone(
         self,
@@ -126,16 +130,16 @@
 
         The cheapest kinds alone would all be in one zone, where only half of the job may be.
         """
-        in_zones = zone_counts(job)
+        tasks_by_zone = zone_counts(job)
         for zone in dict.fromkeys(kind.zone for kind in usable):
-            part = max(0, min(places, max_per_zone(job) - in_zones.get(zone, 0)))
+            zone_places = max(0, min(places, max_tasks_per_zone(job) - tasks_by_zone.get(zone, 0)))
             unplaced = self._fill_or_provision(
                 job,
-                part,
+                zone_places,
                 [kind for kind in usable if kind.zone == zone],
                 [kind for kind in provisionable if kind.zone == zone],
             )
-            places -= part - unplaced
+            places -= zone_places - unplaced
 
     def _fill_or_provision(
         self,
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -5,7 +5,7 @@
 import logging
 from dataclasses import dataclass
 
-from salthead.autoscaling.fleet_supply import Slot, SlotPool, price
+from salthead.autoscaling.fleet_supply import Slot, SlotPool, hourly_price
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import BOOTING, LOST, UP, Job, Machine
 from salthead.event_log import event
@@ -16,7 +16,7 @@
 # A deleted machine costs at least this long (protocol), so nothing shorter is worth a provision.
 MIN_CHARGE_S = 60.0
 # A machine that boots this many times longer than the cloud names, and this margin, never comes up.
-BOOT_PATIENCE, BOOT_MARGIN_S = 2.5, 10.0
+MAX_BOOT_FACTOR, BOOT_MARGIN_S = 2.5, 10.0
 # Up to this part of the machine registry, silence after a failover is the machines' own fault.
 MAX_SILENT_SHARE = 0.15
 # Reasons for a termination that no longer hold once a heartbeat of the machine arrives. They are
@@ -24,7 +24,7 @@
 LOST_REASON, SILENT_REASON = "lost", "silent after a takeover"
 SILENCE_REASONS = frozenset({LOST_REASON, SILENT_REASON})
 # Other reasons, published as well.
-ONLY_COPIES_REASON, UNRESPONSIVE_REASON = "only old reports", "unresponsive"
+STALE_HEARTBEATS_REASON, UNRESPONSIVE_REASON = "only old reports", "unresponsive"
 NEVER_UP_REASON, RECLAIMED_REASON, SURPLUS_REASON = "never came up", "taken soon", "not needed"
 NO_TERMINATION = ""  # the machine is not to be terminated
 # A machine that was not needed for this part of a boot is worth less than its rent: the second
@@ -43,17 +43,17 @@
     slots = _pack_running_tasks(ledger)
     # Spare room is for jobs to come.
     spare = 1.0 if ledger.arrivals.stopped(now) else ledger.start_attainment.spare()
-    patience = SURPLUS_BOOTS - spare * (SURPLUS_BOOTS - SURPLUS_BOOTS_SPARE)
+    surplus_boots = SURPLUS_BOOTS - spare * (SURPLUS_BOOTS - SURPLUS_BOOTS_SPARE)
     for slot in slots:
         machine = slot.machine
         assert machine is not None
-        if slot.taken or machine.name in needed or now < machine.reserved_until:
+        if slot.used or machine.name in needed or now < machine.reserved_until:
             machine.surplus_since = None
             machine.cordoned = False
         elif machine.surplus_since is None:
             machine.surplus_since = now
         elif not machine.cordoned and now - machine.surplus_since > (
-            patience * ledger.machine_types[machine.machine_type].boot_s
+            surplus_boots * ledger.machine_types[machine.machine_type].boot_s
         ):
             machine.cordoned = True
             event(log, "machine_cordoned", machine=machine.name)
@@ -71,7 +71,7 @@
         and m.machine_type in ledger.machine_types
     ]
     costs = {
-        kind: price(ledger, kind)
+        kind: hourly_price(ledger, kind)
         / max(ledger.machine_registry.capacity(kind.machine_type)[0], 1e-9)
         for kind in {m.kind for m in machines}
     }
@@ -96,7 +96,9 @@
         count = sum(1 for binding in job.bindings.values() if binding.stop_grace_s is None)
         if count and not job.complete:
             running.append((job, count))
-    running.sort(key=lambda row: (-row[0].request.cpus, row[0].spec.spot, row[0].request.memory_gb))
+    running.sort(
+        key=lambda entry: (-entry[0].request.cpus, entry[0].spec.spot, entry[0].request.memory_gb)
+    )
     return running
 
 
@@ -146,14 +148,14 @@
         # one dead or hanging machine holds up every start for a whole lease. The cloud's
         # confirmation that it is gone ends that at the price of one boot. Many silent machines are
         # a cut, not broken machines, and are waited for.
-        self.silent_few: set[str] = set()
+        self.silent_to_terminate: set[str] = set()
         if not ledger.ready and ledger.heartbeats_expected(now):
             silent = ledger.failover.unreconciled_machines()
             if ledger.shared_silence is not None:
                 # Seen on zone-behind-cut: 62 healthy machines behind the cut of their zone.
                 silent = [m for m in silent if not ledger.shared_silence.behind_cut(m)]
             if len(silent) <= tolerated:
-                self.silent_few = {machine.name for machine in silent}
+                self.silent_to_terminate = {machine.name for machine in silent}
 
 
 def termination_reason(
@@ -173,8 +175,8 @@
     ):
         # Only copies of old heartbeats arrive, or the worker's sequence began anew: none of them is
         # news, and each answer renews its lease. Only the cloud's confirmation ends that.
-        return ONLY_COPIES_REASON
-    if machine.name in counts.silent_few:
+        return STALE_HEARTBEATS_REASON
+    if machine.name in counts.silent_to_terminate:
         return SILENT_REASON
     if machine.quarantine_reason:
         return machine.quarantine_reason if not machine.busy() else NO_TERMINATION
@@ -189,7 +191,9 @@
     """For a lost machine: at once, or after the time of a boot where many were lost together."""
     if ledger.shared_silence is not None:
         return (
-            NO_TERMINATION if _worth_waiting(ledger, machine, machine.lost_at, now) else LOST_REASON
+            NO_TERMINATION
+            if _should_wait_for(ledger, machine, machine.lost_at, now)
+            else LOST_REASON
         )
     machine_type = ledger.machine_types.get(machine.machine_type)
     if not counts.mass_loss or machine_type is None:
@@ -197,7 +201,7 @@
     return NO_TERMINATION if now - machine.lost_at < machine_type.boot_s else LOST_REASON
 
 
-def _wait_s(ledger: Ledger, machine: Machine) -> float:
+def _max_wait_s(ledger: Ledger, machine: Machine) -> float:
     """For how many seconds a machine that may be healthy is waited for.
 
     A second of waiting costs a second of its rent, and another machine in its place the rent of a
@@ -210,10 +214,10 @@
     return ledger.shared_silence.policy.wait_boots * machine_type.boot_s
 
 
-def _worth_waiting(ledger: Ledger, machine: Machine, since: float, now: float) -> bool:
+def _should_wait_for(ledger: Ledger, machine: Machine, since: float, now: float) -> bool:
     """Whether a silent machine may be healthy, by its group or by other directions of its link."""
     shared_silence, lease_s = ledger.shared_silence, ledger.limits.workers.lease_s
-    if shared_silence is None or now - since >= _wait_s(ledger, machine):
+    if shared_silence is None or now - since >= _max_wait_s(ledger, machine):
         return False
     links = machine.links
     return (
@@ -230,14 +234,16 @@
     if now - ledger.term_started_at < ledger.limits.workers.lease_s:
         return NO_TERMINATION  # it may be up and not have found this leader yet
     booting_s = now - machine.provisioned_at
-    return NEVER_UP_REASON if booting_s > BOOT_PATIENCE * boot_s + BOOT_MARGIN_S else NO_TERMINATION
+    return (
+        NEVER_UP_REASON if booting_s > MAX_BOOT_FACTOR * boot_s + BOOT_MARGIN_S else NO_TERMINATION
+    )
 
 
 def _idle_reason(ledger: Ledger, machine: Machine, needed: set[str], now: float) -> str:
     """For a machine on which nothing runs: whether it is of no use any more."""
     since = machine.unresponsive_since
     if since is not None and now - since > max(
-        ledger.limits.workers.lease_s, _wait_s(ledger, machine)
+        ledger.limits.workers.lease_s, _max_wait_s(ledger, machine)
     ):
         return UNRESPONSIVE_REASON
     if machine.reclaim_at is not None:
--- a/src/salthead/scheduling/__init__.py
+++ b/src/salthead/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Which task goes where, in which order, and what is preempted for it. No I/O."""
+"""Queue order, placement, reservations and preemption. No I/O."""
--- a/src/salthead/scheduling/candidate_pools.py
+++ b/src/salthead/scheduling/candidate_pools.py
@@ -1,4 +1,4 @@
-"""Sampling of candidate machines: the power of two choices, by pools of preference."""
+"""Sampling of candidate machines: the power of two choices within pools of preference."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
 
-# Added up, they are the index of a machine's pool.
-WITHOUT_IMAGE, SCARCE_TYPE = 1, 2
+# Bits of a pool's index. Pools with a lower index are preferred.
+IMAGE_MISSING_BIT, SCARCE_TYPE_BIT = 1, 2
 
 
 def pick_of_two(machines: list[Machine], rng: random.Random) -> Machine:
-    """The less loaded one, by its fullest dimension, of two machines that are drawn at random."""
+    """Draw two machines at random and return the one whose fullest dimension is less full."""
     if len(machines) == 1:
         return machines[0]
-    one, other = rng.sample(machines, 2)
-    return one if one.fullest() <= other.fullest() else other
+    first, second = rng.sample(machines, 2)
+    return first if first.fullest() <= second.fullest() else second
 
 
 class CandidatePools:
-    """The candidates of one job, in pools by preference: those that have its image come first.
+    """The candidate machines of one job, in pools by order of preference.
 
-    Without that preference an image is pulled before its first task on each machine. That often
-    takes longer than the task, and the start misses a guarantee that free room could have kept.
+    Machines that already have the job's image come first: pulling an image often takes longer than
+    the task itself, and the start then misses a guarantee that the free capacity could have met.
 
-    Machines of scarce types come last. Small tasks scatter over them as over any other, and then a
-    class of jobs that fits on no other type waits until a whole machine has drained.
+    Machines of scarce types come last: small tasks would spread over them, and jobs that fit on no
+    other type would have to wait until a whole machine has drained.
     """
 
     def __init__(self, ledger: Ledger, job: Job, candidates: Iterable[Machine]) -> None:
@@ -37,15 +37,15 @@
         for machine in candidates:
             scarce = not job.constrained and machine.machine_type in ledger.scarce
             has_image = image and image in machine.images
-            pool = (SCARCE_TYPE if scarce else 0) + (0 if has_image else WITHOUT_IMAGE)
+            pool = (SCARCE_TYPE_BIT if scarce else 0) + (0 if has_image else IMAGE_MISSING_BIT)
             self.pools[pool].append(machine)
 
     def zones(self) -> set[int]:
-        """The zones of all machines that can be picked."""
+        """Return the zones of all machines that can be picked."""
         return {machine.zone for pool in self.pools for machine in pool}
 
     def pick(self, rng: random.Random) -> Machine | None:
-        """A machine of the first pool that is not empty; None if all are empty."""
+        """Return a machine of the first pool that is not empty, or None if all are empty."""
         for pool in self.pools:
             if pool:
                 return pick_of_two(pool, rng)
--- a/src/salthead/scheduling/eligibility.py
+++ b/src/salthead/scheduling/eligibility.py
@@ -1,4 +1,4 @@
-"""Which machines may take a task of a job: by kind, by state, and by reservations for others."""
+"""Filters for machines that may run a job: by kind, state, and reservations for other jobs."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 from salthead.cluster.start_rules import quota_left
 from salthead.scheduling import queue_order
 
+# No task starts on a machine whose last heartbeat is older than this many intervals.
 FRESH_HEARTBEAT_INTERVALS = 3.0
-# Room and quota that are kept for other jobs delay a job by no more than this beside room that it
-# could use. The users allow 90 s; the rest is for a pause and for the delivery of the start.
+# The longest time for which reservations of machines and quota for other jobs may delay a job that
+# could otherwise start. Users allow 90 s; the rest covers a retry pause and delivery of the start.
 MAX_HELD_BACK_S = 75.0
-# A heartbeat is overdue after this many intervals and this much for the network and a busy leader.
+# A heartbeat is overdue after this many intervals, plus a margin for the network and a busy leader.
 OVERDUE_HEARTBEAT_INTERVALS, OVERDUE_HEARTBEAT_MARGIN_S = 1.25, 1.0
 
 
 def unavailable_reason(ledger: Ledger, machine: Machine, now: float) -> str:
-    """Why room on a machine can't be used now, for operators; empty when it can.
+    """Return why free capacity on a machine cannot be used now, or an empty string if it can.
 
-    The reasons are published as labels of a metric.
+    The reasons are published as label values of a metric.
     """
     reasons = (
         ("kept", bool(machine.reserved_for) and now < machine.reserved_until),
@@ -37,10 +38,10 @@
 
 
 def allowed_kinds(job: Job, kinds: Iterable[MachineKind]) -> list[MachineKind]:
-    """Those of the kinds on which the job's owner lets it run, in their order.
+    """Return the kinds on which the job's specification lets it run, in the given order.
 
-    For many kinds at once: passes and plans ask about every kind for every job in the queue, and a
-    function call for each would cost more than the comparison.
+    Passes and plans check every kind for every job in the queue. One function call per kind would
+    cost more than the comparison, so this function takes all kinds at once.
     """
     return [
         kind
@@ -52,10 +53,10 @@
 
 
 def allows(job: Job, machine: Machine) -> bool:
-    """Whether the job's owner lets it run on machines of this kind.
+    """Return whether the job's specification lets it run on machines of this machine's kind.
 
-    The conditions of ``allowed_kinds`` for one machine: each heartbeat that frees room asks this of
-    the whole queue, and a list for each job was 2% of the calls of such a heartbeat.
+    The conditions are those of ``allowed_kinds``, for one machine. Each heartbeat that frees
+    capacity checks the whole queue, and building a list for each job took 2% of its calls.
     """
     return (
         (job.spec.spot or not machine.spot)
@@ -65,8 +66,11 @@
 
 
 def available(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether any task may start on the machine: it is up, registered, reconciled and healthy, has
-    sent a heartbeat lately, and is not about to be terminated."""
+    """Return whether any task may start on the machine.
+
+    It must be up, registered, reconciled and healthy, have sent a heartbeat recently, and not be
+    about to be terminated.
+    """
     return (
         machine.phase == UP
         and machine.registered
@@ -83,10 +87,11 @@
 
 
 def heartbeat_overdue(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether the machine's next heartbeat should have arrived by now.
+    """Return whether the machine's next heartbeat should have arrived by now.
 
-    Such a machine may have died long before ``available`` says so. That filter is enough for a
-    single task; a gang needs all of its machines, and so does the room that is made for it.
+    A machine may have died long before ``available`` excludes it. That filter is enough for a
+    single task, but a gang cannot start if one of its machines is dead, and preemption for a gang
+    then frees the others in vain.
     """
     return (
         now - machine.last_heartbeat_at
@@ -96,28 +101,32 @@
 
 
 def held_back_too_long(job: Job, now: float) -> bool:
-    """Whether reservations for other jobs have delayed the job for as long as they may."""
+    """Return whether reservations for other jobs have delayed the job for as long as allowed."""
     return job.held_back_since is not None and now - job.held_back_since >= MAX_HELD_BACK_S
 
 
 def could_start_without_reservations(ledger: Ledger, job: Job, now: float) -> bool:
-    """Whether the job could start if nothing were kept for others, nor avoided for its errors."""
-    missing = job.spec.task_count if job.gang else 1
-    if quota_left(ledger, job, heed=False) < missing:
+    """Return whether the job could start without others' reservations and its own exclusions.
+
+    The exclusions are the machines on which its tasks have failed.
+    """
+    unplaced = job.spec.task_count if job.gang else 1
+    if quota_left(ledger, job, heed=False) < unplaced:
         return False
     index = ledger.capacity_index
     for machine in index.with_room(allowed_kinds(job, index.free), job.request):
         if available(ledger, machine, now):
-            missing -= int(machine.places_for(job.request))
-            if missing <= 0:
+            unplaced -= int(machine.places_for(job.request))
+            if unplaced <= 0:
                 return True
     return False
 
 
-def may_use_slow_start(ledger: Ledger, job: Job, now: float) -> bool:
-    """Whether a job may use machines of a recovering zone before they are open to all.
+def may_bypass_slow_start(ledger: Ledger, job: Job, now: float) -> bool:
+    """Return whether a job may use machines of a recovering zone before they are open to all.
 
-    A guarantee ranks above the slow start: half of its time is for finding room elsewhere.
+    A guarantee ranks above the slow start. Half of the time in which a guaranteed job has to start
+    is left for finding capacity elsewhere.
     """
     if not job.within_guarantee or job.held_back_since is None:
         return False
@@ -125,9 +134,10 @@
 
 
 def is_open_to(ledger: Ledger, job: Job, machine: Machine, now: float) -> bool:
-    """Whether the machine is reserved for no other job, and not to be avoided by this one.
+    """Return whether reservations, errors and the slow start leave the machine open to this job.
 
-    A machine of a scarce type is left to jobs that fit on no other, unless time presses.
+    A machine of a scarce type is left to jobs that fit on no other type, until the job is due to
+    start.
     """
     if held_back_too_long(job, now):
         return True
@@ -135,7 +145,7 @@
         return False
     if machine.name in job.error_machines:
         return False
-    if machine.awaiting_slow_start and not may_use_slow_start(ledger, job, now):
+    if machine.awaiting_slow_start and not may_bypass_slow_start(ledger, job, now):
         return False
     return (
         not ledger.pending.constrained
@@ -146,7 +156,7 @@
 
 
 def zone_counts(job: Job) -> dict[int, int]:
-    """How many tasks of a job are bound in each zone."""
+    """Return how many tasks of a job are bound in each zone."""
     counts: dict[int, int] = {}
     for binding in job.bindings.values():
         zone = binding.machine.zone
@@ -155,19 +165,22 @@
 
 
 def zone_open(job: Job, zone: int, counts: dict[int, int]) -> bool:
-    """Whether one more task of the job may be in the zone, given its other tasks."""
+    """Return whether one more task of the job may run in the zone, given its tasks per zone."""
     if job.spec.single_zone and counts and zone not in counts:
         return False
-    return not (job.spec.spread_zones and counts.get(zone, 0) >= max_per_zone(job))
+    return not (job.spec.spread_zones and counts.get(zone, 0) >= max_tasks_per_zone(job))
 
 
-def max_per_zone(job: Job) -> int:
-    """How many tasks of a job that is spread over zones may be in one of them."""
+def max_tasks_per_zone(job: Job) -> int:
+    """Return how many tasks of a job that is spread over zones may run in one zone."""
     return (job.spec.task_count + 1) // 2
 
 
 def candidates(ledger: Ledger, job: Job, now: float) -> list[Machine]:
-    """The machines that may take a task of the job and have room for it, zones aside."""
+    """Return the machines that may run a task of the job and have room for it.
+
+    The job's zone constraints are not checked.
+    """
     index = ledger.capacity_index
     return [
         machine
@@ -177,7 +190,10 @@
 
 
 def suitable_machines(ledger: Ledger, job: Job, now: float) -> list[Machine]:
-    """The machines that may take a task of the job, room and zones aside."""
+    """Return the machines that may run a task of the job, whether or not they have room.
+
+    The job's zone constraints are not checked.
+    """
     return [
         machine
         for kind in allowed_kinds(job, ledger.capacity_index.free)
--- a/src/salthead/scheduling/gangs.py
+++ b/src/salthead/scheduling/gangs.py
@@ -1,8 +1,8 @@
-"""Reservations of machines for gangs that found no candidates.
+"""Reservations of machines for gangs that found too few candidates.
 
-Choosing machines by their fullest dimension scatters free room, so a gang, or a task nearly as
-large as a machine, may find no candidate though much is free. Then the machines that will have room
-soonest are reserved for it: a filter hides them from other jobs of the same or a lower priority.
+Placement spreads load over all machines, which fragments free capacity: a gang, or a task nearly as
+large as a machine, may find no candidate although much is free. The machines that are expected to
+have room soonest are then reserved for the gang, and other jobs may not use them.
 """
 
 from __future__ import annotations
@@ -21,29 +21,31 @@
 
 log = logging.getLogger(__name__)
 
-# A reservation lasts for this many heartbeat intervals. It is renewed at each attempt to place the
-# gang, and two of these are at most one pause apart.
+# Duration of a reservation in heartbeat intervals. Each attempt to place the gang renews it, and
+# the pause between two attempts is at most one interval.
 RESERVE_HEARTBEAT_INTERVALS = 3.0
 
 
 class ReservableMachine(NamedTuple):
-    """A machine that may be reserved for a gang; those to be reserved first sort first."""
+    """A machine that may be reserved for a gang, in the sort order of preference."""
 
-    new: bool  # not yet reserved for this gang
-    room_at: float
+    newly_reserved: bool  # not reserved yet for this gang
+    expected_room_at: float
     name: str
     machine: Machine
 
 
-def room_at(ledger: Ledger, machine: Machine, job: Job, now: float) -> float | None:
-    """When the machine should have room for one task of the job; None if never."""
+def expected_room_at(ledger: Ledger, machine: Machine, job: Job, now: float) -> float | None:
+    """Return when the machine is expected to have room for a task of the job; None if never."""
     if any(c + EPSILON < n for c, n in zip(machine.capacity, job.request, strict=True)):
         return None
     free = machine.free()
-    ends = [(_expected_end(ledger, binding, now), binding) for binding in machine.bindings.values()]
-    ends.sort(key=lambda end: end[0])
+    expected_ends = [
+        (_expected_end_at(ledger, binding, now), binding) for binding in machine.bindings.values()
+    ]
+    expected_ends.sort(key=lambda end: end[0])
     at = now
-    for end, binding in ends:
+    for end, binding in expected_ends:
         if all(free[n] + EPSILON >= job.request[n] for n in range(3)):
             break
         at = end
@@ -52,8 +54,8 @@
     return at if all(free[n] + EPSILON >= job.request[n] for n in range(3)) else None
 
 
-def _expected_end(ledger: Ledger, binding: Binding, now: float) -> float:
-    """When a task should end, by its estimate."""
+def _expected_end_at(ledger: Ledger, binding: Binding, now: float) -> float:
+    """Return when a task is expected to end."""
     job = binding.job
     run_s = (
         0.0 if job is None else ledger.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
@@ -63,9 +65,9 @@
 
 
 def reserve_machines(ledger: Ledger, unschedulable: list[Job], now: float) -> None:
-    """Reserve machines for each gang that found no candidates: all that it needs, or none."""
+    """Reserve machines for each unschedulable gang: as many as it needs, or none."""
     until = now + RESERVE_HEARTBEAT_INTERVALS * ledger.limits.workers.heartbeat_interval_s
-    # Gangs that a lost zone displaced go before arrays, so machines are reserved at once.
+    # Gangs that a lost zone has displaced rank above arrays, so machines are reserved at once.
     evacuating = ledger.zone_hooks is not None and ledger.zone_hooks.evacuating()
     arrays_wait = not evacuating and any(
         not job.gang and job.waiting() for job in ledger.ready_jobs.values()
@@ -73,49 +75,53 @@
     for job in unschedulable:
         if not job.gang or quota_left(ledger, job) < job.spec.task_count:
             continue
-        # Reserved room stands empty, so while arrays wait for room it is reserved no earlier than
-        # the gang's own target asks.
+        # Reserved capacity is idle, so while arrays wait for capacity, machines are reserved only
+        # once the gang is due to start.
         if arrays_wait and not queue_order.start_due(ledger, job, now):
             continue
-        for machine in _machines_for(ledger, job, now):
+        for machine in _select_machines(ledger, job, now):
             if machine.reserved_for != job.job_id:
                 event(log, "machine_reserved", machine=machine.name, job=job.job_id)
             ledger.capacity_index.reserve(machine, job.job_id, until)
 
 
-def _machines_for(ledger: Ledger, job: Job, now: float) -> list[Machine]:
-    """The machines for all of a gang that will have room soonest, in one zone if need be."""
-    rows = []
+def _select_machines(ledger: Ledger, job: Job, now: float) -> list[Machine]:
+    """Return the machines that will have room for the whole gang soonest; empty if too few.
+
+    They are all in one zone if the job requires it. Among zones, the one with the most machines
+    that are already reserved for the gang is chosen.
+    """
+    reservable = []
     for machine in suitable_machines(ledger, job, now):
-        at = room_at(ledger, machine, job, now)
+        at = expected_room_at(ledger, machine, job, now)
         if at is not None and not heartbeat_overdue(ledger, machine, now):
-            new = machine.reserved_for != job.job_id
-            rows.append(ReservableMachine(new, at, machine.name, machine))
-    rows.sort(key=lambda row: (row.new, row.room_at, row.name))
-    machines = [row.machine for row in rows]
+            newly_reserved = machine.reserved_for != job.job_id
+            reservable.append(ReservableMachine(newly_reserved, at, machine.name, machine))
+    reservable.sort(key=lambda entry: (entry.newly_reserved, entry.expected_room_at, entry.name))
+    machines = [entry.machine for entry in reservable]
     zones = sorted({machine.zone for machine in machines}) if job.spec.single_zone else [None]
     best: list[Machine] = []
     for zone in zones:
-        found = _first_allowed(job, [m for m in machines if zone in (None, m.zone)])
-        complete = len(found) == job.spec.task_count
-        if complete and (not best or _reserved_count(found, job) > _reserved_count(best, job)):
-            best = found
+        selected = _first_allowed_by_zone(job, [m for m in machines if zone in (None, m.zone)])
+        complete = len(selected) == job.spec.task_count
+        if complete and (not best or _count_reserved(selected, job) > _count_reserved(best, job)):
+            best = selected
     return best
 
 
-def _first_allowed(job: Job, machines: list[Machine]) -> list[Machine]:
-    """The first machines that may run the gang's members together, at most one for each."""
-    found: list[Machine] = []
-    in_zones: dict[int, int] = {}
+def _first_allowed_by_zone(job: Job, machines: list[Machine]) -> list[Machine]:
+    """Return the first machines that satisfy the zone constraints, at most one per member."""
+    selected: list[Machine] = []
+    tasks_by_zone: dict[int, int] = {}
     for machine in machines:
-        if len(found) == job.spec.task_count:
+        if len(selected) == job.spec.task_count:
             break
-        if zone_open(job, machine.zone, in_zones):
-            found.append(machine)
-            in_zones[machine.zone] = in_zones.get(machine.zone, 0) + 1
-    return found
+        if zone_open(job, machine.zone, tasks_by_zone):
+            selected.append(machine)
+            tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
+    return selected
 
 
-def _reserved_count(machines: list[Machine], job: Job) -> int:
-    """How many of the machines are reserved for the job."""
+def _count_reserved(machines: list[Machine], job: Job) -> int:
+    """Return how many of the machines are reserved for the job."""
     return sum(1 for machine in machines if machine.reserved_for == job.job_id)
--- a/src/salthead/scheduling/guarantees.py
+++ b/src/salthead/scheduling/guarantees.py
@@ -1,4 +1,4 @@
-"""Teams' guarantees: which jobs are within them, and whether those started in time."""
+"""Teams' guarantees: which jobs are within them, and whether these jobs start in time."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 def guaranteed_job_ids(ledger: Ledger) -> set[str]:
-    """Jobs that fit into their team's guarantee together with the team's earlier ones.
+    """Return the jobs that, together with their team's earlier jobs, fit into its guarantee.
 
-    A job that waits for other jobs is not among the ready ones and uses no part of a guarantee.
+    A job that waits for its dependencies is not in ``ready_jobs`` and uses no part of a guarantee.
     """
     guaranteed_ids: set[str] = set()
-    sums = [[0.0, 0.0] for _ in ledger.guarantees]
+    team_totals = [[0.0, 0.0] for _ in ledger.guarantees]
     for job in sorted(ledger.ready_jobs.values(), key=lambda job: (job.since, job.job_id)):
         if job.terminal_phase or job.cancel_requested:
             continue
-        total, size, guarantee = sums[job.team], job.size(), ledger.guarantees[job.team]
+        total, size, guarantee = team_totals[job.team], job.size(), ledger.guarantees[job.team]
         total[0] += size[0]
         total[1] += size[1]
         if total[0] <= guarantee[0] + EPSILON and total[1] <= guarantee[1] + EPSILON:
@@ -26,7 +26,7 @@
 
 
 def record_attainment(ledger: Ledger, job: Job, now: float) -> None:
-    """Record once whether a job within its guarantee found all of its machines in time."""
+    """Record, once per job, whether a guaranteed job found machines for all its tasks in time."""
     late = now - job.since > ledger.start_attainment.within_s
     if (
         job.within_guarantee
--- a/src/salthead/scheduling/pending_queue.py
+++ b/src/salthead/scheduling/pending_queue.py
@@ -1,4 +1,4 @@
-"""The pending queue: jobs with tasks that have no machine, in the order of their placement."""
+"""The pending queue: jobs with unplaced tasks, in the order in which they are placed."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 
 
 def pending_jobs(ledger: Ledger, guaranteed_ids: set[str], now: float) -> list[Job]:
-    """Jobs that may start tasks: guaranteed ones first, then by priority, then by their targets."""
+    """Return the jobs that may start tasks, ordered by guarantee, priority and start target.
+
+    Guaranteed jobs come first.
+    """
     waiting = [job for job in ledger.ready_jobs.values() if startable(ledger, job)]
-    ordered = _within_start_target(ledger, waiting, guaranteed_ids, now)
+    ordered = _jobs_within_start_target(ledger, waiting, guaranteed_ids, now)
     placed_first = {job.job_id for job in ordered}
-    rate = queue_order.fleet_cpus(ledger)
+    fleet_cpus = queue_order.fleet_cpus(ledger)
     for guaranteed in (True, False):
         for priority in range(len(wire_names.URGENCIES)):
             same_rank = [
@@ -24,24 +27,25 @@
                 and job.job_id not in placed_first
                 and (job.job_id in guaranteed_ids) == guaranteed
             ]
-            ordered += queue_order.by_targets(ledger, same_rank, rate, now)
+            ordered += queue_order.order_by_targets(ledger, same_rank, fleet_cpus, now)
     if ledger.zone_hooks is not None:
         return ledger.zone_hooks.evacuation_order(ordered, guaranteed_ids, now)
     return ordered
 
 
-def _within_start_target(
+def _jobs_within_start_target(
     ledger: Ledger, waiting: list[Job], guaranteed_ids: set[str], now: float
 ) -> list[Job]:
-    """Guaranteed jobs that can still start as fast as the users aim for, the smallest first.
+    """Return the guaranteed jobs that can still meet the start target, smallest first per priority.
 
-    A large one, or one that has missed that target, would make all jobs behind it miss it as well.
+    A large job, or one that has missed the target already, would make the jobs behind it miss the
+    target as well.
     """
     start_target_s = ledger.start_attainment.within_s
-    found = [
+    eligible = [
         job for job in waiting if job.job_id in guaranteed_ids and now - job.since <= start_target_s
     ]
-    found.sort(
+    eligible.sort(
         key=lambda job: (job.priority, job.waiting() * job.request.cpus, job.since, job.job_id)
     )
-    return found
+    return eligible
--- a/src/salthead/scheduling/placement.py
+++ b/src/salthead/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Placement of one job: its waiting tasks are bound to machines out of its candidates."""
+"""Placement of a job's waiting tasks on candidate machines."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
     now: float,
     only: Machine | None = None,
 ) -> int:
-    """Place what can be placed of one job; how many tasks were bound.
+    """Place as many of the job's tasks as possible, and return how many were bound.
 
-    ``only``: the one machine that an array may use.
+    ``only`` limits the placement of an array to one machine; gangs ignore it.
     """
     if job.gang:
         bound = schedule_gang(ledger, job, rng, now)
@@ -45,12 +45,12 @@
     waiting = job.waiting()
     event(log, "tasks_placed", level, job=job.job_id, placed=bound, waiting=waiting)
     if waiting == 0:
-        _fully_placed(ledger, job, now)
+        _finish_placement(ledger, job, now)
     return bound
 
 
-def _fully_placed(ledger: Ledger, job: Job, now: float) -> None:
-    """All tasks of the job have machines: nothing is kept for it any more."""
+def _finish_placement(ledger: Ledger, job: Job, now: float) -> None:
+    """Release the job's reservations and record its attainment once all tasks are placed."""
     ledger.capacity_index.release_reservations(job.job_id)
     if job.reserved_at is not None:
         ledger.reservation_paused_until[job.team] = now + (now - job.reserved_at)
@@ -65,19 +65,19 @@
     now: float,
     only: Machine | None = None,
 ) -> int:
-    """Bind as many waiting tasks as find a machine; how many were bound."""
-    startable = min(job.waiting(), quota_left(ledger, job))
-    if startable <= 0:
+    """Bind as many waiting tasks as there are machines and quota for; return how many."""
+    startable_count = min(job.waiting(), quota_left(ledger, job))
+    if startable_count <= 0:
         return 0
     machines = candidates(ledger, job, now) if only is None else [only]
     pools = CandidatePools(ledger, job, machines)
-    in_zones: dict[int, int] = {}
-    zone_rule = job.spec.single_zone or job.spec.spread_zones
-    if zone_rule:
-        in_zones = zone_counts(job)
-        _exclude_closed_zones(job, pools, pools.zones(), in_zones)
+    tasks_by_zone: dict[int, int] = {}
+    has_zone_rule = job.spec.single_zone or job.spec.spread_zones
+    if has_zone_rule:
+        tasks_by_zone = zone_counts(job)
+        _exclude_closed_zones(job, pools, pools.zones(), tasks_by_zone)
     bound = 0
-    while bound < startable and (machine := pools.pick(rng)) is not None:
+    while bound < startable_count and (machine := pools.pick(rng)) is not None:
         index = job.next_task()
         if index is None:
             break
@@ -86,35 +86,35 @@
         )
         pools.drop_if_full(machine)
         bound += 1
-        if zone_rule:
-            in_zones[machine.zone] = in_zones.get(machine.zone, 0) + 1
-            _exclude_closed_zones(job, pools, range(len(ledger.zones)), in_zones)
+        if has_zone_rule:
+            tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
+            _exclude_closed_zones(job, pools, range(len(ledger.zones)), tasks_by_zone)
     return bound
 
 
 def _exclude_closed_zones(
-    job: Job, pools: CandidatePools, zones: Iterable[int], in_zones: dict[int, int]
+    job: Job, pools: CandidatePools, zones: Iterable[int], tasks_by_zone: dict[int, int]
 ) -> None:
-    """Drop the machines of zones that may take no more tasks of the job."""
+    """Drop the machines of zones in which no more tasks of the job may run."""
     for zone in zones:
-        if not zone_open(job, zone, in_zones):
+        if not zone_open(job, zone, tasks_by_zone):
             pools.exclude_zone(zone)
 
 
 def schedule_gang(ledger: Ledger, job: Job, rng: random.Random, now: float) -> int:
-    """Bind all members of a gang, or none; how many were bound."""
+    """Bind all members of a gang or none, and return how many were bound."""
     task_count = job.spec.task_count
     if quota_left(ledger, job) < task_count:
         return 0
     machines = [m for m in candidates(ledger, job, now) if not heartbeat_overdue(ledger, m, now)]
     zones: Iterable[int | None] = [None]
     if job.spec.single_zone:
-        present = sorted({machine.zone for machine in machines})
-        rng.shuffle(present)
-        zones = present
+        zones_with_candidates = sorted({machine.zone for machine in machines})
+        rng.shuffle(zones_with_candidates)
+        zones = zones_with_candidates
     for zone in zones:
-        in_zone = [machine for machine in machines if zone in (None, machine.zone)]
-        picked = _pick_gang_machines(ledger, job, in_zone, rng)
+        machines_in_zone = [machine for machine in machines if zone in (None, machine.zone)]
+        picked = _pick_gang_machines(ledger, job, machines_in_zone, rng)
         if len(picked) == task_count:
             job.attempt = ledger.allocations.next_attempt()
             for index, machine in enumerate(picked):
@@ -126,23 +126,23 @@
 def _pick_gang_machines(
     ledger: Ledger, job: Job, machines: list[Machine], rng: random.Random
 ) -> list[Machine]:
-    """A machine for each member, one after the other; too few if the machines have no more room."""
-    in_zones: dict[int, int] = {}
+    """Return a machine for each member in turn, or fewer if the machines have no more room."""
+    tasks_by_zone: dict[int, int] = {}
     picked: list[Machine] = []
     pools = CandidatePools(ledger, job, machines)
     for _ in range(job.spec.task_count):
         machine = pools.pick(rng)
         if machine is None:
             break
-        # Allocated for the time of this function, so that the next members see what is left.
+        # Allocate temporarily, so that the choice for the next members sees what is left.
         machine.allocated.cpus += job.request.cpus
         machine.allocated.gpus += job.request.gpus
         machine.allocated.memory_gb += job.request.memory_gb
         pools.drop_if_full(machine)
         picked.append(machine)
         if job.spec.spread_zones:
-            in_zones[machine.zone] = in_zones.get(machine.zone, 0) + 1
-            if not zone_open(job, machine.zone, in_zones):
+            tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
+            if not zone_open(job, machine.zone, tasks_by_zone):
                 pools.exclude_zone(machine.zone)
     for machine in picked:
         machine.allocated.cpus -= job.request.cpus
@@ -152,11 +152,11 @@
 
 
 def reschedule_unsent(ledger: Ledger, rng: random.Random, now: float) -> None:
-    """Place tasks again whose start was not sent yet, and whose machine has fallen silent.
+    """Reschedule tasks whose start was not sent before their machine's heartbeat became overdue.
 
-    Seen on loss, prairie-ledger-fleet: a machine that dies just after a placement holds its tasks
-    until its lease is over, and with a gang's member all the other machines of the gang. No answer
-    carried the start, so the task is certainly not there.
+    A machine that dies just after a placement would hold its tasks until its lease expires, and
+    with a gang's member all other machines of the gang. No answer to a heartbeat has carried the
+    start, so the task is certainly not running there.
     """
     for machine in ledger.machines.values():
         if (
@@ -168,24 +168,27 @@
         for binding in [b for b in machine.bindings.values() if b.start_unsent()]:
             job = binding.job
             if job is not None and not job.failed and should_still_run(binding):
-                _reschedule(ledger, job, binding, rng, now)
+                _reschedule_task(ledger, job, binding, rng, now)
 
 
-def _reschedule(ledger: Ledger, job: Job, binding: Binding, rng: random.Random, now: float) -> None:
-    """Move a gang's member, with its attempt, to another machine; release any other task."""
-    silent = binding.machine
+def _reschedule_task(
+    ledger: Ledger, job: Job, binding: Binding, rng: random.Random, now: float
+) -> None:
+    """Move a gang's member within its attempt to another machine; release any other task."""
+    silent_machine = binding.machine
     hooks = ledger.zone_hooks
-    if not job.gang or (hooks is not None and hooks.restarts_whole(silent)):
-        # For a gang that is the end of its attempt: members that were started are stopped.
+    if not job.gang or (hooks is not None and hooks.restarts_whole(silent_machine)):
+        # For a gang, this ends the attempt: members that have started are stopped.
         ledger.allocations.release(binding, now, ReleaseReason.NEVER_SENT)
         return
-    in_zones = zone_counts(job)
-    in_zones[silent.zone] -= 1
-    in_zones = {zone: count for zone, count in in_zones.items() if count}
+    tasks_by_zone = zone_counts(job)
+    tasks_by_zone[silent_machine.zone] -= 1
+    tasks_by_zone = {zone: count for zone, count in tasks_by_zone.items() if count}
     machines = [
         machine
         for machine in candidates(ledger, job, now)
-        if not heartbeat_overdue(ledger, machine, now) and zone_open(job, machine.zone, in_zones)
+        if not heartbeat_overdue(ledger, machine, now)
+        and zone_open(job, machine.zone, tasks_by_zone)
     ]
     if machines:
         target = pick_of_two(machines, rng)
@@ -193,7 +196,7 @@
             log,
             "unsent_task_moved",
             task=binding.task_id,
-            silent_machine=silent.name,
+            silent_machine=silent_machine.name,
             machine=target.name,
         )
         ledger.allocations.move(binding, target, now)
--- a/src/salthead/scheduling/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -1,5 +1,4 @@
-"""Preemption: tasks are stopped for jobs of higher priority, for guarantees, and in time before
-their machine is reclaimed."""
+"""Preemption of tasks for higher priorities and guarantees, and before machines are reclaimed."""
 
 from __future__ import annotations
 
@@ -21,19 +20,19 @@
 
 log = logging.getLogger(__name__)
 
-# For how long beyond the victims' grace their machine is reserved, in heartbeat intervals: until
-# the stop is sent, the exit is reported, and the start is placed.
+# How long a machine is reserved beyond its victims' grace period, in heartbeat intervals: the time
+# to send the stop, report the exit and place the new task.
 RESERVE_HEARTBEAT_INTERVALS = 4.0
-# From the order to stop a task to its arrival: the next heartbeat, and time for its answer.
-ORDER_HEARTBEAT_INTERVALS, ORDER_MARGIN_S = 1.25, 0.5
-# The stop of a gang takes this many times longer.
-GANG_ORDER_FACTOR = 2.0
-# A task is to have ended this long before its machine is reclaimed.
+# Time until a stop command arrives: until the next heartbeat, and a margin for its answer.
+STOP_DELIVERY_HEARTBEAT_INTERVALS, STOP_DELIVERY_MARGIN_S = 1.25, 0.5
+# Factor by which delivering the stop of a gang takes longer.
+GANG_STOP_DELIVERY_FACTOR = 2.0
+# A task should have ended this long before its machine is reclaimed.
 RECLAIM_MARGIN_S = 0.5
 
 
 def stop_task(ledger: Ledger, binding: Binding, why: str) -> None:
-    """Stop a task with the grace to save its work, together with its gang if it has one."""
+    """Stop a task, or its whole gang, with a grace period to write a checkpoint."""
     job = binding.job
     if job is None or binding.stop_grace_s is not None:
         return
@@ -45,8 +44,8 @@
         ledger.allocations.request_stop(binding, save_grace_s(job))
 
 
-def make_room(ledger: Ledger, job: Job, guaranteed_ids: set[str], now: float) -> None:
-    """Stop tasks for the job's waiting tasks, and reserve their machines for it meanwhile."""
+def preempt_for_job(ledger: Ledger, job: Job, guaranteed_ids: set[str], now: float) -> None:
+    """Stop the cheapest victims for the job's waiting tasks, and reserve their machines for it."""
     task_count = min(job.waiting(), quota_left(ledger, job))
     if job.gang and task_count < job.spec.task_count:
         return
@@ -54,7 +53,7 @@
         return
     priority = preempting_priority(ledger, job, now)
     best: PreemptionPlan | None = None
-    for machines in _machines_by_choice_of_zone(ledger, job, now):
+    for machines in _machine_choices(ledger, job, now):
         rooms = [
             machine_room(ledger, job, priority, machine, guaranteed_ids, now)
             for machine in machines
@@ -63,12 +62,14 @@
         if plan is not None and (best is None or plan.lost_cpu_s < best.lost_cpu_s):
             best = plan
     if best is not None:
-        _carry_out(ledger, job, best, now)
+        _execute_plan(ledger, job, best, now)
 
 
-def _machines_by_choice_of_zone(ledger: Ledger, job: Job, now: float) -> Iterator[list[Machine]]:
-    """The machines that a plan may use: all, or one zone's after the other for a gang that must
-    stay in one."""
+def _machine_choices(ledger: Ledger, job: Job, now: float) -> Iterator[list[Machine]]:
+    """Yield each set of machines among which a plan may choose.
+
+    That is one set of all machines, or one set per zone for a gang that must stay in one zone.
+    """
     machines = [
         m
         for m in suitable_machines(ledger, job, now)
@@ -82,20 +83,20 @@
         yield [m for m in machines if m.zone == zone]
 
 
-def _carry_out(ledger: Ledger, job: Job, plan: PreemptionPlan, now: float) -> None:
-    """Reserve the plan's machines for the job, and stop its victims."""
+def _execute_plan(ledger: Ledger, job: Job, plan: PreemptionPlan, now: float) -> None:
+    """Reserve the plan's machines for the job, and stop the victims."""
     heartbeat_interval_s = ledger.limits.workers.heartbeat_interval_s
     for machine, victims in plan.victims.items():
         longest_grace_s = max((save_grace_s(v.job) for v in victims if v.job), default=0.0)
-        until = now + longest_grace_s + RESERVE_HEARTBEAT_INTERVALS * heartbeat_interval_s
-        ledger.capacity_index.reserve(machine, job.job_id, until)
-        job.room_until = max(job.room_until, until)
+        reserved_until = now + longest_grace_s + RESERVE_HEARTBEAT_INTERVALS * heartbeat_interval_s
+        ledger.capacity_index.reserve(machine, job.job_id, reserved_until)
+        job.room_until = max(job.room_until, reserved_until)
         for victim in victims:
             stop_task(ledger, victim, f"room for {job.job_id}")
 
 
 def preempt(ledger: Ledger, unschedulable: list[Job], now: float) -> None:
-    """Make room for each job that found no candidate, in their order, as far as the rules allow."""
+    """Preempt tasks for each unschedulable job in order, as far as the rules allow."""
     if not unschedulable or not ledger.ready:
         return
     guaranteed_ids = guaranteed_job_ids(ledger)
@@ -106,19 +107,21 @@
             ledger.capacity_index.reserved_machines(job.job_id, now) if now < job.room_until else []
         )
         if any(heartbeat_overdue(ledger, machine, now) for machine in reserved):
-            # Seen on loss, prairie-ledger-fleet: of the room made for a gang of 24 one machine
-            # died, and the rest stood empty until it was lost. The tasks stopped for the gang end
-            # anyway, so that the same machines are chosen, and others for the silent ones.
+            # If one of the machines that were freed for a gang dies, the others stand idle until
+            # it is declared lost. Planning anew picks the same machines, since the tasks stopped
+            # there end anyway, and replaces only the silent ones.
             ledger.capacity_index.release_reservations(job.job_id)
         elif reserved:
-            continue  # room is being made already
-        make_room(ledger, job, guaranteed_ids, now)
+            continue  # earlier victims are still stopping
+        preempt_for_job(ledger, job, guaranteed_ids, now)
 
 
 def drain(ledger: Ledger, now: float) -> None:
     """Stop tasks on machines that are about to be reclaimed, as late as is safe."""
     workers = ledger.limits.workers
-    order_s = ORDER_HEARTBEAT_INTERVALS * workers.heartbeat_interval_s + ORDER_MARGIN_S
+    stop_delivery_s = (
+        STOP_DELIVERY_HEARTBEAT_INTERVALS * workers.heartbeat_interval_s + STOP_DELIVERY_MARGIN_S
+    )
     for machine in ledger.machines.values():
         if machine.phase != UP or machine.reclaim_at is None:
             continue
@@ -127,6 +130,6 @@
             job = binding.job
             if job is None or binding.stop_grace_s is not None:
                 continue
-            factor = GANG_ORDER_FACTOR if job.gang else 1.0
-            if left_s <= order_s * factor + save_grace_s(job) + RECLAIM_MARGIN_S:
+            factor = GANG_STOP_DELIVERY_FACTOR if job.gang else 1.0
+            if left_s <= stop_delivery_s * factor + save_grace_s(job) + RECLAIM_MARGIN_S:
                 stop_task(ledger, binding, f"{machine.name} is taken in {left_s:.1f} s")
--- a/src/salthead/scheduling/preemption_plan.py
+++ b/src/salthead/scheduling/preemption_plan.py
@@ -1,4 +1,4 @@
-"""The cheapest stops that make room for a job's tasks, machine by machine."""
+"""Search for the cheapest set of victims that makes room for a job's tasks."""
 
 from __future__ import annotations
 
@@ -12,67 +12,67 @@
 from salthead.scheduling.eligibility import zone_counts, zone_open
 from salthead.scheduling.preemption_rules import lost_cpu_s, may_preempt
 
-# From the stop of a task to the next start on its machine, in heartbeat intervals.
+# Time from the stop of a task to the next start on its machine, in heartbeat intervals.
 RESTART_HEARTBEAT_INTERVALS = 2.0
 
 
 class Victim(NamedTuple):
-    """A task that may be stopped, and what stopping it throws away."""
+    """A task that may be stopped, and the work that is lost by stopping it."""
 
     lost_cpu_s: float
     binding: Binding
 
 
-class Offer(NamedTuple):
-    """The cheapest stops that make room for one task on one machine; cheap offers sort first."""
+class PreemptionOption(NamedTuple):
+    """The cheapest victims that make room for one task on one machine; sorts by cost."""
 
     lost_cpu_s: float
-    position: int  # of the machine's room in the search: no two offers in a heap share it
+    position: int  # index of the machine in the search, unique within a heap
     victims: list[Victim]
 
 
 @dataclass(slots=True)
 class MachineRoom:
-    """The room on one machine as a search has planned it so far."""
+    """Free capacity and possible victims on one machine, updated as the search goes on."""
 
     machine: Machine
-    free: list[float]  # CPUs, GPUs and memory once all tasks that are stopped have gone
+    free: list[float]  # CPUs, GPUs and memory once all stopped tasks have ended
     stoppable: list[Victim]  # the cheapest last
 
-    def offer(self, position: int, request: Resources) -> Offer | None:
-        """The cheapest tasks whose stops make room for the request; None if no stops do."""
+    def cheapest_option(self, position: int, request: Resources) -> PreemptionOption | None:
+        """Return the cheapest victims that make room for the request; None if none suffice."""
         free = list(self.free)
         victims: list[Victim] = []
-        remaining = list(self.stoppable)
+        remaining_victims = list(self.stoppable)
         while any(free[n] + EPSILON < request[n] for n in range(3)):
-            if not remaining:
+            if not remaining_victims:
                 return None
-            victim = remaining.pop()
+            victim = remaining_victims.pop()
             victims.append(victim)
             for n in range(3):
                 free[n] += victim.binding.request[n]
-        return Offer(sum(victim.lost_cpu_s for victim in victims), position, victims)
+        return PreemptionOption(sum(victim.lost_cpu_s for victim in victims), position, victims)
 
-    def accept(self, offer: Offer, request: Resources) -> None:
-        """Count one task of the request as placed where the victims were."""
-        bindings = [victim.binding for victim in offer.victims]
+    def apply(self, option: PreemptionOption, request: Resources) -> None:
+        """Remove the victims from the machine and place one task of the request there."""
+        bindings = [victim.binding for victim in option.victims]
         for n in range(3):
             self.free[n] += sum(binding.request[n] for binding in bindings) - request[n]
-        self.stoppable = [one for one in self.stoppable if one.binding not in bindings]
+        self.stoppable = [victim for victim in self.stoppable if victim.binding not in bindings]
 
 
 @dataclass(slots=True)
 class PreemptionPlan:
-    """Which tasks to stop on which machines, so that a number of tasks can be placed."""
+    """The victims to stop on each machine, and how many tasks can be placed then."""
 
     lost_cpu_s: float = 0.0
     placed: int = 0
     victims: dict[Machine, list[Binding]] = field(default_factory=dict)
 
-    def add(self, machine: Machine, offer: Offer) -> None:
-        """Place one more task by an offer."""
-        self.victims.setdefault(machine, []).extend(victim.binding for victim in offer.victims)
-        self.lost_cpu_s += offer.lost_cpu_s
+    def add(self, machine: Machine, option: PreemptionOption) -> None:
+        """Add one task, placed on the machine by stopping the option's victims."""
+        self.victims.setdefault(machine, []).extend(victim.binding for victim in option.victims)
+        self.lost_cpu_s += option.lost_cpu_s
         self.placed += 1
 
 
@@ -84,7 +84,10 @@
     guaranteed_ids: set[str],
     now: float,
 ) -> MachineRoom:
-    """What is free on a machine, or will be, and which tasks the job may have stopped there."""
+    """Return the free capacity of a machine, and the victims that the job may stop there.
+
+    Capacity of tasks that are being stopped already counts as free.
+    """
     restart_s = RESTART_HEARTBEAT_INTERVALS * ledger.limits.workers.heartbeat_interval_s
     free = machine.free()
     for binding in machine.bindings.values():
@@ -101,28 +104,31 @@
 
 
 def cheapest_plan(job: Job, rooms: list[MachineRoom], task_count: int) -> PreemptionPlan | None:
-    """Room for as many tasks as possible, the cheapest stops first; None for an incomplete gang."""
-    # After each task only the machine that took it is priced anew.
-    offers = [
-        offer
+    """Return a plan for as many tasks as possible, choosing the cheapest victims first.
+
+    None if no task can be placed, or not all members of a gang.
+    """
+    # After each task, the cost is recomputed only for the machine that takes it.
+    options = [
+        option
         for position, room in enumerate(rooms)
-        if (offer := room.offer(position, job.request)) is not None
+        if (option := room.cheapest_option(position, job.request)) is not None
     ]
-    heapq.heapify(offers)
-    in_zones = zone_counts(job)
+    heapq.heapify(options)
+    tasks_by_zone = zone_counts(job)
     plan = PreemptionPlan()
-    while offers and plan.placed < task_count:
-        offer = heapq.heappop(offers)
-        room = rooms[offer.position]
+    while options and plan.placed < task_count:
+        option = heapq.heappop(options)
+        room = rooms[option.position]
         zone = room.machine.zone
-        if not zone_open(job, zone, in_zones):
+        if not zone_open(job, zone, tasks_by_zone):
             continue
-        in_zones[zone] = in_zones.get(zone, 0) + 1
-        room.accept(offer, job.request)
-        plan.add(room.machine, offer)
-        again = room.offer(offer.position, job.request)
-        if again is not None:
-            heapq.heappush(offers, again)
+        tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + 1
+        room.apply(option, job.request)
+        plan.add(room.machine, option)
+        next_option = room.cheapest_option(option.position, job.request)
+        if next_option is not None:
+            heapq.heappush(options, next_option)
     if plan.placed == 0 or (job.gang and plan.placed < task_count):
         return None
     return plan
--- a/src/salthead/scheduling/queue_order.py
+++ b/src/salthead/scheduling/queue_order.py
@@ -1,10 +1,10 @@
-"""The order of jobs of one rank: as many as can be meet their targets, the rest come after them.
+"""Order of jobs of one rank, so that as many as possible meet their targets.
 
-Under overload, first come first served makes every job late. Within one rank, jobs are taken by
-their next target that can still be met; where the sum of the work ahead would miss one, the job
-with the most work is postponed (Moore's rule), since it costs the others the most.
-That has a bound: jobs that have waited for long without a start come first, by age, or a lasting
-overload would starve the largest.
+Under overload, first come, first served makes every job late. Within one rank, jobs are ordered by
+the latest start for their next target that can still be met. Where the work ahead of a job would
+make it miss that target, the job with the most work is postponed (Moore's rule), since it delays
+the others the most. Jobs that have waited for long without a start come first, by age; otherwise a
+lasting overload would starve the largest jobs.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 from salthead.cluster.model import Job
 from salthead.cluster.resources import EPSILON
 
-# The protocol: the largest jobs of a class, too, begin within four minutes.
+# The protocol requires that even the largest jobs of a class begin within four minutes.
 BEGIN_WITHIN_S = 240.0
-# The part of it after which a job has to start before all others of its rank.
-OVERDUE_SHARE = 0.5
-# The part of it after which quota is reserved for a gang, one at a time.
+# Share of that time after which a job is placed before all others of its rank.
+START_OVERDUE_SHARE = 0.5
+# Share of that time after which quota is reserved for a gang, for one gang of a team at a time.
 RESERVE_AFTER_SHARE = 0.25
-MIN_TASK_CPUS = 0.1  # for the work of tasks that ask for hardly any CPU
+MIN_TASK_CPUS = 0.1  # least CPUs by which a task's work is weighted
 
 
 def start_overdue(job: Job, now: float) -> bool:
-    """Whether no task of the job has a machine and half of the time to begin in is gone.
+    """Return whether the job has not begun, and half of the time to begin in has passed.
 
-    With its first task a job has begun, and the rest of it waits for its turn.
+    A job begins with its first task; its other tasks are placed in the usual order.
     """
     return (
         job.first_start is None
         and not job.n_done
         and not job.bindings
-        and (now - job.since > OVERDUE_SHARE * BEGIN_WITHIN_S)
+        and (now - job.since > START_OVERDUE_SHARE * BEGIN_WITHIN_S)
     )
 
 
 def start_due(ledger: Ledger, job: Job, now: float) -> bool:
-    """Whether half of the wait that the job's next target allows is gone."""
+    """Return whether half of the wait that the job's next target allows has passed."""
     if start_overdue(job, now):
         return True
     run_s = ledger.run_s(job)
@@ -49,35 +49,35 @@
 
 
 def reserves_quota(job: Job, now: float) -> bool:
-    """Whether quota is kept for a gang that waits: others would take it piece by piece.
+    """Return whether quota is reserved for a waiting gang.
 
-    Several wait at a time, and one after the other has to begin in time, so quota is kept for the
-    first early: when it was from half of the bound on, three to six of nine gangs of 24 began
-    within it on busy, prairie-ledger-fleet. A gang that can't be placed for other reasons must not
-    hold up its team for ever, so after twice the time in which it should have begun it reserves
-    quota only in every other period of that length.
+    Without the reservation, other jobs would take the freed quota bit by bit. Several gangs may
+    wait and have to begin in time one after the other, so it starts early: from half of
+    ``BEGIN_WITHIN_S`` on, only three to six of nine gangs of 24 members began in time. A gang that
+    cannot be placed for other reasons must not block its team forever, so after twice
+    ``BEGIN_WITHIN_S`` it reserves quota only in every other period of that length.
     """
     age = now - job.since
-    waits = job.gang and not job.bindings and job.first_start is None
+    is_waiting_gang = job.gang and not job.bindings and job.first_start is None
     return (
-        waits
+        is_waiting_gang
         and age > RESERVE_AFTER_SHARE * BEGIN_WITHIN_S
         and (age < 2.0 * BEGIN_WITHIN_S or int(age / BEGIN_WITHIN_S) % 2 == 0)
     )
 
 
 def reserves_quota_from_arrays(job: Job, now: float) -> bool:
-    """Whether quota is kept for a gang from small tasks, too.
+    """Return whether quota is reserved for a gang against arrays as well as other gangs.
 
-    They take little of it, and many of their jobs are late for each gang that begins sooner, so
-    this is the last resort.
+    Arrays of small tasks use little quota, and many of them become late for each gang that begins
+    sooner, so this is the last resort.
     """
-    return reserves_quota(job, now) and now - job.since > OVERDUE_SHARE * BEGIN_WITHIN_S
+    return reserves_quota(job, now) and now - job.since > START_OVERDUE_SHARE * BEGIN_WITHIN_S
 
 
 def latest_start(ledger: Ledger, job: Job, run_s: float, now: float) -> float:
-    """The latest time at which the job may start and still meet its next target; inf if none."""
-    best = math.inf
+    """Return the latest start at which the job meets its next target; inf if it can meet none."""
+    earliest = math.inf
     for objective in ledger.limits.objectives:
         if objective.job_class != job.spec.job_class:
             continue
@@ -90,26 +90,26 @@
         else:
             continue
         if start_by >= now:
-            best = min(best, start_by)
-    for due_at in job.due:  # for the sake of a job after it
+            earliest = min(earliest, start_by)
+    for due_at in job.due:  # when dependent jobs need it done
         if due_at - run_s >= now:
-            best = min(best, due_at - run_s)
-    if best == math.inf and job.spec.deadline_s is not None:
+            earliest = min(earliest, due_at - run_s)
+    if earliest == math.inf and job.spec.deadline_s is not None:
         start_by = job.submitted + job.spec.deadline_s - run_s
-        best = start_by if start_by >= now else math.inf
-    return best
+        earliest = start_by if start_by >= now else math.inf
+    return earliest
 
 
 class PendingWork(NamedTuple):
-    """A job in the queue and what it asks of the fleet."""
+    """A job in the queue and its demand on the fleet."""
 
     start_by: float  # the latest start for its next target; inf if it can meet none
     job: Job
     cpu_s: float  # CPU-seconds of all its waiting tasks
 
 
-class Load:
-    """The work ahead on one resource, and the largest piece of it."""
+class ResourceLoad:
+    """The accumulated work on the fleet or a team's quota, and a heap of its largest jobs."""
 
     def __init__(self, cpus: float) -> None:
         self.cpus = cpus
@@ -122,7 +122,7 @@
         heapq.heappush(self.largest, (-cpu_s, position))
 
     def pop_largest(self, postponed: set[int]) -> tuple[int, float]:
-        """Remove the largest job that is not postponed already; its position and work."""
+        """Remove the largest job that is not postponed; return its position and CPU-seconds."""
         while True:
             negated_cpu_s, position = heapq.heappop(self.largest)
             if position not in postponed:
@@ -130,52 +130,60 @@
                 return position, -negated_cpu_s
 
 
-def by_targets(ledger: Ledger, jobs: list[Job], cpus: float, now: float) -> list[Job]:
-    """One rank's jobs in the order in which they are placed; ``cpus`` is what the fleet has."""
+def order_by_targets(ledger: Ledger, jobs: list[Job], cpus: float, now: float) -> list[Job]:
+    """Return the jobs of one rank in placement order; ``cpus`` is the capacity of the fleet."""
     overdue: list[Job] = []
-    rows: list[PendingWork] = []
+    works: list[PendingWork] = []
     for job in jobs:
         if start_overdue(job, now):
             overdue.append(job)
             continue
         run_s = ledger.run_s(job)
         cpu_s = job.waiting() * max(job.request.cpus, MIN_TASK_CPUS) * run_s
-        rows.append(PendingWork(latest_start(ledger, job, run_s, now), job, cpu_s))
+        works.append(PendingWork(latest_start(ledger, job, run_s, now), job, cpu_s))
     overdue.sort(key=lambda job: (job.since, job.job_id))
-    rows.sort(key=lambda row: (row.start_by, row.job.since, row.job.job_id))
-    postponed = _postponed(ledger, rows, cpus, now)
-    in_time = [row.job for position, row in enumerate(rows) if position not in postponed]
-    late = [row.job for position, row in enumerate(rows) if position in postponed]
+    works.sort(
+        key=lambda work: (
+            work.start_by,
+            work.job.since,
+            work.job.job_id,
+        )
+    )
+    postponed = _postponed_positions(ledger, works, cpus, now)
+    in_time = [work.job for position, work in enumerate(works) if position not in postponed]
+    late = [work.job for position, work in enumerate(works) if position in postponed]
     late.sort(key=lambda job: (job.since, job.job_id))
     return overdue + in_time + late
 
 
-def _postponed(ledger: Ledger, rows: list[PendingWork], cpus: float, now: float) -> set[int]:
-    """Positions of the jobs that are served after all others, so that these meet their targets."""
-    # What limits the work ahead is the fleet, and for each team also its own limit.
-    fleet_load = Load(cpus)
+def _postponed_positions(
+    ledger: Ledger, works: list[PendingWork], cpus: float, now: float
+) -> set[int]:
+    """Return the positions of jobs to place after all others, so that the others are in time."""
+    # Work is limited by the fleet's capacity and by each team's quota.
+    fleet_load = ResourceLoad(cpus)
     team_loads = [
-        Load(min(cpus, limit[0]) if limit[0] > 0 else cpus) for limit in ledger.team_limits
+        ResourceLoad(min(cpus, limit[0]) if limit[0] > 0 else cpus) for limit in ledger.team_limits
     ]
     postponed: set[int] = set()
-    for position, row in enumerate(rows):
-        if row.start_by == math.inf:
+    for position, work in enumerate(works):
+        if work.start_by == math.inf:
             postponed.add(position)
             continue
-        team_load = team_loads[row.job.team]
-        team_load.add(position, row.cpu_s)
-        fleet_load.add(position, row.cpu_s)
+        team_load = team_loads[work.job.team]
+        team_load.add(position, work.cpu_s)
+        fleet_load.add(position, work.cpu_s)
         for load in (team_load, fleet_load):
-            # The last of its tasks starts when all work ahead of it is done.
+            # The job's last task starts once all work ahead of it is done.
             done_at = now + load.total_cpu_s / max(load.cpus, 1.0)
-            if load.total_cpu_s > EPSILON and done_at > row.start_by:
+            if load.total_cpu_s > EPSILON and done_at > work.start_by:
                 largest, cpu_s = load.pop_largest(postponed)
                 postponed.add(largest)
-                other = fleet_load if load is team_load else team_loads[rows[largest].job.team]
+                other = fleet_load if load is team_load else team_loads[works[largest].job.team]
                 other.total_cpu_s -= cpu_s
     return postponed
 
 
 def fleet_cpus(ledger: Ledger) -> float:
-    """CPUs of all machines that are up or coming."""
+    """Return the CPUs of all machines that are not in quarantine, booting ones included."""
     return sum([m.capacity.cpus for m in ledger.machines.values() if not m.quarantine_reason])
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -1,4 +1,4 @@
-"""The scheduling pass over the pending queue, and the backfill of a machine that has freed room."""
+"""The scheduling pass over the pending queue, and backfill of freed capacity."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 log = logging.getLogger(__name__)
 
-# A job that found no candidate is tried again after this, doubled each time, at most a heartbeat
-# interval.
-FIRST_PAUSE_S = 2.0
-LIMIT_LOG_INTERVAL_S = 10.0  # for each team, at info
+# First pause before a job that found no candidate is retried. The pause doubles with each attempt,
+# up to one heartbeat interval.
+FIRST_RETRY_PAUSE_S = 2.0
+QUOTA_LOG_INTERVAL_S = 10.0  # between two entries of a team at level info
 
 
 def schedule(ledger: Ledger, rng: random.Random, now: float) -> list[Job]:
-    """One pass over the queue; the jobs that found no candidate are returned, in order."""
+    """Run one pass over the queue, and return the jobs that were tried and still wait, in order."""
     unschedulable: list[Job] = []
     if not ledger.loaded:
         return unschedulable
@@ -49,9 +49,9 @@
         gang_ahead = reserving_gangs[job.team]
         if _schedule_pending_job(ledger, job, gang_ahead, rng, now):
             unschedulable.append(job)
-        # Quota is reserved for one gang at a time, and then for none for as long again: else all
-        # that an overloaded team frees goes to a few of its largest jobs, and each of them makes
-        # many others late.
+        # Quota is reserved for one gang of a team at a time, and afterwards for none for as long
+        # again. Otherwise all quota that an overloaded team frees would go to a few of its largest
+        # jobs, each of which makes many others late.
         if (
             gang_ahead is None
             and queue_order.reserves_quota(job, now)
@@ -66,9 +66,9 @@
 def _schedule_pending_job(
     ledger: Ledger, job: Job, gang_ahead: Job | None, rng: random.Random, now: float
 ) -> bool:
-    """Place what can be placed of one job; whether it was tried and still waits.
+    """Place as many tasks of a job as possible; return whether it was tried and still waits.
 
-    ``gang_ahead`` is the gang ahead of it in the queue for which its team's quota is reserved.
+    ``gang_ahead`` is the gang ahead of the job for which its team's quota is reserved.
     """
     job.quota_reserved_ahead = (0.0, 0.0)
     if (
@@ -81,7 +81,7 @@
     if job.quota_exhausted and not quota_exhausted:
         job.pause_until = 0.0
     job.quota_exhausted = quota_exhausted
-    # The pause is for attempts whose result only freed room could change: ``backfill`` offers it.
+    # Until the pause ends, only freed capacity could help, and ``backfill`` offers that to the job.
     if now < max(job.wait_until, job.pause_until):
         return False
     if not quota_exhausted:
@@ -89,35 +89,37 @@
         if job.waiting() == 0:
             return False
         job.quota_exhausted = _quota_exhausted(ledger, job)
-    _note_still_waiting(ledger, job, now)
+    _back_off(ledger, job, now)
     return True
 
 
-def _note_still_waiting(ledger: Ledger, job: Job, now: float) -> None:
-    """Log why tasks of the job still wait, and pause until the next attempt."""
+def _back_off(ledger: Ledger, job: Job, now: float) -> None:
+    """Log why tasks of the job still wait, and set the pause until the next attempt."""
     if job.quota_exhausted:
-        _log_limit(ledger, job, now)
+        _log_quota_limit(ledger, job, now)
     else:
         event(log, "no_candidate", logging.DEBUG, job=job.job_id, waiting=job.waiting())
     if not could_start_without_reservations(ledger, job, now):
         job.held_back_since = None
     elif job.held_back_since is None:
         job.held_back_since = now
-    job.pause = min(job.pause * 2 or FIRST_PAUSE_S, ledger.limits.workers.heartbeat_interval_s)
+    job.pause = min(
+        job.pause * 2 or FIRST_RETRY_PAUSE_S, ledger.limits.workers.heartbeat_interval_s
+    )
     job.pause_until = now + job.pause
 
 
 def _quota_exhausted(ledger: Ledger, job: Job) -> bool:
-    """Whether the team's limit leaves no room for a task, or for the whole of a gang."""
+    """Return whether the team's quota is too small for one more task, or for the whole gang."""
     return quota_left(ledger, job) < (job.spec.task_count if job.gang else 1)
 
 
-def _log_limit(ledger: Ledger, job: Job, now: float) -> None:
-    """Log what a team's limit left for a job: now and then at info, otherwise at debug."""
-    at_info = now - ledger.limit_logged_at[job.team] >= LIMIT_LOG_INTERVAL_S
+def _log_quota_limit(ledger: Ledger, job: Job, now: float) -> None:
+    """Log that a team's quota holds up a job: at a limited rate at info, otherwise at debug."""
+    at_info = now - ledger.limit_logged_at[job.team] >= QUOTA_LOG_INTERVAL_S
     if at_info:
         ledger.limit_logged_at[job.team] = now
-    silent = (0.0, 0.0) if ledger.ready else ledger.failover.unreconciled_capacity()
+    unreconciled = (0.0, 0.0) if ledger.ready else ledger.failover.unreconciled_capacity()
     event(
         log,
         "limit_reached",
@@ -126,7 +128,7 @@
         job=job.job_id,
         fencing_token=ledger.fencing_token,
         booked_cpus=ledger.usage[job.team][0],
-        silent_cpus=silent[0],
+        silent_cpus=unreconciled[0],
         limit_cpus=ledger.team_limits[job.team][0],
         kept_cpus=job.quota_reserved_ahead[0],
         unknown_jobs=len(ledger.unknown_jobs),
@@ -135,10 +137,10 @@
 
 
 def backfill(ledger: Ledger, machine: Machine, rng: random.Random, now: float) -> None:
-    """Offer room that a machine has freed to the jobs in the queue, in their order.
+    """Place jobs of the queue, in order, on a machine that has freed capacity.
 
-    They found no candidate elsewhere, so this machine is the only one. A whole pass for each
-    heartbeat that frees room cost jobs times machines, at every exit of a task.
+    These jobs found no candidate elsewhere, so only this machine is tried. A whole pass at every
+    exit of a task would cost the number of jobs times the number of machines.
     """
     if not ledger.loaded or not available(ledger, machine, now):
         return
