--- a/src/salthead/autoscaling/__init__.py
+++ b/src/salthead/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many machines of which kind: what to provision and what to terminate. No I/O."""
+"""Fleet planning: which machines to provision and which to terminate. No I/O."""
--- a/src/salthead/autoscaling/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -1,4 +1,4 @@
-"""The plan of the fleet: how many machines of which kind to provision, and which to terminate."""
+"""The fleet plan: how many machines of each kind to provision, and which to terminate."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from salthead.scheduling.guarantees import guaranteed_job_ids
 from salthead.scheduling.pending_queue import pending_jobs
 
-MAX_PROVISION_BATCH = 50  # machines in one call
+MAX_PROVISION_BATCH = 50  # machines in one request to the cloud
 
 
 @dataclass
 class Plan:
-    """What to provision, by kind, and which machines to terminate."""
+    """Machines to provision, by kind, and machines to terminate."""
 
     to_provision: dict[MachineKind, int] = field(default_factory=dict)
     to_terminate: list[Machine] = field(default_factory=list)
-    reasons: dict[str, str] = field(default_factory=dict)  # of the terminations, by machine
+    reasons: dict[str, str] = field(default_factory=dict)  # for each termination, by machine name
 
 
 def plan(
@@ -33,9 +33,9 @@
     capacity_backoff: CapacityBackoff,
     provisioning: dict[MachineKind, int],
 ) -> Plan:
-    """The difference between the fleet that the queue needs and the one that there is.
+    """Return the difference between the fleet that the queue needs and the existing fleet.
 
-    ``provisioning``: how many machines of each kind have been asked for and are not listed yet.
+    ``provisioning`` counts, by kind, the machines that are requested but not listed yet.
     """
     result = Plan()
     if not ledger.machine_types:
@@ -63,16 +63,17 @@
     provisioning: dict[MachineKind, int],
     now: float,
 ) -> set[str]:
-    """Plan provisions for the queue; the names of the machines there are that it needs."""
+    """Add provisions for the queue to the plan; return the names of existing machines it needs."""
     queue = pending_jobs(ledger, guaranteed_job_ids(ledger), now)
     span_s = serving_span_s(ledger, queue, now)
     ready_soon = soon_ready_jobs(ledger, now)
     slots: list[Slot] = []
-    if queue or ready_soon:  # with nothing to place, free room need not be known
+    if queue or ready_soon:  # an empty queue needs no computation of the supply
         supply = current_supply(ledger, now, provisioning)
         slots = supply.slots
-        # A place that is still taken serves the queue for what is left of the span. Counted as
-        # free at once, a fleet of short tasks looked large enough for too long a queue.
+        # Capacity that is still in use serves the queue only for the rest of the span. If it
+        # counted as free at once, a fleet of short tasks would look large enough for a queue that
+        # is too long for it.
         span_s = max(1.0, span_s - supply.mean_wait_s())
     min_cpus = min((job.request.cpus for job in [*queue, *ready_soon]), default=0.0)
     packing = QueuePacking(ledger, capacity_backoff, SlotPool(slots, min_cpus), span_s, now)
--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -1,4 +1,4 @@
-"""Room as a plan of the fleet sees it: what is free now, and what will be soon."""
+"""The supply side of a fleet plan: capacity that is free now or will be soon."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from salthead.cluster.model import BOOTING, UP, Machine
 from salthead.cluster.resources import EPSILON, MachineKind, Resources
 
-# A task that should end within this part of the shortest boot has its room counted as free.
+# Capacity of a task that should end within this share of the shortest boot time counts as free.
 SOON_FREE_BOOTS = 0.7
 
 
 class Slot:
-    """A machine in the plan: one that there is, that boots, or that would be provisioned."""
+    """A machine in the plan: an existing or booting one, or one that would be provisioned."""
 
     __slots__ = ("kind", "room", "machine", "used")
 
@@ -28,7 +28,7 @@
         self.used = False
 
     def fill(self, request: Resources, task_count: int) -> int:
-        """Take as many of the tasks as fit; how many that were."""
+        """Add as many of the tasks as fit, and return how many."""
         room = self.room
         count = task_count
         for n in (0, 1, 2):  # the innermost loop of a plan
@@ -45,7 +45,7 @@
 
 
 class SlotPool:
-    """The plan's slots by kind. Slots that no task in the queue fits into are dropped."""
+    """The plan's slots by kind, without those that no task in the queue fits into any more."""
 
     def __init__(self, slots: list[Slot], min_cpus: float) -> None:
         self.min_cpus = min_cpus  # of the smallest task in the queue
@@ -54,11 +54,11 @@
             self.add(slot)
 
     def add(self, slot: Slot) -> None:
-        """Add a machine's room."""
+        """Add a slot."""
         self.slots.setdefault(slot.kind, []).append(slot)
 
     def fill(self, kind: MachineKind, request: Resources, task_count: int) -> int:
-        """Put tasks into the slots of one kind, in their order; how many found no room."""
+        """Fill the slots of one kind in order, and return how many tasks are left over."""
         slots = self.slots.get(kind)
         if slots is None:
             return task_count
@@ -74,7 +74,7 @@
         return unplaced
 
     def places(self, kind: MachineKind, request: Resources) -> int:
-        """How many tasks fit into the slots of a kind."""
+        """Return how many tasks fit into the slots of a kind."""
         return sum(
             min(
                 (int((r + EPSILON) // n) for r, n in zip(slot.room, request, strict=True) if n > 0),
@@ -85,7 +85,7 @@
 
 
 def hourly_price(ledger: Ledger, kind: MachineKind) -> float:
-    """What a machine of a kind costs an hour."""
+    """Return the price of a machine of a kind per hour."""
     machine_type = ledger.machine_types[kind.machine_type]
     if kind.spot and machine_type.spot_price is not None:
         return machine_type.spot_price
@@ -93,30 +93,30 @@
 
 
 def tasks_per_machine(capacity: Resources, request: Resources) -> int:
-    """How many tasks fit on an empty machine."""
+    """Return how many tasks fit on an empty machine."""
     return int(min((c + EPSILON) // n for c, n in zip(capacity, request, strict=True) if n > 0))
 
 
 def min_boot_s(ledger: Ledger) -> float:
-    """The shortest boot of any machine type."""
+    """Return the shortest boot time of any machine type, in seconds."""
     return min((machine_type.boot_s for machine_type in ledger.machine_types.values()), default=0.0)
 
 
 @dataclass
 class Supply:
-    """Room that is free, or will be by the time that a new machine could be up."""
+    """Capacity that is free, or will be before a new machine could have booted."""
 
     slots: list[Slot] = field(default_factory=list)
     cpus: float = 0.0
-    wait_cpu_s: float = 0.0  # CPU-seconds until all of it is free
+    wait_cpu_s: float = 0.0  # sum over its CPUs of the seconds until they are free
 
     def mean_wait_s(self) -> float:
-        """How long, on the average, until a CPU of it is free."""
+        """Return the mean time until one of its CPUs is free, in seconds."""
         return self.wait_cpu_s / self.cpus if self.cpus > 0 else 0.0
 
 
 def current_supply(ledger: Ledger, now: float, provisioning: dict[MachineKind, int]) -> Supply:
-    """The room on machines that are up, that boot, or that are being provisioned."""
+    """Return the capacity of machines that are up, booting or being provisioned."""
     supply = Supply()
     soon_s = SOON_FREE_BOOTS * min_boot_s(ledger)
     run_s_by_job = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
@@ -137,12 +137,13 @@
 
 
 def _is_usable(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether any task may start on a machine in the time that a plan looks at."""
+    """Return whether tasks may start on a machine within the plan's horizon."""
     if machine.quarantine_reason or machine.terminating or machine.reclaim_at is not None:
         return False
     if machine.unresponsive_since is not None:
-        return False  # so that another is provisioned in its place
-    # Nothing can be started on a machine behind a cut, whose lease another controller renews.
+        return False  # so that a replacement is provisioned
+    # No task can start on a machine behind a partition, even if another controller renews its
+    # lease.
     return (
         not machine.reconciled or now - machine.last_heartbeat_at <= ledger.limits.workers.lease_s
     )
@@ -151,7 +152,7 @@
 def _add_expected_room(
     machine: Machine, run_s_by_job: dict[str, float], soon_s: float, supply: Supply, now: float
 ) -> list[float]:
-    """What is free on a machine, and what will be soon; counted in the supply."""
+    """Return the capacity of a machine that is or will soon be free, and add it to the totals."""
     room = machine.free()
     supply.cpus += room[0]
     for binding in machine.bindings.values():
--- a/src/salthead/autoscaling/provision_limits.py
+++ b/src/salthead/autoscaling/provision_limits.py
@@ -1,4 +1,4 @@
-"""Which kinds of machines may be provisioned, and how many of each by one plan."""
+"""Limits on provisioning: which kinds of machines, and how many of each per plan."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from salthead.cluster.resources import MachineKind, machine_kind
 from salthead.scheduling.eligibility import allowed_kinds
 
-# In one plan, of a kind: the least, and a share of the fleet, so that a fleet of any size can grow.
-# Up to 500 machines the least is what counts.
+# One plan may provision this many machines of a kind, or this share of the fleet if that is more,
+# so that large fleets can grow as well. The share takes effect above 500 machines.
 MIN_PROVISION_PER_PLAN, PROVISION_SHARE_PER_PLAN = 50, 0.1
 
 
 def max_provision_per_plan(ledger: Ledger) -> int:
-    """How many machines of a kind one plan may provision where nothing is wrong with the zone."""
+    """Return how many machines of a kind one plan may provision in a healthy zone."""
     return max(MIN_PROVISION_PER_PLAN, int(PROVISION_SHARE_PER_PLAN * len(ledger.machines)))
 
 
 def max_provision(ledger: Ledger, zone: int) -> int:
-    """How many machines of a kind may be provisioned in a zone by one plan."""
+    """Return how many machines of a kind one plan may provision in the zone."""
     if ledger.shared_silence is not None and zone in ledger.shared_silence.silent_zones:
-        return 0  # a machine that boots behind a cut serves nobody
+        return 0  # a machine that boots behind a partition is of no use
     hooks = ledger.zone_hooks
     zone_limit = hooks.max_provision(zone) if hooks is not None else None
     plan_limit = max_provision_per_plan(ledger)
@@ -30,7 +30,7 @@
 
 
 def offered_kinds(ledger: Ledger) -> list[MachineKind]:
-    """All kinds of machines that the cloud offers."""
+    """Return all kinds of machines that the cloud offers."""
     return [
         machine_kind(type_index, ledger.zones.intern(zone), spot)
         for type_index, machine_type in ledger.machine_types.items()
@@ -47,11 +47,10 @@
     capacity_backoff: CapacityBackoff,
     now: float,
 ) -> list[MachineKind]:
-    """Those of the offered kinds that may be provisioned for the job, the cheapest for one of its
-    tasks first.
+    """Return the offered kinds that may be provisioned for the job, cheapest per task first.
 
-    Scarce types come last: their number is limited, and small tasks on them would keep the jobs
-    waiting that fit on no other type.
+    Scarce types come last: their number is limited, and small tasks on them would delay the jobs
+    that fit on no other type.
     """
     tasks_by_type: dict[int, int] = {}
     candidates: list[tuple[bool, float, MachineKind]] = []
--- a/src/salthead/autoscaling/queue_demand.py
+++ b/src/salthead/autoscaling/queue_demand.py
@@ -1,4 +1,4 @@
-"""What the queue asks of the fleet: which jobs are ready soon, and how long machines serve it."""
+"""The demand side of a fleet plan: backlog of the queue, and jobs that will soon be ready."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from salthead.cluster.model import BOOTING, Job
 from salthead.scheduling import queue_order
 
-# A queue that takes longer than a boot counts once it has lasted for this part of a boot, while no
-# more than this share of the fleet is still booting.
+# A backlog that takes the fleet longer than a boot time counts as lasting after the first share of
+# a boot time, while at most the second share of the fleet's CPUs is still booting.
 BACKLOG_BOOTS, MAX_BOOTING_SHARE = 0.5, 0.25
 
 
 def serving_span_s(ledger: Ledger, queue: list[Job], now: float) -> float:
-    """For how long a machine is to have work from the queue, in seconds, to be worth provisioning.
+    """Return for how many seconds the queue must keep a machine busy to justify provisioning it.
 
-    Work that the fleet gets to before a new machine would be up needs no new machine. Nor is one
-    worth its least charge for less work than that, unless the queue stays longer than a boot. Seen
-    on loss, moana-buoys-fleet: 12,000 tasks waited for up to a minute, with deadlines of fifty
-    seconds, beside 1,700 CPUs that were not provisioned.
+    Work that the fleet gets to before a new machine has booted needs no new machine. Nor does work
+    that is shorter than the minimum charge, unless the backlog lasts longer than a boot time. If
+    the minimum charge always applied, thousands of short tasks would miss their deadlines: in one
+    run, 12,000 tasks with deadlines of 50 s waited for up to a minute, while 1,700 CPUs were not
+    provisioned.
     """
     boot_s = min_boot_s(ledger)
     work = sum(
@@ -28,8 +29,8 @@
     )
     fleet_cpus = queue_order.fleet_cpus(ledger)
     booting = sum([m.capacity.cpus for m in ledger.machines.values() if m.phase == BOOTING])
-    # One array that comes, or a fleet that begins to boot, has a long queue, too: machines for that
-    # came too late, and then too many of them were terminated.
+    # The queue is also long just after an array has arrived or while many machines are booting.
+    # Machines provisioned for that come up too late, and too many of them are terminated later.
     if work <= boot_s * fleet_cpus or booting > MAX_BOOTING_SHARE * fleet_cpus:
         ledger.pending.long_since = None
         return max(MIN_CHARGE_S, boot_s)
@@ -40,7 +41,7 @@
 
 
 def soon_ready_jobs(ledger: Ledger, now: float) -> list[Job]:
-    """Jobs whose dependencies should all be done by the time that a new machine could be up."""
+    """Return jobs whose dependencies should all end before a new machine could have booted."""
     boot_s = min_boot_s(ledger)
     ready_soon = []
     for job_ids in ledger.dependency_graph.job_classes.values():
@@ -60,7 +61,7 @@
 
 
 def remaining_s(ledger: Ledger, job: Job, now: float) -> float:
-    """In how many seconds the last of a job's tasks should end, all of which have a machine."""
+    """Return the expected seconds until a job ends, all of whose tasks have a machine."""
     run_s = ledger.run_s(job)
     return max(
         (
--- a/src/salthead/autoscaling/queue_packing.py
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -1,4 +1,4 @@
-"""The queue packed onto the fleet: which machines its tasks use, and which ones they lack."""
+"""Packing of the queue onto the fleet: which machines it uses, and which are missing."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class QueuePacking:
-    """Jobs of the queue packed, one after the other, onto slots of the fleet and onto new ones."""
+    """Packs jobs of the queue one by one onto slots of the fleet, and adds new slots."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         span_s: float,
         now: float,
     ) -> None:
-        """``span_s``: for how long a place serves the queue, one short task after the other."""
+        """Start a packing in which a place serves tasks one after the other for ``span_s``."""
         self.ledger = ledger
         self.capacity_backoff = capacity_backoff
         self.pool = pool
@@ -44,7 +44,7 @@
         }
 
     def provisions(self) -> dict[MachineKind, int]:
-        """How many machines of each kind the packed jobs lack, as far as one plan may provision."""
+        """Return how many machines of each kind to provision, within the limits of one plan."""
         counts: dict[MachineKind, int] = defaultdict(int)
         for slot in self.new_slots:
             counts[slot.kind] += 1
@@ -54,7 +54,7 @@
         }
 
     def add(self, job: Job, task_count: int) -> None:
-        """Pack tasks of a job, as many as its team's limit allows at a time."""
+        """Pack tasks of a job, as many as its team's quota allows at a time."""
         places = self._reserve_quota(job, task_count)
         if not places:
             return
@@ -74,7 +74,7 @@
             self._fill_or_provision(job, places, usable, provisionable)
 
     def _reserve_quota(self, job: Job, task_count: int) -> int:
-        """Take what a number of tasks needs of their team's limit; how many places that gives."""
+        """Reserve the team's quota for tasks of a job, and return the number of places to pack."""
         left = self.quota_left[job.team]
         places = task_count
         for n in range(2):
@@ -84,7 +84,7 @@
             if places < job.spec.task_count:
                 return 0
         else:
-            # Short tasks share a place one after the other.
+            # Short tasks use the same place one after the other.
             run_s = self.ledger.run_s(job)
             places = min(places, math.ceil(places * run_s / max(self.span_s, 1.0)))
         for n in range(2):
@@ -94,9 +94,10 @@
     def _unprovisionable_kinds(
         self, job: Job, provisionable: list[MachineKind]
     ) -> list[MachineKind]:
-        """Kinds in the pool that may not be provisioned now, the cheapest first.
+        """Return kinds in the pool that may not be provisioned now, cheapest first.
 
-        They are filled after those that may, so that it is the expensive machines that fall empty.
+        They are filled after the kinds that may be provisioned, so that the most expensive machines
+        become idle.
         """
         others = [kind for kind in allowed_kinds(job, self.pool.slots) if kind not in provisionable]
         return sorted(others, key=lambda kind: (self._price_or_inf(kind), kind))
@@ -108,8 +109,10 @@
     def _best_zone(
         self, job: Job, usable: list[MachineKind], provisionable: list[MachineKind], places: int
     ) -> int | None:
-        """The zone in which a gang that must stay in one lacks the fewest machines; None if no
-        zone can have them all."""
+        """Return the zone with the most existing places for a gang that must stay in one zone.
+
+        None if no zone has enough places or may provision more machines.
+        """
         existing_places: dict[int, int] = defaultdict(int)
         for kind in usable:
             existing_places[kind.zone] += self.pool.places(kind, job.request)
@@ -128,7 +131,7 @@
     ) -> None:
         """Pack a job that is spread over zones.
 
-        The cheapest kinds alone would all be in one zone, where only half of the job may be.
+        The cheapest kinds may all be in one zone, where only half of the job may run.
         """
         tasks_by_zone = zone_counts(job)
         for zone in dict.fromkeys(kind.zone for kind in usable):
@@ -148,7 +151,7 @@
         usable: list[MachineKind],
         provisionable: list[MachineKind],
     ) -> int:
-        """Fill slots that there are, and add new ones for the rest; how many found no place."""
+        """Fill existing slots, then add new ones; return how many tasks are left over."""
         for kind in usable:
             if places:
                 places = self.pool.fill(kind, job.request, places)
@@ -156,14 +159,14 @@
             zone_limit = max_provision(self.ledger, kind.zone)
             places = self._add_slots(job, places, kind, zone_limit)
             if not places or zone_limit == max_provision_per_plan(self.ledger):
-                break  # the next kind is for what a recovering zone may not provision yet
+                break  # only the limit of a recovering zone makes the next kind necessary
         return places
 
     def _add_slots(self, job: Job, places: int, kind: MachineKind, max_slots: int) -> int:
-        """Add slots of a kind for a job's tasks; how many tasks are left.
+        """Add slots of a kind for a job's tasks, and return how many tasks are left over.
 
-        There are at most ``max_slots`` of a kind: a queue of thousands of tasks must not make
-        thousands of slots in each plan, when the leader has the least time for it.
+        There are at most ``max_slots`` new slots of a kind, so that a queue of thousands of tasks
+        does not create thousands of slots per plan when the leader is busiest.
         """
         capacity = self.ledger.machine_registry.capacity(kind.machine_type)
         count = sum([slot.kind == kind for slot in self.new_slots])
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale-in: which machines are not needed, and which should be terminated."""
+"""Scale-in: which machines to cordon as surplus, and which to terminate."""
 
 from __future__ import annotations
 
@@ -13,35 +13,36 @@
 
 log = logging.getLogger(__name__)
 
-# A deleted machine costs at least this long (protocol), so nothing shorter is worth a provision.
+# By the protocol, a machine is charged for at least this time, so less work justifies no machine.
 MIN_CHARGE_S = 60.0
-# A machine that boots this many times longer than the cloud names, and this margin, never comes up.
+# A boot has failed after this multiple of the boot time that the cloud names, plus this margin.
 MAX_BOOT_FACTOR, BOOT_MARGIN_S = 2.5, 10.0
-# Up to this part of the machine registry, silence after a failover is the machines' own fault.
+# If at most this share of the registered machines is lost or silent, the machines themselves are
+# assumed to have failed; if more, a network partition is likelier.
 MAX_SILENT_SHARE = 0.15
-# Reasons for a termination that no longer hold once a heartbeat of the machine arrives. They are
-# published in logs.
+# Reasons for a termination that no longer hold once a heartbeat of the machine arrives. All reasons
+# appear in logs.
 LOST_REASON, SILENT_REASON = "lost", "silent after a takeover"
 SILENCE_REASONS = frozenset({LOST_REASON, SILENT_REASON})
-# Other reasons, published as well.
+# Other reasons for a termination.
 STALE_HEARTBEATS_REASON, UNRESPONSIVE_REASON = "only old reports", "unresponsive"
 NEVER_UP_REASON, RECLAIMED_REASON, SURPLUS_REASON = "never came up", "taken soon", "not needed"
 NO_TERMINATION = ""  # the machine is not to be terminated
-# A machine that was not needed for this part of a boot is worth less than its rent: the second
-# where all work within guarantees begins in time, so that less spare room would do as well.
+# A machine is surplus once it was not needed for this multiple of its boot time. The shorter time
+# applies where all guaranteed work starts in time, since less spare capacity would do there.
 SURPLUS_BOOTS, SURPLUS_BOOTS_SPARE = 1.0, 0.3
 
 
 def cordon_surplus(ledger: Ledger, needed: set[str], now: float) -> None:
-    """Cordon machines without which all that runs and waits would have fitted for a while.
+    """Cordon machines that neither running tasks nor the queue have needed for a while.
 
-    The power of two choices spreads tasks over all machines, so that none is ever idle for long
-    and a fleet that was provisioned for a peak would stay. So the running tasks are packed, in the
-    plan alone, on the cheapest machines; a machine that this leaves empty takes no more tasks and
-    is terminated once it is idle.
+    The power of two choices spreads tasks over all machines, so that none is ever idle for long and
+    a fleet that was provisioned for a peak would never shrink. The running tasks are therefore
+    packed onto the cheapest machines, without moving them. A machine that stays empty in this
+    packing is cordoned, and is terminated once it is idle.
     """
     slots = _pack_running_tasks(ledger)
-    # Spare room is for jobs to come.
+    # Spare capacity is kept for future jobs, so none is needed once jobs have stopped arriving.
     spare = 1.0 if ledger.arrivals.stopped(now) else ledger.start_attainment.spare()
     surplus_boots = SURPLUS_BOOTS - spare * (SURPLUS_BOOTS - SURPLUS_BOOTS_SPARE)
     for slot in slots:
@@ -60,7 +61,7 @@
 
 
 def _pack_running_tasks(ledger: Ledger) -> list[Slot]:
-    """The machines that stay, the cheapest first, filled with all running tasks in this order."""
+    """Return slots for all usable machines, cheapest first, filled with the running tasks."""
     machines = [
         m
         for m in ledger.machines.values()
@@ -89,8 +90,10 @@
 
 
 def _running_jobs(ledger: Ledger) -> list[tuple[Job, int]]:
-    """Jobs and how many of their tasks run, in the order of packing: the largest tasks first, and
-    of these the ones that may run on the fewest kinds of machines."""
+    """Return jobs with their numbers of running tasks, in the order in which they are packed.
+
+    The largest tasks come first, and among these the jobs that may not run on spot instances.
+    """
     running = []
     for job in ledger.ready_jobs.values():
         count = sum(1 for binding in job.bindings.values() if binding.stop_grace_s is None)
@@ -104,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TerminationDecision:
-    """A machine that is to be terminated, why, and on what evidence."""
+    """A machine to terminate, the reason, and the evidence for it."""
 
     machine: Machine
     reason: str
@@ -113,14 +116,14 @@
 
     @classmethod
     def of(cls, machine: Machine, reason: str) -> TerminationDecision:
-        """A decision made now."""
+        """Return a decision based on the machine's current state."""
         return cls(machine, reason, machine.phase, machine.last_heartbeat_at)
 
     def holds(self) -> bool:
-        """Whether it would be made again now.
+        """Return whether the evidence for the decision still stands.
 
-        A call waits until the cloud's rate limit allows it, and meanwhile a cut may heal and a
-        machine that was silent may be back.
+        A call waits until the cloud's rate limit allows it. Meanwhile a network partition may heal,
+        and heartbeats of a silent machine may arrive again.
         """
         machine = self.machine
         if machine.phase != self.phase:
@@ -132,27 +135,28 @@
 
 
 class FleetCounts:
-    """What a plan counts once over the whole fleet, and not for each machine anew.
+    """Counts over the whole fleet that a plan computes once.
 
-    Counted for each, a failover with half of 1,000 machines silent took a million steps a plan.
+    Computing them for each machine took a million steps per plan after a failover with half of
+    1,000 machines silent.
     """
 
     def __init__(self, ledger: Ledger, now: float) -> None:
         registered = sum(1 for m in ledger.machines.values() if m.registered)
         tolerated = max(1.0, MAX_SILENT_SHARE * registered)
-        # Whether so many machines are lost at once that a cut is likelier than their deaths. They
-        # are up behind the cut, with no tasks left; waiting for them for as long as a boot takes
-        # is cheaper than to terminate them and boot as many.
+        # Whether so many machines are lost at once that a network partition is likelier than
+        # machine failures. Behind it they are up without tasks, and waiting for one boot time is
+        # cheaper than terminating them and booting as many new ones.
         self.mass_loss = sum(1 for m in ledger.machines.values() if m.phase == LOST) > tolerated
-        # Silent machines to terminate rather than wait for their leases to end. After a failover
-        # one dead or hanging machine holds up every start for a whole lease. The cloud's
-        # confirmation that it is gone ends that at the price of one boot. Many silent machines are
-        # a cut, not broken machines, and are waited for.
+        # Silent machines to terminate without waiting for their leases to expire. After a failover,
+        # one dead or hanging machine delays every start for a whole lease, and the cloud's
+        # confirmation of its termination ends that at the cost of one boot. If many machines are
+        # silent, the cause is a partition rather than the machines, and they are waited for.
         self.silent_to_terminate: set[str] = set()
         if not ledger.ready and ledger.heartbeats_expected(now):
             silent = ledger.failover.unreconciled_machines()
             if ledger.shared_silence is not None:
-                # Seen on zone-behind-cut: 62 healthy machines behind the cut of their zone.
+                # Machines behind a partition of their zone are likely healthy.
                 silent = [m for m in silent if not ledger.shared_silence.behind_cut(m)]
             if len(silent) <= tolerated:
                 self.silent_to_terminate = {machine.name for machine in silent}
@@ -165,7 +169,7 @@
     counts: FleetCounts,
     now: float,
 ) -> str:
-    """Why the machine should be terminated now; ``NO_TERMINATION`` when it should not."""
+    """Return why the machine should be terminated now, or ``NO_TERMINATION``."""
     if machine.phase == LOST:
         return _lost_reason(ledger, machine, counts, now)
     if (
@@ -173,8 +177,9 @@
         and machine.reconciled
         and (machine.acknowledged_at - machine.last_heartbeat_at > ledger.limits.workers.lease_s)
     ):
-        # Only copies of old heartbeats arrive, or the worker's sequence began anew: none of them is
-        # news, and each answer renews its lease. Only the cloud's confirmation ends that.
+        # Only duplicates of old heartbeats arrive, or the worker's sequence numbers restarted. They
+        # carry no new state, but each answer renews the lease, so the machine is never declared
+        # lost. Only the cloud's confirmation of a termination ends that.
         return STALE_HEARTBEATS_REASON
     if machine.name in counts.silent_to_terminate:
         return SILENT_REASON
@@ -188,7 +193,10 @@
 
 
 def _lost_reason(ledger: Ledger, machine: Machine, counts: FleetCounts, now: float) -> str:
-    """For a lost machine: at once, or after the time of a boot where many were lost together."""
+    """Return the reason for a lost machine.
+
+    It is terminated at once, or after a wait if it may be healthy behind a partition.
+    """
     if ledger.shared_silence is not None:
         return (
             NO_TERMINATION
@@ -202,11 +210,11 @@
 
 
 def _max_wait_s(ledger: Ledger, machine: Machine) -> float:
-    """For how many seconds a machine that may be healthy is waited for.
+    """Return for how many seconds to wait for a silent machine that may be healthy.
 
-    A second of waiting costs a second of its rent, and another machine in its place the rent of a
-    boot. Waiting for the time of one boot, and then terminating it, costs at most twice the least
-    that is possible with knowledge of the time of its return. The policy may set another number.
+    Each second of waiting costs a second of rent, and a replacement costs the rent of one boot
+    time. Waiting for one boot time before the termination costs at most twice the optimum with
+    knowledge of when the machine returns. The policy may set another number of boot times.
     """
     machine_type = ledger.machine_types.get(machine.machine_type)
     if ledger.shared_silence is None or machine_type is None:
@@ -215,7 +223,10 @@
 
 
 def _should_wait_for(ledger: Ledger, machine: Machine, since: float, now: float) -> bool:
-    """Whether a silent machine may be healthy, by its group or by other directions of its link."""
+    """Return whether to wait for a silent machine that may be healthy.
+
+    Its group may be behind a partition, or its link may still work in another direction.
+    """
     shared_silence, lease_s = ledger.shared_silence, ledger.limits.workers.lease_s
     if shared_silence is None or now - since >= _max_wait_s(ledger, machine):
         return False
@@ -228,11 +239,11 @@
 
 
 def _booting_reason(ledger: Ledger, machine: Machine, now: float) -> str:
-    """For a machine that boots: whether it is taken never to come up."""
+    """Return the reason for a booting machine whose boot has failed."""
     machine_type = ledger.machine_types.get(machine.machine_type)
     boot_s = machine_type.boot_s if machine_type else MIN_CHARGE_S
     if now - ledger.term_started_at < ledger.limits.workers.lease_s:
-        return NO_TERMINATION  # it may be up and not have found this leader yet
+        return NO_TERMINATION  # it may be up without having found the new leader yet
     booting_s = now - machine.provisioned_at
     return (
         NEVER_UP_REASON if booting_s > MAX_BOOT_FACTOR * boot_s + BOOT_MARGIN_S else NO_TERMINATION
@@ -240,7 +251,7 @@
 
 
 def _idle_reason(ledger: Ledger, machine: Machine, needed: set[str], now: float) -> str:
-    """For a machine on which nothing runs: whether it is of no use any more."""
+    """Return the reason for a machine on which nothing runs, if it is no longer useful."""
     since = machine.unresponsive_since
     if since is not None and now - since > max(
         ledger.limits.workers.lease_s, _max_wait_s(ledger, machine)
