--- a/src/salthead/autoscaling/queue_packing.py
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -20,7 +20,7 @@
 
 
 class QueuePacking:
-    """Packs jobs of the queue one by one onto slots of the fleet, and adds new slots."""
+    """A packing of queued jobs, one by one, onto slots of the fleet and onto new slots."""
 
     def __init__(
         self,
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -17,8 +17,8 @@
 MIN_CHARGE_S = 60.0
 # A boot has failed after this multiple of the boot time that the cloud names, plus this margin.
 MAX_BOOT_FACTOR, BOOT_MARGIN_S = 2.5, 10.0
-# If at most this share of the registered machines is lost or silent, the machines themselves are
-# assumed to have failed; if more, a network partition is likelier.
+# If at most this share of the registered machines is lost, or silent after a failover, the machines
+# themselves are assumed to have failed; if more, a network partition is likelier.
 MAX_SILENT_SHARE = 0.15
 # Reasons for a termination that no longer hold once a heartbeat of the machine arrives. All reasons
 # appear in logs.
@@ -92,7 +92,8 @@
 def _running_jobs(ledger: Ledger) -> list[tuple[Job, int]]:
     """Return jobs with their numbers of running tasks, in the order in which they are packed.
 
-    The largest tasks come first, and among these the jobs that may not run on spot instances.
+    The largest tasks come first, and among these the jobs that may not run on spot instances, since
+    fewer kinds of machines are open to them.
     """
     running = []
     for job in ledger.ready_jobs.values():
--- a/src/salthead/scheduling/eligibility.py
+++ b/src/salthead/scheduling/eligibility.py
@@ -106,9 +106,9 @@
 
 
 def could_start_without_reservations(ledger: Ledger, job: Job, now: float) -> bool:
-    """Return whether the job could start without others' reservations and its own exclusions.
+    """Return whether the job could start if nothing were reserved for other jobs.
 
-    The exclusions are the machines on which its tasks have failed.
+    Machines that the job avoids after errors, or that a slow start withholds, count as usable.
     """
     unplaced = job.spec.task_count if job.gang else 1
     if quota_left(ledger, job, heed=False) < unplaced:
--- a/src/salthead/scheduling/preemption_plan.py
+++ b/src/salthead/scheduling/preemption_plan.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class PreemptionPlan:
-    """The victims to stop on each machine, and how many tasks can be placed then."""
+    """The victims to stop on each machine, and the number of tasks placed in their stead."""
 
     lost_cpu_s: float = 0.0
     placed: int = 0
