--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -1,4 +1,4 @@
-"""Room as a plan of the fleet sees it: what is free now, and what will be soon."""
+"""The supply side of a fleet plan: capacity that is free now or will be soon."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from salthead.cluster.model import BOOTING, UP, Machine
 from salthead.cluster.resources import EPSILON, MachineKind, Resources
 
-# A task that should end within this part of the shortest boot has its room counted as free.
+# Capacity of a task that should end within this share of the shortest boot time counts as free.
 SOON_FREE_BOOTS = 0.7
 
 
 class Slot:
-    """A machine in the plan: one that there is, that boots, or that would be provisioned."""
+    """A machine in the plan: an existing or booting one, or one that would be provisioned."""
 
-    __slots__ = ("kind", "room", "machine", "taken")
+    __slots__ = ("kind", "room", "machine", "used")
 
     def __init__(
         self, kind: MachineKind, room: list[float], machine: Machine | None = None
@@ -25,10 +25,10 @@
         self.kind = kind
         self.room = room
         self.machine = machine
-        self.taken = False
+        self.used = False
 
     def fill(self, request: Resources, task_count: int) -> int:
-        """Take as many of the tasks as fit; how many that were."""
+        """Add as many of the tasks as fit, and return how many."""
         room = self.room
         count = task_count
         for n in (0, 1, 2):  # the innermost loop of a plan
@@ -38,14 +38,14 @@
                     count = places
         if count <= 0:
             return 0
-        self.taken = True
+        self.used = True
         for n in (0, 1, 2):
             room[n] -= count * request[n]
         return count
 
 
 class SlotPool:
-    """The plan's slots by kind. Slots that no task in the queue fits into are dropped."""
+    """The plan's slots by kind, without those that no task in the queue fits into any more."""
 
     def __init__(self, slots: list[Slot], min_cpus: float) -> None:
         self.min_cpus = min_cpus  # of the smallest task in the queue
@@ -54,11 +54,11 @@
             self.add(slot)
 
     def add(self, slot: Slot) -> None:
-        """Add a machine's room."""
+        """Add a slot."""
         self.slots.setdefault(slot.kind, []).append(slot)
 
     def fill(self, kind: MachineKind, request: Resources, task_count: int) -> int:
-        """Put tasks into the slots of one kind, in their order; how many found no room."""
+        """Fill the slots of one kind in order, and return how many tasks are left over."""
         slots = self.slots.get(kind)
         if slots is None:
             return task_count
@@ -74,7 +74,7 @@
         return unplaced
 
     def places(self, kind: MachineKind, request: Resources) -> int:
-        """How many tasks fit into the slots of a kind."""
+        """Return how many tasks fit into the slots of a kind."""
         return sum(
             min(
                 (int((r + EPSILON) // n) for r, n in zip(slot.room, request, strict=True) if n > 0),
@@ -84,49 +84,49 @@
         )
 
 
-def price(ledger: Ledger, kind: MachineKind) -> float:
-    """What a machine of a kind costs an hour."""
+def hourly_price(ledger: Ledger, kind: MachineKind) -> float:
+    """Return the price of a machine of a kind per hour."""
     machine_type = ledger.machine_types[kind.machine_type]
     if kind.spot and machine_type.spot_price is not None:
         return machine_type.spot_price
     return machine_type.rate
 
 
-def per_machine(capacity: Resources, request: Resources) -> int:
-    """How many tasks fit on an empty machine."""
+def tasks_per_machine(capacity: Resources, request: Resources) -> int:
+    """Return how many tasks fit on an empty machine."""
     return int(min((c + EPSILON) // n for c, n in zip(capacity, request, strict=True) if n > 0))
 
 
 def min_boot_s(ledger: Ledger) -> float:
-    """The shortest boot of any machine type."""
+    """Return the shortest boot time of any machine type, in seconds."""
     return min((machine_type.boot_s for machine_type in ledger.machine_types.values()), default=0.0)
 
 
 @dataclass
 class Supply:
-    """Room that is free, or will be by the time that a new machine could be up."""
+    """Capacity that is free, or will be before a new machine could have booted."""
 
     slots: list[Slot] = field(default_factory=list)
     cpus: float = 0.0
-    wait_cpu_s: float = 0.0  # CPU-seconds until all of it is free
+    wait_cpu_s: float = 0.0  # sum over its CPUs of the seconds until they are free
 
     def mean_wait_s(self) -> float:
-        """How long, on the average, until a CPU of it is free."""
+        """Return the mean time until one of its CPUs is free, in seconds."""
         return self.wait_cpu_s / self.cpus if self.cpus > 0 else 0.0
 
 
 def current_supply(ledger: Ledger, now: float, provisioning: dict[MachineKind, int]) -> Supply:
-    """The room on machines that are up, that boot, or that are being provisioned."""
+    """Return the capacity of machines that are up, booting or being provisioned."""
     supply = Supply()
     soon_s = SOON_FREE_BOOTS * min_boot_s(ledger)
-    runs = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
+    run_s_by_job = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
     for machine in ledger.machines.values():
-        if not _usable(ledger, machine, now):
+        if not _is_usable(ledger, machine, now):
             continue
         if machine.phase == BOOTING:
             supply.slots.append(Slot(machine.kind, list(machine.capacity), machine))
         elif machine.phase == UP:
-            room = _room_soon(machine, runs, soon_s, supply, now)
+            room = _add_expected_room(machine, run_s_by_job, soon_s, supply, now)
             supply.slots.append(Slot(machine.kind, room, machine))
     for kind, count in provisioning.items():
         supply.slots += [
@@ -136,22 +136,23 @@
     return supply
 
 
-def _usable(ledger: Ledger, machine: Machine, now: float) -> bool:
-    """Whether any task may start on a machine in the time that a plan looks at."""
+def _is_usable(ledger: Ledger, machine: Machine, now: float) -> bool:
+    """Return whether tasks may start on a machine within the plan's horizon."""
     if machine.quarantine_reason or machine.terminating or machine.reclaim_at is not None:
         return False
     if machine.unresponsive_since is not None:
-        return False  # so that another is provisioned in its place
-    # Nothing can be started on a machine behind a cut, whose lease another controller renews.
+        return False  # so that a replacement is provisioned
+    # No task can start on a machine behind a partition, even if another controller renews its
+    # lease.
     return (
         not machine.reconciled or now - machine.last_heartbeat_at <= ledger.limits.workers.lease_s
     )
 
 
-def _room_soon(
-    machine: Machine, runs: dict[str, float], soon_s: float, supply: Supply, now: float
+def _add_expected_room(
+    machine: Machine, run_s_by_job: dict[str, float], soon_s: float, supply: Supply, now: float
 ) -> list[float]:
-    """What is free on a machine, and what will be soon; counted in the supply."""
+    """Return the capacity of a machine that is or will soon be free, and add it to the totals."""
     room = machine.free()
     supply.cpus += room[0]
     for binding in machine.bindings.values():
@@ -160,7 +161,7 @@
         if binding.stop_grace_s is not None:
             remaining_s = 0.0
         elif job is not None and binding.started > 0.0:
-            remaining_s = left_s(runs.get(job.job_id, math.inf), now - binding.started)
+            remaining_s = left_s(run_s_by_job.get(job.job_id, math.inf), now - binding.started)
         if remaining_s <= soon_s:
             supply.cpus += binding.request.cpus
             supply.wait_cpu_s += remaining_s * binding.request.cpus
