--- a/run.py
+++ b/run.py
@@ -1,17 +1,17 @@
-"""Start one controller: what deploy/service.toml runs. Everything else is in src/salthead."""
+"""Start one controller: the entry point that deploy/service.toml names."""
 
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent
 SOURCES = ROOT / "src"
-# The build's copy of the sources with their bytecode: a controller has no disk to keep any on, and
-# compiling them took a fifth of each start.
+# The build's copy of the sources with their bytecode. A controller has no disk to cache bytecode
+# on, and compiling the sources took a fifth of the time of each start.
 BUILT = ROOT / "target" / "app"
 
 
 def package_folder() -> Path:
-    """Where to import salthead from: the build's copy, unless a source is newer than it."""
+    """Return the folder to import salthead from: the build's copy, unless a source is newer."""
     if not BUILT.is_dir():
         return SOURCES
     built_at = BUILT.stat().st_mtime
@@ -20,11 +20,11 @@
 
 
 def main() -> None:
-    """Run the controller with the libraries and sources of this checkout."""
+    """Run a controller with the libraries and sources of this checkout."""
     sys.path[:0] = [str(ROOT / "target" / "deps"), str(package_folder())]
-    from salthead.serve import main as serve
+    from salthead.serve import main as run_service
 
-    serve()
+    run_service()
 
 
 if __name__ == "__main__":
--- a/src/salthead/__init__.py
+++ b/src/salthead/__init__.py
@@ -1,3 +1,3 @@
-"""salthead: a cluster scheduler in which one leader places every task."""
+"""salthead, a cluster scheduler in which a single leader places every task."""
 
 __version__ = "0.1.0"
--- a/src/salthead/errors.py
+++ b/src/salthead/errors.py
@@ -1,13 +1,13 @@
-"""The base of all errors, and those that decide how a user's request is answered."""
+"""The base class of all errors, and the errors that select the answer to a user's request."""
 
 
 class SaltheadError(Exception):
-    """Base of the errors that salthead raises itself."""
+    """Base class of the errors that salthead raises."""
 
 
 class UnavailableError(SaltheadError):
-    """The request can't be decided now, and may be in a moment: the client should retry."""
+    """The request can't be decided at present; the client should retry."""
 
 
 class InvalidJobError(SaltheadError):
-    """The job can never run, or depends on one that was never accepted."""
+    """The job can never run, or depends on a job that was never accepted."""
--- a/src/salthead/metrics.py
+++ b/src/salthead/metrics.py
@@ -1,5 +1,8 @@
-"""The metrics that operators scrape. Their names, labels and help texts are an interface: variables
-have the terms of the code."""
+"""Prometheus metrics.
+
+Their names, labels and help texts are an interface that operators rely on, so some of them differ
+from the names of the variables.
+"""
 
 from __future__ import annotations
 
@@ -93,7 +96,7 @@
 
 
 def count_answer(path: str, status: int, seconds: float) -> None:
-    """Count an answer and its latency; the labelled series are looked up once."""
+    """Count an answer and observe its latency in seconds; labelled series are cached."""
     series = _ANSWER_SERIES.get((path, status))
     if series is None:
         series = ANSWERS.labels(path, str(status)), REQUEST_LATENCY.labels(path)
@@ -104,17 +107,17 @@
 
 
 def clear_zones() -> None:
-    """Remove the series on zones: a controller that no longer leads knows nothing of them."""
+    """Remove the zone series, which only the leader can keep up to date."""
     for gauge in (ZONE_STATES, ZONE_OPEN_MACHINES, SILENT_NETWORK_MACHINES):
         gauge.clear()
     DISPLACED_JOBS.set(0)
 
 
 def clear_links() -> None:
-    """Remove the series on links: a controller that no longer leads confirms no worker's links."""
+    """Remove the link series, which only the leader can keep up to date."""
     LINK_STATES.clear()
 
 
 def exposition() -> bytes:
-    """All metrics in the Prometheus text format."""
+    """Return all metrics in the Prometheus text format."""
     return generate_latest(REGISTRY)
--- a/src/salthead/policy.py
+++ b/src/salthead/policy.py
@@ -1,7 +1,8 @@
-"""The operators' policy file: which further behaviour is enabled, and its parameters.
+"""The operators' policy file, which enables optional behaviour and sets its parameters.
 
-Unlike the platform's settings it is the operators' own, so an unknown entry is a mistake and is
-refused. No parameter has a default: a section that is present names all of them.
+The settings file comes from the platform and may gain entries, but the policy file is written by
+operators: an unknown entry in it is a mistake and is refused. Parameters have no defaults, so a
+section that is present must set all of them.
 """
 
 from __future__ import annotations
@@ -20,39 +21,42 @@
 
 
 class ZonePolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """When a zone counts as lost, and how fast it gets new work when it has recovered."""
+    """Thresholds for the loss and recovery of a zone, and the slow start after it."""
 
     enabled: bool
-    min_machines: int  # fewer silent machines than this never make a zone suspected
-    suspect_share: float  # share of machines with overdue heartbeats: the zone is suspected
-    lost_share: float  # share of machines whose leases have ended: the zone is lost
-    return_share: float  # share of machines with heartbeats again: the zone is recovering
-    return_after_s: float  # for which that has to hold, doubled for each earlier loss
+    min_machines: int  # minimum number of silent machines for a zone to be suspected or lost
+    suspect_share: float  # share of machines with overdue heartbeats that makes a zone suspected
+    lost_share: float  # share of machines with expired leases that makes a zone lost
+    return_share: float  # share of machines with heartbeats again that starts the recovery
+    return_after_s: float  # time for which return_share must hold, doubled per earlier loss
     max_return_after_s: float = msgspec.field(name="return_after_most_s")
-    penalty_half_life_s: float  # after which an earlier loss counts half
-    steps: list[float]  # shares of the zone's machines that may get new work, one after the other
-    step_s: float  # minimum time of one step
-    max_hold_s: float = msgspec.field(name="hold_most_s")  # for which slow machines delay a step
-    slow_factor: float  # a start this many times slower than the zone's usual ones is slow
-    # Time after which machines are provisioned in a lost zone, to see whether it has recovered.
+    penalty_half_life_s: float  # half-life of the penalty for earlier losses
+    steps: list[float]  # share of the zone's machines that may get new work, per slow-start step
+    step_s: float  # minimum duration of a step
+    max_hold_s: float = msgspec.field(name="hold_most_s")  # maximum delay of a step by slow starts
+    slow_factor: float  # ratio to the usual start time above which a start is slow
+    # Time after which machines are provisioned in a lost zone to probe whether it has recovered.
     probe_after_s: float
-    probe_machines: int  # of each kind
-    # Time for which displaced work may change the order of the queue.
+    probe_machines: int  # per kind of machine
+    # Maximum time for which jobs displaced by the loss may change the order of the queue.
     max_evacuation_s: float = msgspec.field(name="evacuation_most_s")
 
 
 class PartialCutPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a leader does while links between it and some machines fail, one way or both."""
+    """Thresholds for partial network cuts: links that fail in one or both directions."""
 
     enabled: bool
-    min_machines: int  # fewer silent machines than this are taken for independent failures
-    shared_share: float  # of a group's machines: more do not fail independently within one lease
-    wait_boots: float  # boot times of its type for which a machine behind a cut is waited for
-    handover_factor: float  # a peer that hears this many times as many workers should lead
+    min_machines: int  # fewer silent machines than this are treated as independent failures
+    # Silent share of a group above which the cause is shared: it is the most that fails
+    # independently within one lease.
+    shared_share: float
+    wait_boots: float  # wait for a machine behind a cut, as a multiple of its type's boot time
+    # A peer should lead if it hears more than this many times as many workers as the leader.
+    handover_factor: float
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file. A section that is absent enables nothing."""
+    """Contents of the policy file; an absent section leaves its behaviour disabled."""
 
     zone_recovery: ZonePolicy | None = None
     partial_cuts: PartialCutPolicy | None = None
@@ -63,9 +67,9 @@
 
 Rule = tuple[Callable[[float], bool], str]
 
-# Rules for the entries by the names that the file gives them.
-SHARE: Rule = (lambda value: 0 < value <= 1, "must be above 0 and at most 1")
-POSITIVE: Rule = (lambda value: value > 0, "must be above 0")
+# Validation rules for the entries, by their names in the file.
+SHARE: Rule = (lambda value: 0 < value <= 1, "must be greater than 0 and at most 1")
+POSITIVE: Rule = (lambda value: value > 0, "must be greater than 0")
 NOT_NEGATIVE: Rule = (lambda value: value >= 0, "must not be negative")
 FACTOR: Rule = (lambda value: value >= 1, "must be at least 1")
 
@@ -95,38 +99,38 @@
 
 def _check_numbers(section: str, parameters: msgspec.Struct, rules: dict[str, Rule]) -> None:
     entries = msgspec.to_builtins(parameters)
-    for name, (holds, text) in rules.items():
+    for name, (is_valid, requirement) in rules.items():
         value = entries[name]
         if not math.isfinite(value):
-            raise ConfigFileError(f"{section}.{name}: must be a number")
-        if not holds(value):
-            raise ConfigFileError(f"{section}.{name}: {text}")
+            raise ConfigFileError(f"{section}.{name}: must be a finite number")
+        if not is_valid(value):
+            raise ConfigFileError(f"{section}.{name}: {requirement}")
 
 
 def _check_zone_recovery(policy: ZonePolicy) -> None:
     _check_numbers("zone_recovery", policy, ZONE_RULES)
-    for before, share in zip([0.0, *policy.steps], policy.steps, strict=False):
-        if not before < share < 1:
-            raise ConfigFileError("zone_recovery.steps: must rise, between 0 and 1")
+    for previous, share in zip([0.0, *policy.steps], policy.steps, strict=False):
+        if not previous < share < 1:
+            raise ConfigFileError("zone_recovery.steps: must increase strictly between 0 and 1")
 
 
 def check(policy: Policy) -> None:
-    """Check what types alone do not say; ConfigFileError names the entry."""
+    """Validate what the types do not express; raise ConfigFileError that names the entry."""
     if policy.zone_recovery is not None:
         _check_zone_recovery(policy.zone_recovery)
     if policy.partial_cuts is not None:
         _check_numbers("partial_cuts", policy.partial_cuts, PARTIAL_CUT_RULES)
     if policy.networks:
-        # Here, so that the library is loaded only where networks are declared.
+        # Imported here so that netaddr is loaded only if networks are declared.
         from salthead.networks.directory import NetworkDirectory
 
         NetworkDirectory(policy.networks)
 
 
 def load(path: str | Path) -> Policy:
-    """Read and check a policy file; ConfigFileError names the file and the entry.
+    """Read and validate a policy file; raise ConfigFileError that names file and entry.
 
-    A file that is not there enables nothing, so that one command line serves with and without it.
+    A missing file enables nothing, so that the same command line works with and without it.
     """
     if not Path(path).exists():
         return NO_POLICY
--- a/src/salthead/serve.py
+++ b/src/salthead/serve.py
@@ -1,7 +1,7 @@
-"""One controller as a process: its logging, its settings, its servers.
+"""The controller process: logging, settings, event loop and listening sockets.
 
-The platform starts it by this module, without the command line of users and operators, whose
-libraries take as long to import as all that a controller needs.
+The platform starts a controller through this module and not through the command line for users
+and operators: the libraries of that one take as long to import as all that a controller needs.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 
 log = logging.getLogger(__name__)
 
-# Thresholds of the garbage collector's three generations.
+# Collection thresholds of the garbage collector's three generations.
 GC_THRESHOLDS = 10_000, 20, 20
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 class StartupError(SaltheadError):
-    """A controller can't start; says why in one line."""
+    """A controller can't start; the message is one line."""
 
 
 def set_up_logging() -> None:
-    """Log to standard error at the level that LOG_LEVEL names."""
+    """Log to standard error at the level set by LOG_LEVEL; raise StartupError if it is unknown."""
     level = os.environ.get("LOG_LEVEL", "info").lower()
-    if level not in LEVELS:
-        raise StartupError(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}")
+    if level not in LOG_LEVELS:
+        raise StartupError(f"LOG_LEVEL: {level!r} is not one of {', '.join(LOG_LEVELS)}")
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS[level],
+        level=LOG_LEVELS[level],
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
     logging.getLogger("asyncio").setLevel(logging.ERROR)
 
 
 def run_controller(config: Path, policy_file: Path | None = None) -> None:
-    """Run a controller until the process is killed; StartupError if it can't start."""
+    """Run a controller until the process is killed; raise StartupError if it can't start."""
     set_up_logging()
     try:
         settings = load(config)
@@ -58,8 +58,8 @@
     from salthead.controller.controller import Controller
     from salthead.controller.server import listen_on_all
 
-    # Objects that exist now live as long as the process; and a ledger holds many that live long,
-    # none of them in cycles, so that collecting as often as usual walks over them for nothing.
+    # Objects that exist now live as long as the process. The ledger adds many long-lived objects
+    # without reference cycles, which collections at the default thresholds would scan in vain.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
@@ -68,16 +68,16 @@
         try:
             listen_on_all(controller)
         except OSError as error:
-            raise StartupError(f"can't listen: {error}") from None
+            raise StartupError(f"can't open the listening sockets: {error}") from None
         event(log, "controller_started", member=settings.member)
         await controller.run()
 
-    # Tornado runs on any event loop; this one saves an eighth of a leader's processor time.
+    # Tornado runs on any event loop, and uvloop saves an eighth of a leader's processor time.
     uvloop.run(run_until_killed())
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """``run.py --config FILE``, as the platform calls it; ``salthead serve`` does the same."""
+    """Run ``run.py --config FILE``, the platform's entry point; like ``salthead serve``."""
     parser = argparse.ArgumentParser(
         prog="run.py", description="Run one salthead controller until it is killed."
     )
@@ -86,13 +86,13 @@
         required=True,
         type=Path,
         metavar="FILE",
-        help="the settings file (TOML) that the platform hands over",
+        help="settings file (TOML) that the platform provides",
     )
     parser.add_argument(
         "--policy",
         type=Path,
         metavar="FILE",
-        help="the operators' policy file (TOML); without it, or without the file, nothing is added",
+        help="policy file (TOML) of the operators; optional behaviour is off if it is missing",
     )
     options = parser.parse_args(arguments)
     try:
--- a/src/salthead/settings.py
+++ b/src/salthead/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform hands over, as typed structures."""
+"""Typed structures of the settings file that the platform provides, and their validation."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Seed(msgspec.Struct):
-    """Another controller."""
+    """Identity and peer address of another controller."""
 
     member: str
     endpoint: str
@@ -19,14 +19,14 @@
 
 
 class Endpoints(msgspec.Struct):
-    """Where the cloud and the state service are."""
+    """Addresses of the cloud API and the state service, each as HOST:PORT."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct):
-    """A team's guaranteed share of the cluster, and the limit of its quota."""
+    """A team's guaranteed capacity and the limit of its quota."""
 
     name: str
     guaranteed_cpus: float = msgspec.field(name="cpus", default=0.0)
@@ -36,7 +36,7 @@
 
 
 class Objective(msgspec.Struct):
-    """A service-level objective for a class of jobs: the share of them that has to attain it."""
+    """A service-level objective of a job class, and the share of jobs that must meet it."""
 
     kind: str
     job_class: str = msgspec.field(name="class", default="")
@@ -47,7 +47,7 @@
 
 
 class WorkerTimings(msgspec.Struct):
-    """Intervals and leases of workers, and time limits of their tasks."""
+    """Heartbeat interval and lease of workers, and timeouts of their tasks."""
 
     heartbeat_interval_s: float = msgspec.field(name="report_s")
     lease_s: float
@@ -60,7 +60,7 @@
 
 
 class UpcomingStateLimits(msgspec.Struct):
-    """Limits that the state service will have from some moment on; absent ones stay."""
+    """Announced limits of the state service; a limit that is None does not change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -69,7 +69,7 @@
 
 
 class StateLimits(msgspec.Struct):
-    """Limits of the state service: rates of calls, and sizes of values and transactions."""
+    """Limits of the state service: request rates, and sizes of values and transactions."""
 
     rps: float
     write_rps: float
@@ -78,10 +78,10 @@
     upcoming: UpcomingStateLimits | None = msgspec.field(name="next", default=None)
 
     def effective(self) -> StateLimits:
-        """The limits that every request keeps to: the smaller of current and upcoming ones.
+        """Return the smaller of the current and the upcoming value of each limit.
 
-        The upcoming ones take effect without notice, and a request that is refused then would be
-        refused for ever.
+        The upcoming limits take effect without notice. A request that exceeds them would then be
+        refused on every retry.
         """
         if self.upcoming is None:
             return self
@@ -94,14 +94,14 @@
 
 
 class CloudLimits(msgspec.Struct):
-    """Limits of the cloud's interface."""
+    """Rate limit of the cloud API, and the delay with which its machine list is updated."""
 
     rps: float
     list_lag_s: float
 
 
 class ProcessQuota(msgspec.Struct):
-    """Resources that the platform gives a process; 0 where it names none."""
+    """Resources that the platform grants a controller process; 0 means unspecified."""
 
     cpu_share: float = 1.0
     ram_mb: float = 0.0
@@ -109,7 +109,7 @@
 
 
 class Limits(msgspec.Struct):
-    """The settings that all controllers share."""
+    """Settings that are the same for all controllers."""
 
     zones: list[str]
     workers: WorkerTimings
@@ -123,7 +123,7 @@
 
 
 class Settings(msgspec.Struct):
-    """The whole settings file of one controller."""
+    """Contents of the settings file of one controller."""
 
     member: str
     area: str
@@ -134,9 +134,9 @@
     seeds: list[Seed] = []
 
 
-# Entries that have to be in range, by the names that the file gives them.
-NOT_NEGATIVE = ("cpu_share", "ram_mb", "max_connections")  # of the quota; 0: none is named
-POSITIVE = {
+# Entries with a lower bound, by their names in the file. 0 leaves a quota unspecified.
+NON_NEGATIVE_QUOTAS = ("cpu_share", "ram_mb", "max_connections")
+POSITIVE_ENTRIES = {
     "settings.workers": ("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"),
     "settings.state": STATE_LIMITS,
     "settings.cloud": ("rps",),
@@ -144,25 +144,25 @@
 
 
 def split_endpoint(text: str) -> tuple[str, int]:
-    """``host:port`` in its two parts; ValueError when it is not that."""
+    """Split ``HOST:PORT`` into host and port; raise ValueError if it is malformed."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ValueError(f"not HOST:PORT: {text!r}")
+        raise ValueError(f"expected HOST:PORT, not {text!r}")
     return host, int(port)
 
 
 def check(settings: Settings) -> None:
-    """Check what types alone do not say; ConfigFileError names the field."""
+    """Validate what the types do not express; raise ConfigFileError that names the field."""
     _check_addresses(settings)
     if not settings.member:
         raise ConfigFileError("member: must not be empty")
     limits = settings.settings
     if not limits.zones:
-        raise ConfigFileError("settings.zones: at least one zone is needed")
+        raise ConfigFileError("settings.zones: must contain at least one zone")
     _check_numbers(limits)
     team_names = [team.name for team in limits.teams]
     if len(set(team_names)) != len(team_names):
-        raise ConfigFileError("settings.teams: a name stands twice")
+        raise ConfigFileError("settings.teams: team names must be unique")
 
 
 def _check_addresses(settings: Settings) -> None:
@@ -188,20 +188,20 @@
         "settings.state": limits.state,
         "settings.cloud": limits.cloud,
     }
-    for path, names in POSITIVE.items():
+    for path, names in POSITIVE_ENTRIES.items():
         values = msgspec.to_builtins(groups[path])
         for name in names:
             if not values[name] > 0:
-                raise ConfigFileError(f"{path}.{name}: must be above 0")
-    for name in POSITIVE["settings.state"]:
+                raise ConfigFileError(f"{path}.{name}: must be greater than 0")
+    for name in POSITIVE_ENTRIES["settings.state"]:
         value = getattr(limits.state.upcoming, name, None)
         if value is not None and not value > 0:
-            raise ConfigFileError(f"settings.state.next.{name}: must be above 0")
-    for name in NOT_NEGATIVE:
-        if not getattr(limits.quota, name) >= 0:  # also refuses what is not a number
+            raise ConfigFileError(f"settings.state.next.{name}: must be greater than 0")
+    for name in NON_NEGATIVE_QUOTAS:
+        if not getattr(limits.quota, name) >= 0:  # true for NaN as well
             raise ConfigFileError(f"settings.quota.{name}: must not be negative")
 
 
 def load(path: str | Path) -> Settings:
-    """Read and check a settings file; ConfigFileError says what is wrong, naming the file."""
+    """Read and validate a settings file; raise ConfigFileError that names file and problem."""
     return toml_file.read(path, Settings, check)
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -68,9 +68,9 @@
 @pytest.mark.parametrize(
     ("change", "named"),
     [
-        ("shared_share = 0.0", "partial_cuts.shared_share: must be above 0"),
+        ("shared_share = 0.0", "partial_cuts.shared_share: must be greater than 0"),
         ("wait_boots = -1.0", "partial_cuts.wait_boots: must not be negative"),
-        ("handover_factor = nan", "partial_cuts.handover_factor: must be a number"),
+        ("handover_factor = nan", "partial_cuts.handover_factor: must be a finite number"),
         ("min_machines = 'five'", "min_machines"),
         ("more = 1", "more"),
         ("", "wait_boots"),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -79,7 +79,7 @@
         ('zones = ["a"]', "zones = []", "settings.zones"),
         ('cloud = "127.0.0.1:1"', 'cloud = "nowhere"', "endpoints.cloud"),
         ('client_listen = "127.0.0.1:8080"', 'client_listen = "127.0.0.1:99999"', "client_listen"),
-        ('member = "n0"', "member = ", "not TOML"),
+        ('member = "n0"', "member = ", "invalid TOML"),
     ],
 )
 def test_bad_settings_name_file_and_field(tmp_path: Path, old: str, new: str, named: str) -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -556,7 +556,7 @@
         ("[0.25, 0.5]", '["a"]', "steps"),
         ("min_machines = 3", "min_machines = 2.5", "min_machines"),
         ("[zone_recovery]", "[zones]", "zones"),
-        ("[zone_recovery]", "[zone_recovery", "not TOML"),
+        ("[zone_recovery]", "[zone_recovery", "invalid TOML"),
     ],
 )
 def test_a_policy_file_that_is_wrong_is_refused_by_name(
