--- a/src/salthead/cli/__init__.py
+++ b/src/salthead/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: the service itself, and the calls of users and operators to it."""
+"""The command line, which runs the service and sends requests of users and operators to it."""
 
 from salthead.cli.commands import main
 
--- a/src/salthead/cli/__main__.py
+++ b/src/salthead/cli/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m salthead.cli``: the same as the command ``salthead``."""
+"""Entry point of ``python -m salthead.cli``, which is the same as ``salthead``."""
 
 from salthead.cli import main
 
--- a/src/salthead/cli/client.py
+++ b/src/salthead/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls to a running service, with retries at one controller after the other."""
+"""Client of a running service, with retries and failover between controllers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from tornado.httpclient import HTTPClient, HTTPResponse
 
-# Statuses by which a controller decides: all others are asked again.
-DECIDED = (200, 201, 400, 404, 422)
+# HTTP statuses of a final answer; requests with any other status are retried.
+FINAL_STATUSES = (200, 201, 400, 404, 422)
 REQUEST_TIMEOUT_S = 5.0
 MIN_RETRY_S = 1.0
 
 
-class UndecidedError(SaltheadError):
-    """A controller was not reached or did not decide; says when to ask the next round."""
+class RetryableError(SaltheadError):
+    """A controller gave no final answer; ``retry_after_s`` is the delay before the next round."""
 
     def __init__(self, reason: str, retry_after_s: float = MIN_RETRY_S) -> None:
         super().__init__(reason)
@@ -27,25 +27,25 @@
 
 
 class ServiceAnswer(NamedTuple):
-    """Status and body of a controller's decision."""
+    """HTTP status and decoded body of a final answer."""
 
     status: int
     body: dict[str, Any]
 
 
 class ServiceClient:
-    """The controllers that the user named, asked in turn until one decides."""
+    """Sends requests to the given controllers in turn until one gives a final answer."""
 
     def __init__(self, controllers: tuple[str, ...], timeout: float) -> None:
         self.controllers = controllers
         self.timeout = timeout
 
     def ask(self, method: str, path: str, body: dict[str, Any] | None = None) -> ServiceAnswer:
-        """What the first controller that decides answers; ends the process if none does in time."""
-        # Here, so that help and wrong usage do not wait for its import.
+        """Return the first final answer; exit with UNREACHABLE at the timeout."""
+        # Imported here so that help texts and usage errors do not wait for it.
         from tornado.httpclient import HTTPClient
 
-        end = time.monotonic() + self.timeout
+        deadline = time.monotonic() + self.timeout
         client = HTTPClient()
         attempts = 0
         try:
@@ -53,9 +53,9 @@
                 controller = self.controllers[attempts % len(self.controllers)]
                 attempts += 1
                 try:
-                    return _ask_controller(client, f"http://{controller}{path}", method, body)
-                except UndecidedError as error:
-                    if time.monotonic() + error.retry_after_s > end:
+                    return _send_request(client, f"http://{controller}{path}", method, body)
+                except RetryableError as error:
+                    if time.monotonic() + error.retry_after_s > deadline:
                         fail(f"{controller}: {error}", UNREACHABLE)
                     if attempts % len(self.controllers) == 0:
                         time.sleep(error.retry_after_s)
@@ -63,10 +63,10 @@
             client.close()
 
 
-def _ask_controller(
+def _send_request(
     client: HTTPClient, url: str, method: str, body: dict[str, Any] | None
 ) -> ServiceAnswer:
-    """One request to one controller; UndecidedError if it does not decide."""
+    """Send a request to one controller; raise RetryableError without a final answer."""
     from tornado.httpclient import HTTPClientError, HTTPRequest
 
     request = HTTPRequest(
@@ -79,13 +79,13 @@
         request_timeout=REQUEST_TIMEOUT_S,
     )
     try:
-        return _decision_in(client.fetch(request, raise_error=False))
+        return _parse_response(client.fetch(request, raise_error=False))
     except (OSError, HTTPClientError, MalformedMessageError, ValueError) as error:
-        raise UndecidedError(str(error)) from None
+        raise RetryableError(str(error)) from None
 
 
-def _decision_in(answer: HTTPResponse) -> ServiceAnswer:
-    if answer.code in DECIDED:
-        return ServiceAnswer(answer.code, decode_map(answer.body))
-    retry_after_s = max(MIN_RETRY_S, float(answer.headers.get("Retry-After", MIN_RETRY_S)))
-    raise UndecidedError(f"answers {answer.code}", retry_after_s)
+def _parse_response(response: HTTPResponse) -> ServiceAnswer:
+    if response.code in FINAL_STATUSES:
+        return ServiceAnswer(response.code, decode_map(response.body))
+    retry_after_s = max(MIN_RETRY_S, float(response.headers.get("Retry-After", MIN_RETRY_S)))
+    raise RetryableError(f"HTTP status {response.code}", retry_after_s)
--- a/src/salthead/cli/commands.py
+++ b/src/salthead/cli/commands.py
@@ -14,7 +14,7 @@
 from salthead.cli.client import ServiceClient
 from salthead.cli.exit_codes import ABORTED, REFUSED, UNKNOWN_JOB, UNREACHABLE, fail
 from salthead.cli.job_options import DEFAULTS, job_from_options, job_options, read_job
-from salthead.cli.output import Output, in_field_terms, overview_text
+from salthead.cli.output import Output, add_key_aliases, overview_text
 from salthead.cli.service_options import service_options
 from salthead.protocol import wire_names
 from salthead.serve import StartupError, run_controller
@@ -34,17 +34,17 @@
     "--config",
     required=True,
     type=click.Path(path_type=Path),
-    help="The settings file (TOML) that the platform hands over.",
+    help="Settings file (TOML) that the platform provides.",
 )
 @click.option(
     "--policy",
     type=click.Path(path_type=Path),
-    help="The operators' policy file (TOML); without it nothing is added.",
+    help="Policy file (TOML) of the operators; optional behaviour is off if it is missing.",
 )
 def serve(config: Path, policy: Path | None) -> None:
     """Run one controller until it is killed.
 
-    The variable LOG_LEVEL is error, info or debug; logs go to standard error.
+    Logs go to standard error; the environment variable LOG_LEVEL is error, info or debug.
     """
     try:
         run_controller(config, policy)
@@ -53,7 +53,7 @@
 
 
 def wait_for_job(client: ServiceClient, output: Output, job_id: str) -> NoReturn:
-    """Poll until the job has ended; the exit code says how."""
+    """Poll until the job has ended, then exit with 0 if it is done and ABORTED if not."""
     last = None
     while True:
         code, job_status = client.ask("GET", f"{wire_names.JOBS_PATH}/{job_id}")
@@ -69,7 +69,7 @@
 
 
 def random_job_id() -> str:
-    """An id for a job without one: random, so that two users do not choose the same."""
+    """Return a random job id, so that ids of different users do not collide."""
     return f"req-{int.from_bytes(os.urandom(7), 'big'):0{JOB_ID_DIGITS}d}"
 
 
@@ -80,7 +80,7 @@
     "--file",
     "path",
     type=click.Path(path_type=Path, exists=True, dir_okay=False),
-    help="Job file, TOML or .json, with the fields; flags go before it.",
+    help="Job file with fields, TOML or .json; flags take precedence over it.",
 )
 @click.option("--wait", is_flag=True, help="Wait until the job has ended.")
 def submit(
@@ -88,17 +88,17 @@
     output: Output,
     path: Path | None,
     wait: bool,
-    **given: Any,
+    **option_values: Any,
 ) -> None:
     """Submit a job.
 
-    A job may depend on others that were accepted before: it starts once all of them are done, and
-    is cancelled with any of them.
+    A job may depend on jobs that were accepted before. It starts once all of them are done, and is
+    cancelled if any of them is.
     """
     job: dict[str, Any] = dict(DEFAULTS)
     job |= read_job(path) if path else {}
-    job |= job_from_options(given)
-    # The same id is used for every try, so that the request is idempotent.
+    job |= job_from_options(option_values)
+    # All retries send the same id, so that the request is idempotent.
     job.setdefault("uid", random_job_id())
     code, answer = client.ask("POST", wire_names.JOBS_PATH, job)
     if code not in (200, 201):
@@ -126,7 +126,7 @@
 @service_options
 @click.argument("job_id", metavar="ID")
 def cancel(client: ServiceClient, output: Output, job_id: str) -> None:
-    """Cancel a job; its tasks are stopped."""
+    """Cancel a job and stop its tasks."""
     path = f"{wire_names.JOBS_PATH}/{job_id}/{wire_names.CANCEL_SUFFIX}"
     code, job_status = client.ask("POST", path)
     if code != 200:
@@ -137,9 +137,9 @@
 @main.command()
 @service_options
 def overview(client: ServiceClient, output: Output) -> None:
-    """Show the queue and the fleet, as the leader sees them."""
+    """Show the leader's view of the queue and the fleet."""
     code, answer = client.ask("GET", wire_names.OVERVIEW_PATH)
     if code != 200:
-        fail(f"no overview: {answer.get('error', code)}", UNREACHABLE)
-    answer = in_field_terms(answer)
+        fail(f"overview not available: {answer.get('error', code)}", UNREACHABLE)
+    answer = add_key_aliases(answer)
     output.show(answer, overview_text(answer))
--- a/src/salthead/cli/exit_codes.py
+++ b/src/salthead/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the commands, besides click's own 2 for wrong usage."""
+"""Exit codes of the commands; click itself uses 2 for usage errors."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import click
 
 REFUSED = 1
-UNREACHABLE = 3  # no controller was reached, or none decided
+UNREACHABLE = 3  # no controller gave a final answer before the timeout
 UNKNOWN_JOB = 4
-ABORTED = 5  # the job that was waited for was cancelled
+ABORTED = 5  # the job was cancelled while the command waited for it
 
 
 def fail(message: str, code: int) -> NoReturn:
-    """End with one line on standard error."""
+    """Exit with ``code`` after one line on standard error."""
     click.echo(f"Error: {message}", err=True)
     sys.exit(code)
--- a/src/salthead/cli/job_options.py
+++ b/src/salthead/cli/job_options.py
@@ -1,4 +1,4 @@
-"""The options by which ``salthead submit`` describes a job, and the job files that it reads."""
+"""The options of ``salthead submit`` that describe a job, and the job files that it reads."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 Command = Callable[..., Any]
 
-OLD_PREFIX = "old_"  # before the names of the values that old flags give
+OLD_PREFIX = "old_"  # of the parameter names of deprecated flags
 
 
 @dataclass(frozen=True)
 class JobOption:
-    """An option of ``submit``: the protocol's field that it sets, and its names."""
+    """An option of ``submit``: its flags, and the protocol field that it sets."""
 
     field: str
     flag: str
-    old_flag: str | None  # what it was called in earlier versions: still taken, no longer shown
+    old_flag: str | None  # deprecated name, still accepted but hidden from the help
     type: Any
     help: str
     repeated: bool = False
@@ -32,15 +32,15 @@
 
 
 JOB_OPTIONS = [
-    JobOption("uid", "--id", "--uid", str, "Job id, req- and digits; made up if not given."),
-    JobOption("breed", "--class", "--breed", str, "Class of jobs that it belongs to."),
-    JobOption("crew", "--team", "--crew", str, "Team whose guarantee and limit apply."),
+    JobOption("uid", "--id", "--uid", str, "Job id of the form req-DIGITS; random by default."),
+    JobOption("breed", "--class", "--breed", str, "Job class."),
+    JobOption("crew", "--team", "--crew", str, "Team whose guaranteed capacity and quota apply."),
     JobOption(
         "shape",
         "--shape",
         None,
         click.Choice(["array", "gang"]),
-        "Independent tasks (job array), or all at the same time (gang).",
+        "Independent tasks (array), or tasks that run at the same time (gang).",
     ),
     JobOption(
         "urgency",
@@ -53,9 +53,9 @@
     JobOption("vcpus", "--vcpus", None, float, "CPUs of a task."),
     JobOption("accelerators", "--accelerators", None, float, "Accelerators of a task."),
     JobOption("ram_gb", "--ram-gb", None, float, "Memory of a task, in GB."),
-    JobOption("kit", "--image", "--kit", str, "Image that a machine needs for it."),
+    JobOption("kit", "--image", "--kit", str, "Image that a machine needs to run a task."),
     JobOption("image_gb", "--image-gb", None, float, "Size of the image, in GB."),
-    JobOption("paddock", "--zone", "--paddock", str, "The only allowed zone."),
+    JobOption("paddock", "--zone", "--paddock", str, "Zone that all tasks must run in."),
     JobOption(
         "builds",
         "--machine-type",
@@ -72,32 +72,37 @@
         "--checkpoint-interval-s",
         "--cairn-s",
         float,
-        "Interval of checkpoints, in seconds; 0: none.",
+        "Checkpoint interval, in seconds; 0 disables checkpoints.",
     ),
     JobOption(
         "stow_s",
         "--checkpoint-save-s",
         "--stow-s",
         float,
-        "Time that a task needs to save a checkpoint, in seconds.",
+        "Time to save a checkpoint, in seconds.",
     ),
     JobOption(
         "due_s",
         "--deadline-s",
         "--due-s",
         float,
-        "When the job should be complete, in seconds from now.",
+        "Deadline for completion, in seconds from now.",
     ),
     JobOption(
         "awaits",
         "--depends-on",
         "--awaits",
         str,
-        "Job that has to be done before this one starts; may be repeated.",
+        "Job that must be done before this one starts; may be repeated.",
         repeated=True,
     ),
     JobOption(
-        "same_place", "--single-zone", "--same-place", bool, "All tasks in one zone.", switch=True
+        "same_place",
+        "--single-zone",
+        "--same-place",
+        bool,
+        "All tasks in one zone.",
+        switch=True,
     ),
     JobOption(
         "apart",
@@ -107,7 +112,7 @@
         "At most half of the tasks in one zone.",
         switch=True,
     ),
-    JobOption("borrowed", "--spot", "--borrowed", bool, "Spot machines may be used.", switch=True),
+    JobOption("borrowed", "--spot", "--borrowed", bool, "Allow spot machines.", switch=True),
 ]
 JOB_FIELDS = frozenset(option.field for option in JOB_OPTIONS)
 DEFAULTS = {
@@ -128,7 +133,7 @@
 
 
 def job_options(command: Command) -> Command:
-    """Give a command all options of a job, those of earlier versions hidden."""
+    """Add all job options to a command; deprecated flags are hidden."""
     for option in reversed(JOB_OPTIONS):
         settings = _click_settings(option)
         command = click.option(option.flag, option.field, **settings)(command)
@@ -146,10 +151,10 @@
     return {"help": option.help + shown, "type": option.type, "multiple": option.repeated}
 
 
-def job_from_options(given: dict[str, Any]) -> dict[str, Any]:
-    """The protocol's fields that options of either name set."""
+def job_from_options(option_values: dict[str, Any]) -> dict[str, Any]:
+    """Return the protocol fields set by current and deprecated options."""
     job: dict[str, Any] = {}
-    for name, value in given.items():
+    for name, value in option_values.items():
         if value is None or value is False or value == ():
             continue
         job[name.removeprefix(OLD_PREFIX)] = list(value) if isinstance(value, tuple) else value
@@ -157,14 +162,14 @@
 
 
 def read_job(path: Path) -> dict[str, Any]:
-    """The fields of a job file; one that the protocol does not know is refused."""
+    """Return the fields of a job file; raise ClickException for invalid files or fields."""
     try:
         text = path.read_text()
         job = json.loads(text) if path.suffix == ".json" else tomllib.loads(text)
     except (OSError, UnicodeDecodeError, ValueError) as error:
         raise click.ClickException(f"{path}: {error}") from None
     if type(job) is not dict:
-        raise click.ClickException(f"{path}: not a table of fields")
+        raise click.ClickException(f"{path}: expected a table of fields")
     unknown = sorted(job.keys() - JOB_FIELDS)
     if unknown:
         raise click.ClickException(f"{path}: unknown field {unknown[0]!r}")
--- a/src/salthead/cli/output.py
+++ b/src/salthead/cli/output.py
@@ -1,4 +1,4 @@
-"""What the commands print: JSON for programs, or text and tables for people."""
+"""Output of the commands: JSON for programs, or text and tables for people."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 import click
 
-# Keys of the interface whose column headings differ.
-HEADINGS = {
+# Column headings that differ from the keys of the rows.
+COLUMN_HEADINGS = {
     "most": "limit",
     "unheard": "silent",
     "both_ways": "reachable",
     "workers_there": "heartbeats_there",
     "kind": "lifecycle",
 }
-# Values of the interface that are shown by another word, by key.
-SHOWN_VALUES = {"kind": {"ordinary": "on-demand"}}
+# Labels of values in tables that differ from the values, by key.
+VALUE_LABELS = {"kind": {"ordinary": "on-demand"}}
 
 JOB_COLUMNS = (
     "job_id",
@@ -44,7 +44,7 @@
 )
 NETWORK_COLUMNS = ("name", "prefix", "machines", "unheard")
 MACHINE_COLUMNS = ("name", "type", "zone", "kind", "phase", "cpus", "used", "note")
-# Tables on links, which are there where the policy enables what they show.
+# Tables on network links, each present only if the policy enables what it shows.
 LINK_SECTIONS = {
     "links": ("group", "machines", "both_ways", "since_s", "diagnosis"),
     "cuts": ("group", "since_s"),
@@ -52,8 +52,8 @@
     "withheld": ("action", "lacking", "count", "since_s", "last_s"),
 }
 
-# Keys of the interface's rows of jobs and machines, and the terms that JSON has beside them.
-FIELD_TERMS = {
+# Keys of job and machine rows on the wire, and the aliases added to the output.
+KEY_ALIASES = {
     "uid": "job_id",
     "crew": "team",
     "breed": "class",
@@ -64,13 +64,13 @@
 
 
 class Output:
-    """Prints answers as the user asked for them."""
+    """Prints answers in the format that the user chose."""
 
     def __init__(self, as_json: bool) -> None:
         self.as_json = as_json
 
     def show(self, answer: dict[str, Any], text: str) -> None:
-        """Print an answer, as JSON or as the text given for it."""
+        """Print an answer as JSON, or as the given text."""
         click.echo(json.dumps(answer) if self.as_json else text)
 
     def show_job(self, status: dict[str, Any]) -> None:
@@ -79,21 +79,21 @@
 
 
 def job_text(status: dict[str, Any]) -> str:
-    """One line on a job: its phase, tasks that are done or running, and what it waits for."""
-    counts = "".join(f", {status[key]} {key}" for key in ("done", "running") if status.get(key))
+    """Return one line with a job's phase, task counts, and the jobs that it waits for."""
+    progress = "".join(f", {status[key]} {key}" for key in ("done", "running") if status.get(key))
     awaited = status.get("awaits")
     waits = f", waits for {', '.join(awaited)}" if awaited else ""
-    return f"{status['uid']}: {status['phase']}{counts}{waits}"
+    return f"{status['uid']}: {status['phase']}{progress}{waits}"
 
 
 def _cell(row: dict[str, Any], column: str) -> str:
     value = row.get(column, "")
-    return str(SHOWN_VALUES.get(column, {}).get(value, value))
+    return str(VALUE_LABELS.get(column, {}).get(value, value))
 
 
 def table(rows: list[dict[str, Any]], columns: tuple[str, ...]) -> list[str]:
-    """Lines of a table with aligned columns, under their headings."""
-    lines = [[HEADINGS.get(column, column) for column in columns]]
+    """Return the lines of a table with headings and aligned columns."""
+    lines = [[COLUMN_HEADINGS.get(column, column) for column in columns]]
     lines += [[_cell(row, column) for column in columns] for row in rows]
     widths = [max(len(line[number]) for line in lines) for number in range(len(columns))]
     return [
@@ -103,15 +103,15 @@
 
 
 def section(title: str, rows: list[dict[str, Any]], columns: tuple[str, ...]) -> list[str]:
-    """A table with a title, after an empty line."""
+    """Return the lines of a titled table, preceded by an empty line."""
     return ["", f"{title}:", *table(rows, columns)]
 
 
-def in_field_terms(overview: dict[str, Any]) -> dict[str, Any]:
-    """The overview with its rows of jobs and machines named in the field's terms as well."""
+def add_key_aliases(overview: dict[str, Any]) -> dict[str, Any]:
+    """Return the overview with the keys of KEY_ALIASES added to its job and machine rows."""
     return overview | {
         name: [
-            row | {term: row[key] for key, term in FIELD_TERMS.items() if key in row}
+            row | {alias: row[key] for key, alias in KEY_ALIASES.items() if key in row}
             for row in overview[name]
         ]
         for name in ("jobs", "machines")
@@ -119,7 +119,7 @@
 
 
 def overview_text(overview: dict[str, Any]) -> str:
-    """The tables of an overview that has the field's terms."""
+    """Return the tables of an overview to which the key aliases were added."""
     state = "ready" if overview["ready"] else "failover in progress"
     lines = [f"leader {overview['leader']}, fencing token {overview['token']}, {state}"]
     lines += section("teams", overview["teams"], TEAM_COLUMNS)
@@ -138,9 +138,9 @@
 
 
 def _job_row(job: dict[str, Any]) -> dict[str, Any]:
-    """A job with its dependencies as text.
+    """Return a job's row with its dependencies as text.
 
-    An earlier version that leads names neither what jobs depend on nor why they wait.
+    A leader of an earlier version sends neither dependencies nor reasons.
     """
     return job | {
         "depends_on": " ".join(job.get("depends_on") or []),
--- a/src/salthead/cli/service_options.py
+++ b/src/salthead/cli/service_options.py
@@ -1,4 +1,4 @@
-"""The options that every call to a running service has."""
+"""The options of all commands that send requests to a running service."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def check_controllers(
     _context: click.Context, _parameter: click.Parameter, value: tuple[str, ...]
 ) -> tuple[str, ...]:
-    """Refuse what is no address."""
+    """Return the addresses; raise BadParameter if one is not HOST:PORT."""
     for endpoint in value:
         try:
             split_endpoint(endpoint)
@@ -36,7 +36,7 @@
     show_envvar=True,
     metavar="HOST:PORT",
     callback=check_controllers,
-    help="Client address of a controller; may be given several times.",
+    help="Client address of a controller; may be repeated.",
 )
 TIMEOUT_OPTION = click.option(
     "--timeout",
@@ -44,13 +44,13 @@
     default=60.0,
     envvar="SALTHEAD_TIMEOUT",
     show_envvar=True,
-    help="Seconds to go on asking while no controller decides.",
+    help="Seconds to retry while no controller gives a final answer.",
 )
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON, for programs.")
 
 
 def service_options(command: Command) -> Command:
-    """Add these options to a command, which is called with a client and an output instead."""
+    """Add the options to a command, which receives a client and an output in their place."""
 
     @functools.wraps(command)
     def wrapped(controllers: tuple[str, ...], timeout: float, as_json: bool, **rest: Any) -> Any:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -72,7 +72,7 @@
         (["status", "req-3"], 0, "req-3: queued"),
         (["status", "req-4"], 4, "no such job"),
         (["cancel", "req-2"], 0, "aborted"),
-        (["cancel", "req-3"], 3, "answers 503"),
+        (["cancel", "req-3"], 3, "HTTP status 503"),
         (["submit", *FLAGS], 0, "req-5: queued"),
         (["submit", *FLAGS, "--crew", "green", "--uid", "req-6"], 1, "unknown team"),
         (["submit", *FLAGS, "--vcpus", "99"], 0, "req-5"),  # known already
@@ -85,7 +85,7 @@
         (["submit", *FLAGS, "--uid", "req-9", "--awaits", "req-2"], 0, "req-9: aborted"),
         (["submit", *FLAGS, "--uid", "req-10", "--awaits", "req-4"], 1, "never accepted"),
         (["submit", *FLAGS, "--shape", "ring"], 2, "ring"),
-        (["overview"], 3, "answers 503"),
+        (["overview"], 3, "HTTP status 503"),
     ],
 )
 def test_words(address: str, words: list[str], code: int, says: str) -> None:
