--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -8,7 +8,7 @@
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
 from dataclasses import dataclass
 
-from link_proxy import LinkProxy, Mode, Way
+from link_proxy import Direction, LinkProxy, Mode
 from soak_world import ZONES, SoakSetup, SoakWorld
 from standins import Worker
 
@@ -194,7 +194,7 @@
     )
     both, delayed = rng.random() < 0.3, rng.random() < 0.2
     mode, forth = rng.choice((Mode.DROP, Mode.HOLD)), rng.random() < 0.5
-    ways: list[Way] = [
+    ways: list[Direction] = [
         way
         for proxy in proxies
         for way, chosen in ((proxy.to_target, forth), (proxy.from_target, not forth))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -213,7 +213,7 @@
 async def cost_of_requests(method: str, path: str, body: bytes | None) -> float:
     """Calls for each of a number of requests over one connection that stays."""
     bench = profile_costs.Bench(machines=20, seconds=False)
-    cost = await bench.of_requests(bench.endpoints[0], [(method, path, body)] * 100, 200)
+    cost = await bench.cost_of_requests(bench.endpoints[0], [(method, path, body)] * 100, 200)
     return cost.calls
 
 
--- a/tools/link_proxy.py
+++ b/tools/link_proxy.py
@@ -1,10 +1,10 @@
-"""A TCP proxy on loopback that cuts one direction of a link at a time.
+"""A TCP proxy on loopback that can cut each direction of a link separately.
 
     python3 tools/link_proxy.py LISTEN_HOST:PORT TARGET_HOST:PORT
 
-passes everything, and reads commands from standard input: ``to drop``, ``from hold``, ``to pass``,
-... (``to``: from the client to the target). Connections stay open while a direction is cut, as they
-do behind a packet filter, so that either side sees silence and no error.
+forwards all traffic and reads commands from standard input: ``to drop``, ``from hold``,
+``to pass``, ... (``to`` is the direction from the client to the target). Connections stay open
+while a direction is cut, as behind a packet filter: both sides see silence and no error.
 """
 
 from __future__ import annotations
@@ -19,54 +19,56 @@
 
 
 class Mode(StrEnum):
-    """What becomes of bytes that go one way."""
+    """Treatment of the bytes sent in one direction."""
 
     PASS = "pass"
-    DROP = "drop"  # for good: the connection carries nothing that way any more
-    HOLD = "hold"  # until the direction passes again, in order, also if the sender has gone
+    # Discards bytes, and everything that the connection sends later in this direction.
+    DROP = "drop"
+    # Delivers bytes in order once the direction passes again, even if the sender has disconnected.
+    HOLD = "hold"
 
 
 @dataclass
-class Way:
+class Direction:
     """One direction of a link."""
 
     mode: Mode = Mode.PASS
     delay_s: float = 0.0
-    changed: asyncio.Event = field(default_factory=asyncio.Event)
+    mode_changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def set(self, mode: Mode) -> None:
-        """Change what becomes of bytes from now on."""
+        """Change the mode and wake all waiters."""
         self.mode = mode
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.mode_changed.set()
+        self.mode_changed = asyncio.Event()
 
     async def wait_while(self, mode: Mode) -> None:
-        """Return once the mode is another one."""
+        """Wait until the mode differs from the given one."""
         while self.mode is mode:
-            await self.changed.wait()
+            await self.mode_changed.wait()
 
 
 class LinkProxy:
-    """Listens at one address for a target at another."""
+    """Forwards connections from a listening address to a target address."""
 
     def __init__(self, target_host: str, target_port: int) -> None:
         self.target = (target_host, target_port)
-        self.to_target, self.from_target = Way(), Way()
+        self.to_target, self.from_target = Direction(), Direction()
         self.writers: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> int:
-        """Listen; the port is returned."""
+        """Start to listen and return the port."""
         self.server = await asyncio.start_server(self._serve, host, port)
         return int(self.server.sockets[0].getsockname()[1])
 
     def heal(self) -> None:
-        """Pass both ways."""
+        """Pass traffic in both directions."""
         self.to_target.set(Mode.PASS)
         self.from_target.set(Mode.PASS)
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and abort all connections."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
@@ -76,10 +78,10 @@
         self.writers.add(writer)
         target: asyncio.StreamWriter | None = None
         try:
-            # An attempt to connect gets through only once both ways pass; until then it hangs.
-            for way in (self.to_target, self.from_target):
+            # A TCP handshake needs both directions, so a new connection hangs until both pass.
+            for direction in (self.to_target, self.from_target):
                 for mode in (Mode.DROP, Mode.HOLD):
-                    await way.wait_while(mode)
+                    await direction.wait_while(mode)
             target_reader, target = await asyncio.open_connection(*self.target)
             self.writers.add(target)
             pumps = [
@@ -90,21 +92,21 @@
         except OSError:
             pass
         finally:
-            for one in (writer, target):
-                if one is not None:
-                    self.writers.discard(one)
-                    one.transport.abort()
+            for stream in (writer, target):
+                if stream is not None:
+                    self.writers.discard(stream)
+                    stream.transport.abort()
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
     ) -> None:
         dropped = False
         with contextlib.suppress(OSError):
             while chunk := await reader.read(CHUNK_BYTES):
-                await asyncio.sleep(way.delay_s)
-                await way.wait_while(Mode.HOLD)
-                # What follows bytes that are missing means nothing: the connection is dead.
-                dropped = dropped or way.mode is Mode.DROP
+                await asyncio.sleep(direction.delay_s)
+                await direction.wait_while(Mode.HOLD)
+                # After a gap the rest of the byte stream is useless, so the direction stays dead.
+                dropped = dropped or direction.mode is Mode.DROP
                 if not dropped:
                     writer.write(chunk)
                     await writer.drain()
@@ -116,16 +118,16 @@
     """Run one proxy until standard input ends."""
     host, _, port = target.rpartition(":")
     proxy = LinkProxy(host, int(port))
-    own_host, _, own_port = listen.rpartition(":")
-    await proxy.start(own_host, int(own_port))
-    ways = {"to": proxy.to_target, "from": proxy.from_target}
+    listen_host, _, listen_port = listen.rpartition(":")
+    await proxy.start(listen_host, int(listen_port))
+    directions = {"to": proxy.to_target, "from": proxy.from_target}
     loop = asyncio.get_running_loop()
     while line := await loop.run_in_executor(None, sys.stdin.readline):
         words = line.split()
-        if len(words) == 2 and words[0] in ways and words[1] in list(Mode):
-            ways[words[0]].set(Mode(words[1]))
+        if len(words) == 2 and words[0] in directions and words[1] in list(Mode):
+            directions[words[0]].set(Mode(words[1]))
         else:
-            print("to|from pass|drop|hold", file=sys.stderr)
+            print("expected: to|from pass|drop|hold", file=sys.stderr)
     proxy.stop()
 
 
--- a/tools/measure_zones.py
+++ b/tools/measure_zones.py
@@ -1,9 +1,9 @@
-"""What a zone's loss and return cost on fake time, with the policy off and on.
+"""Measure the loss and recovery of a zone on simulated time, with the zone policy off and on.
 
     python3 tools/measure_zones.py [SEEDS]
 
-Stand-ins only: 20 machines in two zones, all work in the one that is lost, room for half of it
-elsewhere. Prints, for each policy, means over the seeds.
+Runs against simulated workers and services: 20 machines in two zones, with all tasks in the zone
+that is lost and capacity for half of them elsewhere. Prints the means over the seeds per policy.
 """
 
 from __future__ import annotations
@@ -24,13 +24,14 @@
 from standins import run  # noqa: E402
 from test_zone_days import POLICY, ZoneDay, array, gang  # noqa: E402
 
-COLD_S = 9.0  # a start on a machine that has come back without its images
-LOST_S, WATCHED_S = 45.0, 60.0
+WARM_START_S = 0.5
+COLD_START_S = 9.0  # on a machine that has come back without its images
+OUTAGE_S, RECOVERY_S = 45.0, 60.0
 
 
 @dataclass(frozen=True)
-class Measured:
-    """Seconds after the loss, and starts after the return."""
+class Measurement:
+    """Start times in seconds after the loss, and counts of starts and lost tasks."""
 
     guaranteed_s: float
     gang_s: float
@@ -39,10 +40,10 @@
     lost_tasks: int
 
 
-async def scene(seed: int, policy: Policy) -> Measured:
-    """Lose the zone that everything runs in, and bring it back cold."""
+async def run_scenario(seed: int, policy: Policy) -> Measurement:
+    """Lose the zone that all tasks run in, and bring it back without cached images."""
     world = ZoneDay(seed, policy=policy)
-    world.fetch_s = lambda worker: COLD_S if worker.zone == "south" and back else 0.5
+    world.fetch_s = lambda worker: COLD_START_S if worker.zone == "south" and back else WARM_START_S
     back = False
     world.most_in_zone["north"] = 0
     await asyncio.sleep(2.0)
@@ -58,43 +59,45 @@
     lost_at, lost_tasks = world.now(), len(world.on_machines())
     await world.lose("south", dead=True)
     world.most_in_zone["north"] = 5
-    await asyncio.sleep(LOST_S)
+    await asyncio.sleep(OUTAGE_S)
     back = True
     back_at = world.now()
     world.bring_back("south")
-    await asyncio.sleep(WATCHED_S)
+    await asyncio.sleep(RECOVERY_S)
     assert world.broken == [] and world.history.broken == []
-    return measured(world.history.placements, lost_at, back_at, lost_tasks)
+    return summarize(world.history.placements, lost_at, back_at, lost_tasks)
 
 
-def measured(
+def summarize(
     placements: list[tuple[float, str, str]], lost_at: float, back_at: float, lost_tasks: int
-) -> Measured:
-    """What the placements of a scene came to."""
+) -> Measurement:
+    """Summarize the placements of a scenario."""
 
-    def after(job_id: str, count: int) -> float:
-        starts = [at - lost_at for at, other, _ in placements if other == job_id and at >= lost_at]
-        return starts[count - 1] if len(starts) >= count else LOST_S + WATCHED_S
+    def seconds_until_started(job_id: str, count: int) -> float:
+        starts = [
+            at - lost_at for at, placed, _ in placements if placed == job_id and at >= lost_at
+        ]
+        return starts[count - 1] if len(starts) >= count else OUTAGE_S + RECOVERY_S
 
-    return Measured(
-        guaranteed_s=after("req-3", 2),
-        gang_s=after("req-2", 3),
-        arrays_s=after("req-1", 20),
+    return Measurement(
+        guaranteed_s=seconds_until_started("req-3", 2),
+        gang_s=seconds_until_started("req-2", 3),
+        arrays_s=seconds_until_started("req-1", 20),
         cold_starts=sum(at >= back_at and zone == "south" for at, _, zone in placements),
         lost_tasks=lost_tasks,
     )
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table with one row per policy."""
     logging.disable(logging.CRITICAL)
     seeds = range(1, 1 + (int(sys.argv[1]) if len(sys.argv) > 1 else 5))
     print("policy  guaranteed  whole gang  half of the array  cold starts  tasks lost")
     for name, policy in (("off", NO_POLICY), ("on", POLICY)):
-        rows = [run(partial(scene, seed, policy)) for seed in seeds]
+        rows = [run(partial(run_scenario, seed, policy)) for seed in seeds]
         means = [
             statistics.fmean(getattr(row, column) for row in rows)
-            for column in Measured.__dataclass_fields__
+            for column in Measurement.__dataclass_fields__
         ]
         widths = ("10.1f", "10.1f", "17.1f", "11.1f", "10.1f")
         cells = [f"{mean:{width}}" for mean, width in zip(means, widths, strict=True)]
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -1,11 +1,12 @@
-"""What each thing that a controller does costs, and how much of a second that takes.
+"""Profile the cost of each operation of a controller, and its load per second.
 
     python3 tools/profile_costs.py [--machines 570] [--report-s 3] [--seconds]
 
-A leader with a full fleet and a follower run in this process on loopback; requests come from
-another thread, which is not counted. Each line has the calls of Python functions that one thing
-takes and how often it happens in a second. Calls are counted, not timed, so that the table is the
-same each time; ``--seconds`` adds the processor time of this machine, which is not, and a start's.
+A leader with a fully used fleet and a follower run in this process on loopback; requests come from
+another thread, which is not measured. Each line shows the number of Python function calls of one
+operation and how often it occurs per second. Calls are counted because their number hardly differs
+between runs. ``--seconds`` measures processor time instead, which does differ, and also that of a
+start.
 """
 
 from __future__ import annotations
@@ -49,65 +50,65 @@
 from salthead.scheduling import scheduling_pass  # noqa: E402
 
 FENCING_TOKEN = 7
-REVISION = 1_000_000  # of all that is written in the profiled term
-LEASE_S = 1e9  # of the profiled term, which no state service renews
-REQUESTS = 200  # of each kind, over which the cost of one is averaged
+REVISION = 1_000_000  # returned for every transaction of the profiled term
+LEASE_S = 1e9  # never expires, because no state service renews the lease of the profiled term
+REQUESTS = 200  # number of requests of each kind over which the cost is averaged
 QUEUED_JOBS = 40
 BURST_JOBS, BURST_TASKS = 100, 60
-# How often things happen that do not follow from the number of machines.
+# Rates of operations that do not depend on the number of machines.
 POLLS_PER_S, SUBMISSIONS_PER_S, PROBES_PER_S = 8.0, 1.0, 3.0
-CALLS_PER_S, LOG_LINES_PER_S = 4.0, 10.0
-PASSES_PER_S, SWEEPS_PER_S, PLANS_PER_S, ACCOUNTS_PER_S = 4.0, 2.0, 1.0, 0.5
-ENDED_PART = 0.1  # of the heartbeats, that show the end of a task
+PEER_CALLS_PER_S, LOG_LINES_PER_S = 4.0, 10.0
+PASSES_PER_S, SWEEPS_PER_S, FLEET_PLANS_PER_S, COST_UPDATES_PER_S = 4.0, 2.0, 1.0, 0.5
+TASK_END_SHARE = 0.1  # share of heartbeats that report the end of a task
 
 HttpRequest = tuple[str, str, bytes | None]
 
 
 class Meter:
-    """Counts the calls of Python functions, and the processor time, of this thread."""
+    """Measures the Python function calls and the processor time of the current thread."""
 
     def __init__(self, with_calls: bool) -> None:
         self.with_calls = with_calls
         self.calls = 0
         self.seconds = 0.0
 
-    def _note(self, frame: Any, event: str, argument: Any) -> None:
+    def _count_call(self, frame: Any, event: str, argument: Any) -> None:
         self.calls += event == "call"
 
     def __enter__(self) -> Meter:
-        self.began = time.thread_time()
+        self.started_at = time.thread_time()
         if self.with_calls:
-            sys.setprofile(self._note)
+            sys.setprofile(self._count_call)
         return self
 
     def __exit__(self, *_: object) -> None:
         sys.setprofile(None)
-        self.seconds = time.thread_time() - self.began
+        self.seconds = time.thread_time() - self.started_at
 
 
 @dataclass(frozen=True)
 class Cost:
-    """What one thing takes: calls, and seconds where they were asked for."""
+    """Function calls and processor time of one operation."""
 
     calls: float
     seconds: float
 
 
 class FakeStateStore:
-    """Just enough of the state service's client: whatever is written is taken at once."""
+    """Minimal fake of the state service's client that commits every transaction at once."""
 
     last_response_at = float("inf")
 
     async def get(self, key: str, **_: Any) -> None:
-        """No record is there."""
+        """Return None: there are no records."""
 
     async def transaction(self, *_: Any, **__: Any) -> int:
-        """Every transaction is carried out, after the one that took the lead."""
+        """Return a revision later than that of the transaction that acquired the lead."""
         return REVISION
 
 
-class Client(threading.Thread):
-    """Sends requests over one connection, one after the other."""
+class RequestThread(threading.Thread):
+    """Sends requests sequentially over one connection."""
 
     def __init__(
         self, endpoint: str, requests: list[HttpRequest], done: Callable[[], None]
@@ -117,7 +118,7 @@
         self.statuses: set[int] = set()
 
     def run(self) -> None:
-        """Run the work once for each time."""
+        """Send the requests and collect the HTTP statuses."""
         connection = http.client.HTTPConnection(self.endpoint)
         for method, path, body in self.requests:
             connection.request(method, path, body)
@@ -128,14 +129,14 @@
 
 
 def free_endpoint() -> str:
-    """An address on loopback that nobody listens on."""
+    """Return an unused address on loopback."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-def fill(ledger: Ledger, machines: int, now: float) -> None:
-    """Allocate a whole fleet, with a queue of pending jobs; each machine has shown what it runs."""
+def fill_ledger(ledger: Ledger, machines: int, now: float) -> None:
+    """Allocate the whole fleet, queue pending jobs, and confirm all tasks by heartbeats."""
     ledger.set_machine_types(MACHINE_TYPES)
     ledger.loaded = ledger.ready = True
     ledger.team_limits[:] = [(1e9, 1e9) for _ in ledger.team_limits]
@@ -147,10 +148,10 @@
         )
     scheduling_pass.schedule(ledger, random.Random(1), now)
     for name in ledger.machines:
-        handle_heartbeat(ledger, shown(ledger, name, 2), now)
+        handle_heartbeat(ledger, bound_tasks_heartbeat(ledger, name, 2), now)
 
 
-def shown(
+def bound_tasks_heartbeat(
     ledger: Ledger,
     name: str,
     sequence: int,
@@ -158,7 +159,7 @@
     fencing_token: int = FENCING_TOKEN,
     incarnation: int = 1,
 ) -> Heartbeat:
-    """A heartbeat of a machine with what is bound to it, of which some has ended."""
+    """Return a heartbeat with a machine's bound tasks, the first ``ended`` of them exited."""
     tasks: list[tuple[Any, ...]] = [
         (b.task_id, b.attempt, "running") for b in ledger.machines[name].bindings.values()
     ]
@@ -170,7 +171,7 @@
 
 
 class Bench:
-    """A leader and a follower on loopback, and the meter over what they do."""
+    """A leader and a follower on loopback, and the cost measurements on them."""
 
     def __init__(self, machines: int, seconds: bool) -> None:
         self.machines, self.with_seconds = machines, seconds
@@ -181,7 +182,7 @@
         self.term = Term(self.leader, FENCING_TOKEN, 1, 1, LeaseClock(LEASE_S))
         self.term.clock.renewed(self.leader.now())
         self.ledger = self.term.ledger
-        fill(self.ledger, machines, self.leader.now())
+        fill_ledger(self.ledger, machines, self.leader.now())
         self.leader.leader_view.term, self.leader.leader_view.member = self.term, "n0"
         for controller, first in ((self.leader, 0), (self.follower, 2)):
             listen(controller, ClientHandlers(controller).router(), self.endpoints[first])
@@ -196,51 +197,55 @@
             random.Random(1),
             state_store=FakeStateStore(),  # type: ignore[arg-type]
         )
-        controller.machine_types.update({found.name: found for found in MACHINE_TYPES})
+        controller.machine_types.update(
+            {machine_type.name: machine_type for machine_type in MACHINE_TYPES}
+        )
         return controller
 
-    def of_work(self, work: Callable[[], Any], times: int = 1) -> Cost:
-        """The cost of a function call, or of each of the things that it does."""
+    def cost_of_calls(self, work: Callable[[], Any], operations: int = 1) -> Cost:
+        """Return the cost of calling ``work``, divided by the number of its operations."""
         with Meter(with_calls=not self.with_seconds) as meter:
             work()
-        return Cost(meter.calls / times, meter.seconds / times)
+        return Cost(meter.calls / operations, meter.seconds / operations)
 
-    async def of_requests(self, endpoint: str, requests: list[HttpRequest], status: int) -> Cost:
-        """The cost of a request, on the side of the controllers."""
-        over = asyncio.Event()
+    async def cost_of_requests(
+        self, endpoint: str, requests: list[HttpRequest], status: int
+    ) -> Cost:
+        """Return the mean cost of a request to the controllers, without that of the client."""
+        all_sent = asyncio.Event()
         loop = asyncio.get_running_loop()
 
         def done() -> None:
-            loop.call_soon_threadsafe(over.set)
+            loop.call_soon_threadsafe(all_sent.set)
 
-        client = Client(endpoint, requests, done)
+        client = RequestThread(endpoint, requests, done)
         with Meter(with_calls=not self.with_seconds) as meter:
             client.start()
-            await over.wait()
+            await all_sent.wait()
         assert client.statuses == {status}, client.statuses
         return Cost(meter.calls / len(requests), meter.seconds / len(requests))
 
-    async def of_heartbeats(self, sequence: int, ended: int) -> Cost:
-        """Of heartbeats, by which so many tasks have ended."""
+    async def cost_of_heartbeats(self, sequence: int, ended: int) -> Cost:
+        """Return the cost of a heartbeat that reports ``ended`` exited tasks."""
         requests: list[HttpRequest] = [
             (
                 "POST",
                 wire_names.HEARTBEAT_PATH,
-                encode(shown(self.ledger, f"m{n}", sequence, ended)),
+                encode(bound_tasks_heartbeat(self.ledger, f"m{n}", sequence, ended)),
             )
             for n in range(REQUESTS)
         ]
-        return await self.of_requests(self.endpoints[0], requests, 200)
+        return await self.cost_of_requests(self.endpoints[0], requests, 200)
 
-    async def of_polls(self, endpoint: str) -> Cost:
-        """Of polls at one controller."""
+    async def cost_of_polls(self, endpoint: str) -> Cost:
+        """Return the cost of a status poll at one controller."""
         requests: list[HttpRequest] = [
             ("GET", f"{wire_names.JOBS_PATH}/req-{n % QUEUED_JOBS}", None) for n in range(REQUESTS)
         ]
-        return await self.of_requests(endpoint, requests, 200)
+        return await self.cost_of_requests(endpoint, requests, 200)
 
-    async def of_submissions(self) -> Cost:
-        """Of new jobs."""
+    async def cost_of_submissions(self) -> Cost:
+        """Return the cost of the submission of a new job."""
         requests: list[HttpRequest] = [
             (
                 "POST",
@@ -249,10 +254,10 @@
             )
             for n in range(REQUESTS)
         ]
-        return await self.of_requests(self.endpoints[0], requests, 201)
+        return await self.cost_of_requests(self.endpoints[0], requests, 201)
 
-    async def of_peer_calls(self) -> Cost:
-        """Of calls between controllers."""
+    async def cost_of_peer_calls(self) -> Cost:
+        """Return the cost of a call between controllers."""
         peer = self.leader.peers["n1"]
         await peer.call("POST", wire_names.PEER_CONNECTIVITY_PATH)
         with Meter(with_calls=not self.with_seconds) as meter:
@@ -260,8 +265,8 @@
                 await peer.call("POST", wire_names.PEER_CONNECTIVITY_PATH)
         return Cost(meter.calls / REQUESTS, meter.seconds / REQUESTS)
 
-    def of_burst(self) -> Cost:
-        """Of a burst of jobs."""
+    def cost_of_burst(self) -> Cost:
+        """Return the cost of each job of a burst, including its placement."""
         now = self.leader.now()
 
         def submit_all() -> None:
@@ -271,49 +276,59 @@
                 )
             self.term.scheduling_loop.run_pass(now)
 
-        return self.of_work(submit_all, BURST_JOBS)
+        return self.cost_of_calls(submit_all, BURST_JOBS)
+
+    def cost_of_recovery(self) -> Cost:
+        """Return the cost of each machine that recovers from a cut longer than its lease.
 
-    def of_return(self) -> Cost:
-        """Half of the fleet is behind a cut for longer than its leases, and comes back."""
+        Half of the fleet is behind the cut.
+        """
         later = self.leader.now() + 10.0 * self.leader.limits.workers.lease_s
         half = [f"m{n}" for n in range(0, self.machines, 2)]
         for name in set(self.ledger.machines) - set(half):
-            handle_heartbeat(self.ledger, shown(self.ledger, name, 50), later)
+            handle_heartbeat(self.ledger, bound_tasks_heartbeat(self.ledger, name, 50), later)
 
-        def come_back() -> None:
+        def recover() -> None:
             sweep(self.ledger, later)
             for name in half:
-                handle_heartbeat(self.ledger, shown(self.ledger, name, 1, incarnation=2), later)
+                handle_heartbeat(
+                    self.ledger, bound_tasks_heartbeat(self.ledger, name, 1, incarnation=2), later
+                )
+
+        return self.cost_of_calls(recover, len(half))
 
-        return self.of_work(come_back, len(half))
+    def cost_of_failover(self) -> Cost:
+        """Return the cost of each machine whose tasks a new leader adopts.
 
-    def of_failover(self) -> Cost:
-        """The next leader hears every machine with its tasks, and has read every job."""
+        The new leader has read every job, and receives a heartbeat of every machine.
+        """
         now = self.leader.now()
-        new = Ledger(self.leader.limits, FENCING_TOKEN + 1, now)
-        new.set_machine_types(MACHINE_TYPES)
+        new_ledger = Ledger(self.leader.limits, FENCING_TOKEN + 1, now)
+        new_ledger.set_machine_types(MACHINE_TYPES)
         heartbeats = [
-            shown(self.ledger, name, 60, fencing_token=FENCING_TOKEN + 1)
+            bound_tasks_heartbeat(self.ledger, name, 60, fencing_token=FENCING_TOKEN + 1)
             for name in self.ledger.machines
         ]
         specs = [job.spec for job in self.ledger.jobs.values()]
 
         def fail_over() -> None:
             for spec in specs:
-                new.add_job(spec, now)
-            for one in heartbeats:
-                new.add_machine(one.worker, one.machine_type, one.zone, False, now, registered=True)
-            new.loaded = True
-            for one in heartbeats:
-                handle_heartbeat(new, one, now, direct=True)
-            sweep(new, now)
+                new_ledger.add_job(spec, now)
+            for message in heartbeats:
+                new_ledger.add_machine(
+                    message.worker, message.machine_type, message.zone, False, now, registered=True
+                )
+            new_ledger.loaded = True
+            for message in heartbeats:
+                handle_heartbeat(new_ledger, message, now, direct=True)
+            sweep(new_ledger, now)
 
-        return self.of_work(fail_over, len(heartbeats))
+        return self.cost_of_calls(fail_over, len(heartbeats))
 
 
 def start_seconds() -> float:
-    """Processor time of one start, imports only, as the platform starts it: the least of five."""
-    found = []
+    """Return the least processor time of five starts, which end after the imports."""
+    durations = []
     for _ in range(5):
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         subprocess.run(
@@ -323,95 +338,100 @@
             env={"PYTHONDONTWRITEBYTECODE": "1"},
         )
         after = resource.getrusage(resource.RUSAGE_CHILDREN)
-        found.append(after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime)
-    return min(found)
+        durations.append(after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime)
+    return min(durations)
 
 
-Row = tuple[str, Cost, float]  # what is done, what it takes, how often in a second
+Row = tuple[str, Cost, float]  # operation, its cost, its rate per second
 
 
 async def measure_requests(bench: Bench, heartbeats_per_s: float) -> list[Row]:
-    """The costs of requests, on the side of the controllers."""
-    rare, often = heartbeats_per_s * ENDED_PART, heartbeats_per_s * (1.0 - ENDED_PART)
+    """Measure the cost of requests to the controllers."""
+    with_end_per_s, unchanged_per_s = (
+        heartbeats_per_s * TASK_END_SHARE,
+        heartbeats_per_s * (1.0 - TASK_END_SHARE),
+    )
     leader, follower = bench.endpoints[0], bench.endpoints[2]
     probes: list[HttpRequest] = [("GET", wire_names.READY_PATH, None)] * REQUESTS
     return [
-        ("heartbeat, nothing new", await bench.of_heartbeats(3, 0), often),
-        ("heartbeat, nothing new, again", await bench.of_heartbeats(4, 0), 0.0),
-        ("heartbeat with a task's end", await bench.of_heartbeats(5, 1), rare),
-        ("poll at the leader", await bench.of_polls(leader), POLLS_PER_S),
-        ("poll at a follower (both)", await bench.of_polls(follower), POLLS_PER_S),
-        ("submission", await bench.of_submissions(), SUBMISSIONS_PER_S),
-        ("health check", await bench.of_requests(leader, probes, 200), PROBES_PER_S),
-        ("call to a peer (both)", await bench.of_peer_calls(), CALLS_PER_S),
+        ("unchanged heartbeat", await bench.cost_of_heartbeats(3, 0), unchanged_per_s),
+        ("unchanged heartbeat, repeated", await bench.cost_of_heartbeats(4, 0), 0.0),
+        ("heartbeat with the end of a task", await bench.cost_of_heartbeats(5, 1), with_end_per_s),
+        ("poll at the leader", await bench.cost_of_polls(leader), POLLS_PER_S),
+        ("poll at a follower (both sides)", await bench.cost_of_polls(follower), POLLS_PER_S),
+        ("submission", await bench.cost_of_submissions(), SUBMISSIONS_PER_S),
+        ("health check", await bench.cost_of_requests(leader, probes, 200), PROBES_PER_S),
+        ("peer call (both sides)", await bench.cost_of_peer_calls(), PEER_CALLS_PER_S),
     ]
 
 
 def measure_loops(bench: Bench) -> list[Row]:
-    """The costs of what the leader does by itself."""
+    """Measure the cost of the leader's periodic work and of rare events."""
     now, term = bench.leader.now, bench.term
     log = logging.getLogger("salthead.profile")
 
     def plan_fleet() -> None:
         fleet_plan.plan(bench.ledger, now(), fleet_plan.CapacityBackoff(), {})
 
-    def write_lines() -> None:
+    def write_log_lines() -> None:
         for n in range(REQUESTS):
             log.info("machine %s up", n)
 
     return [
         (
-            "pass of placement",
-            bench.of_work(lambda: term.scheduling_loop.run_pass(now())),
+            "scheduling pass",
+            bench.cost_of_calls(lambda: term.scheduling_loop.run_pass(now())),
             PASSES_PER_S,
         ),
         (
-            "sweep over the machines",
-            bench.of_work(lambda: term.scheduling_loop.sweep(now())),
+            "sweep of the machines",
+            bench.cost_of_calls(lambda: term.scheduling_loop.sweep(now())),
             SWEEPS_PER_S,
         ),
-        ("plan of the fleet", bench.of_work(plan_fleet), PLANS_PER_S),
+        ("fleet plan", bench.cost_of_calls(plan_fleet), FLEET_PLANS_PER_S),
         (
-            "account of the cost",
-            bench.of_work(lambda: term.fleet_metrics.account(now())),
-            ACCOUNTS_PER_S,
+            "update of the cost metrics",
+            bench.cost_of_calls(lambda: term.fleet_metrics.account(now())),
+            COST_UPDATES_PER_S,
         ),
-        ("log line", bench.of_work(write_lines, REQUESTS), LOG_LINES_PER_S),
-        ("job of a burst, placed", bench.of_burst(), 0.0),
-        ("machine at a failover", bench.of_failover(), 0.0),
-        ("machine that returns from a cut", bench.of_return(), 0.0),
+        ("log line", bench.cost_of_calls(write_log_lines, REQUESTS), LOG_LINES_PER_S),
+        ("job of a burst, with its placement", bench.cost_of_burst(), 0.0),
+        ("machine in a failover", bench.cost_of_failover(), 0.0),
+        ("machine that recovers from a cut", bench.cost_of_recovery(), 0.0),
     ]
 
 
 async def measure(machines: int, heartbeat_interval_s: float, seconds: bool) -> list[Row]:
-    """All costs at one size of the fleet, with how often each occurs."""
+    """Measure all costs and rates for a number of machines."""
     bench = Bench(machines, seconds)
     requests = await measure_requests(bench, machines / heartbeat_interval_s)
     return [*requests, *measure_loops(bench)]
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the table of costs."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--machines", type=int, default=570)
     parser.add_argument("--report-s", dest="heartbeat_interval_s", type=float, default=3.0)
     parser.add_argument(
         "--seconds",
         action="store_true",
-        help="processor time instead of calls; differs from run to run",
+        help="measure processor time instead of calls; differs from run to run",
     )
-    words = parser.parse_args()
-    with open(os.devnull, "w") as nowhere:
-        logging.basicConfig(stream=nowhere, level=logging.INFO)
-        table = asyncio.run(measure(words.machines, words.heartbeat_interval_s, words.seconds))
-    unit = "microseconds" if words.seconds else "calls"
-    print(f"{words.machines} machines, a heartbeat every {words.heartbeat_interval_s:g} s")
-    print(f"{'what':34} {unit:>12} {'a second':>9} {unit + ' a second':>22}")
-    for what, cost, rate in table:
-        one = cost.seconds * 1e6 if words.seconds else cost.calls
-        print(f"{what:34} {one:12.1f} {rate:9.1f} {one * rate:22.0f}")
-    if words.seconds:
-        print(f"a start (imports, to the settings): {start_seconds():.3f} s")
+    options = parser.parse_args()
+    with open(os.devnull, "w") as null_device:
+        logging.basicConfig(stream=null_device, level=logging.INFO)
+        table = asyncio.run(
+            measure(options.machines, options.heartbeat_interval_s, options.seconds)
+        )
+    unit = "microseconds" if options.seconds else "calls"
+    print(f"{options.machines} machines, a heartbeat every {options.heartbeat_interval_s:g} s")
+    print(f"{'operation':34} {unit:>12} {'per s':>9} {unit + ' per s':>22}")
+    for operation, cost, rate in table:
+        amount = cost.seconds * 1e6 if options.seconds else cost.calls
+        print(f"{operation:34} {amount:12.1f} {rate:9.1f} {amount * rate:22.0f}")
+    if options.seconds:
+        print(f"start (imports, up to the settings): {start_seconds():.3f} s")
 
 
 if __name__ == "__main__":
