--- a/src/salthead/policy.py
+++ b/src/salthead/policy.py
@@ -21,10 +21,10 @@
 
 
 class ZonePolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Thresholds for the loss and recovery of a zone, and the slow start after it."""
+    """Thresholds for the loss and recovery of a zone, and for the slow start that follows."""
 
     enabled: bool
-    min_machines: int  # minimum number of silent machines for a zone to be suspected or lost
+    min_machines: int  # minimum number of silent machines to suspect a zone
     suspect_share: float  # share of machines with overdue heartbeats that makes a zone suspected
     lost_share: float  # share of machines with expired leases that makes a zone lost
     return_share: float  # share of machines with heartbeats again that starts the recovery
@@ -33,7 +33,7 @@
     penalty_half_life_s: float  # half-life of the penalty for earlier losses
     steps: list[float]  # share of the zone's machines that may get new work, per slow-start step
     step_s: float  # minimum duration of a step
-    max_hold_s: float = msgspec.field(name="hold_most_s")  # maximum delay of a step by slow starts
+    max_hold_s: float = msgspec.field(name="hold_most_s")  # maximum time a step is held back
     slow_factor: float  # ratio to the usual start time above which a start is slow
     # Time after which machines are provisioned in a lost zone to probe whether it has recovered.
     probe_after_s: float
--- a/src/salthead/settings.py
+++ b/src/salthead/settings.py
@@ -56,7 +56,7 @@
     cancel_s: float
 
 
-STATE_LIMITS = ("rps", "write_rps", "value_kb", "txn_ops")
+STATE_LIMIT_NAMES = ("rps", "write_rps", "value_kb", "txn_ops")
 
 
 class UpcomingStateLimits(msgspec.Struct):
@@ -87,7 +87,7 @@
             return self
         smaller = {
             name: min(getattr(self, name), value)
-            for name in STATE_LIMITS
+            for name in STATE_LIMIT_NAMES
             if (value := getattr(self.upcoming, name)) is not None
         }
         return msgspec.structs.replace(self, upcoming=None, **smaller)
@@ -138,7 +138,7 @@
 NON_NEGATIVE_QUOTAS = ("cpu_share", "ram_mb", "max_connections")
 POSITIVE_ENTRIES = {
     "settings.workers": ("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"),
-    "settings.state": STATE_LIMITS,
+    "settings.state": STATE_LIMIT_NAMES,
     "settings.cloud": ("rps",),
 }
 
