--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -148,10 +148,10 @@
         self.leader_view.member = None
         own = record is not None and record.member == self.member
         token_row = await state_store.get(records.FENCING_TOKEN, urgent=True)
-        if self.leader_stickiness.indeterminate:
+        if self.leader_stickiness.campaign_indeterminate:
             # Without its lease an earlier request can't be carried out any more.
             await state_store.revoke_lease(self.campaign.lease_id)
-            self.leader_stickiness.indeterminate = False
+            self.leader_stickiness.campaign_indeterminate = False
         if not self._may_become_leader(own, token_row is None):
             await self.context.sleep_with_jitter(RETRY_S)
             return
@@ -180,7 +180,7 @@
         fencing_token = next_fencing_token(token_row.value if token_row else None)
         campaign.nonce = uuid.uuid4().hex[:12]
         leader = LeaderRecord(self.member, self.run_id, fencing_token, campaign.nonce)
-        self.leader_stickiness.indeterminate = True
+        self.leader_stickiness.campaign_indeterminate = True
         try:
             await self.context.state_store.transaction(
                 {
@@ -196,7 +196,7 @@
                 ],
                 urgent=True,
             )
-            self.leader_stickiness.indeterminate = False
+            self.leader_stickiness.campaign_indeterminate = False
         except (ConflictError, RequestRefusedError, LeaseExpiredError):
-            self.leader_stickiness.indeterminate = False
+            self.leader_stickiness.campaign_indeterminate = False
             raise
--- a/src/salthead/controller/zone_lease_delegate.py
+++ b/src/salthead/controller/zone_lease_delegate.py
@@ -64,7 +64,7 @@
     async def _ask(self) -> None:
         """Ask the leader through the state service, and wait a little for its permission."""
         member = self.member
-        request = self.lease.ask(
+        request = self.lease.new_request(
             self.leader_view.fencing_token,
             uuid.uuid4().hex[:12],
             self.context.settings.area,
@@ -76,7 +76,7 @@
         for _ in range(ANSWER_CHECKS):
             await self.context.sleep_with_jitter(self.lease.ttl / 24.0)
             row = await self.context.state_store.get(records.DELEGATIONS + member, urgent=True)
-            if row is not None and self.lease.allowed(row.value):
+            if row is not None and self.lease.accept_grant(row.value):
                 return
 
     async def _withdraw(self) -> None:
--- a/src/salthead/leases/__init__.py
+++ b/src/salthead/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Lease arithmetic: the leader, the workers, and zones whose leases are delegated. No I/O."""
+"""Lease arithmetic for the leader, the workers, and zones with delegated leases. No I/O."""
--- a/src/salthead/leases/redirects.py
+++ b/src/salthead/leases/redirects.py
@@ -1,15 +1,15 @@
-"""Which workers were redirected to the leader shortly before, and so can't reach it."""
+"""Detection of workers that come back after a redirect because they can't reach the leader."""
 
 from __future__ import annotations
 
 import math
 
-# Workers, at the least, before those of long ago are looked for.
+# Up to this number of workers, old entries are not removed.
 MIN_REMEMBERED_REDIRECTS = 5000
 
 
 class RedirectHistory:
-    """When each worker was last here, and redirected."""
+    """When each worker was last redirected by this controller."""
 
     # A worker that comes back within this long after it was redirected can't reach the leader.
     RETURN_WINDOW_S = 15.0
@@ -19,13 +19,13 @@
         self.max_remembered = MIN_REMEMBERED_REDIRECTS
 
     def record(self, worker: str, now: float) -> bool:
-        """Note that a worker is here; whether it had been redirected shortly before."""
-        before = self.redirected_at.get(worker, -math.inf)
+        """Record a worker's request; return whether it had been redirected shortly before."""
+        previous = self.redirected_at.get(worker, -math.inf)
         if len(self.redirected_at) > self.max_remembered:
             self.redirected_at = {
                 w: at for w, at in self.redirected_at.items() if now - at < self.RETURN_WINDOW_S
             }
-            # Twice as many as there are now: a larger fleet must not be walked at each heartbeat.
+            # Twice the remaining number, so that a large fleet is not scanned at every heartbeat.
             self.max_remembered = max(MIN_REMEMBERED_REDIRECTS, 2 * len(self.redirected_at))
         self.redirected_at[worker] = now
-        return now - before < self.RETURN_WINDOW_S
+        return now - previous < self.RETURN_WINDOW_S
--- a/src/salthead/leases/zone_leases.py
+++ b/src/salthead/leases/zone_leases.py
@@ -1,10 +1,11 @@
-"""Leases of a zone that the leader can't reach, kept alive by a controller that is in there.
+"""Delegated leases of a zone: a controller inside it renews them for a leader that is cut off.
 
-A cut between zones lasts longer than a worker's lease, and all that runs beyond it would be lost.
-The state service is cut from nobody, so a controller behind the cut asks the leader through it, and
-the leader allows it, to answer that zone's heartbeats in its name: with its token and without
-orders. What is allowed ends by itself after a time that both sides know. The leader counts no lease
-of the zone from before that time, and it stops allowing when something in the zone has to end.
+A network cut between zones lasts longer than a worker's lease, so that without delegation all tasks
+on the far side would be lost. The state service is reachable from every zone. A controller on the
+far side requests a delegation from the leader through it, and may then answer the heartbeats of its
+zone with the leader's fencing token and without commands. A delegation expires by itself after a
+time that both sides know. The leader counts the leases of the zone from that time at the earliest,
+and it grants no further delegation when a task in the zone has to end.
 """
 
 from __future__ import annotations
@@ -12,52 +13,58 @@
 import math
 from typing import Any
 
-from salthead.leases.leader_lease import DRIFT, valid_until
+from salthead.leases.leader_lease import MAX_CLOCK_DRIFT, valid_until
 from salthead.leases.redirects import RedirectHistory
 
 
 def counted_until(seen: float, ttl: float) -> float:
-    """Until when a worker may be answered on a request that the leader saw at ``seen``.
+    """Return the end of a delegation whose request the leader saw at ``seen``, as it counts it.
 
-    The one who asks counts from before it asked, and stops early; this errs late.
+    The delegate counts from before it wrote the request and stops early; this bound errs late.
     """
-    return seen + ttl * (1.0 + DRIFT) + 0.1
+    return seen + ttl * (1.0 + MAX_CLOCK_DRIFT) + 0.1
 
 
 class ZoneLease:
-    """The controller's side: when it may answer in the leader's name."""
+    """The delegate's side of a delegation: when it may answer workers for the leader."""
 
     def __init__(self, ttl: float) -> None:
         self.ttl = ttl
         self.fencing_token = 0
-        self.nonce = ""
-        self.asked = -math.inf
-        self.until = -math.inf
+        self.nonce = ""  # of the latest request
+        self.requested_at = -math.inf
+        self.expires_at = -math.inf
         self.redirects = RedirectHistory()
 
-    def ask(self, fencing_token: int, nonce: str, area: str, now: float) -> dict[str, Any]:
-        """What to write, before it is written."""
+    def new_request(self, fencing_token: int, nonce: str, area: str, now: float) -> dict[str, Any]:
+        """Return the record that requests a delegation; it counts from ``now``.
+
+        A delegation under another fencing token ends.
+        """
         if fencing_token != self.fencing_token:
             self.stop()
-        self.fencing_token, self.nonce, self.asked = fencing_token, nonce, now
+        self.fencing_token, self.nonce, self.requested_at = fencing_token, nonce, now
         return {"token": fencing_token, "nonce": nonce, "area": area}
 
-    def allowed(self, value: Any) -> bool:
-        """What the leader wrote in return: only an answer to the latest question counts."""
-        answers = (
+    def accept_grant(self, value: Any) -> bool:
+        """Extend the delegation by the leader's record; return whether it grants the last request.
+
+        A record with the nonce or the fencing token of another request is ignored.
+        """
+        granted = (
             type(value) is dict
             and bool(self.nonce)
             and (value.get("token") == self.fencing_token and value.get("nonce") == self.nonce)
         )
-        if answers:
-            self.until = max(self.until, valid_until(self.asked, self.ttl))
-        return answers
+        if granted:
+            self.expires_at = max(self.expires_at, valid_until(self.requested_at, self.ttl))
+        return granted
 
     def valid(self, fencing_token: int, now: float) -> bool:
-        """Whether workers may be answered under the leader's token now."""
-        return fencing_token == self.fencing_token and now < self.until
+        """Return whether workers may be answered with this fencing token at ``now``."""
+        return fencing_token == self.fencing_token and now < self.expires_at
 
     def stop(self) -> None:
-        """Answer in nobody's name any more."""
+        """End the delegation, and ignore grants of earlier requests."""
         self.nonce = ""
-        self.until = -math.inf
+        self.expires_at = -math.inf
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -92,5 +92,5 @@
 
     def test_no_promise_while_an_own_try_is_in_doubt(self) -> None:
         peer = LeaderStickiness(5.0, 0.0)
-        peer.indeterminate = True
+        peer.campaign_indeterminate = True
         assert not peer.withhold_vote(50.0)
