--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -1,5 +1,7 @@
-"""How a controller becomes the leader: by the leader's key in the state service, unless it has
-withheld its vote."""
+"""Leader election: compare-and-swap on the leader's key in the state service.
+
+A controller that withholds its vote from an election does not campaign.
+"""
 
 from __future__ import annotations
 
@@ -31,33 +33,33 @@
 )
 from salthead.transport.client import UnansweredError
 
-WATCH_S = 8.0  # one watch of the leader's key
+LEADER_WATCH_S = 8.0
 RETRY_S, CONFLICT_RETRY_S, ERROR_RETRY_S = 0.2, 0.05, 0.4
 VOTE_CHECK_TIMEOUT_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ElectedTerm:
-    """The term that a campaign has won, and the lease that it is held under."""
+    """A term won by a campaign, and the lease that it is held under."""
 
     fencing_token: int
     revision: int  # of the leader's key
     lease_id: int
-    lease_sent_at: float  # when the lease was asked for: it counts from then
+    lease_sent_at: float  # when the lease was requested; it counts from then
     ttl: float
 
 
 @dataclass
 class Campaign:
-    """The latest request to become the leader."""
+    """This controller's latest attempt to become the leader."""
 
-    nonce: str = ""  # empty: none, or its term is over
-    lease_id: int = 0  # the lease that it was made under
-    sent: float = 0.0  # from when that lease counts
+    nonce: str = ""  # empty before the first campaign and after the end of a term
+    lease_id: int = 0
+    lease_sent_at: float = 0.0  # when the lease was requested; it counts from then
 
 
 class Election:
-    """One controller's part in the election of a leader, for as long as its process lives."""
+    """One controller's part in leader elections, for the lifetime of its process."""
 
     def __init__(
         self,
@@ -68,7 +70,7 @@
     ) -> None:
         self.context = context
         self.member = context.settings.member
-        self.run_id = uuid.uuid4().hex[:12]  # of this process
+        self.run_id = uuid.uuid4().hex[:12]  # identifies this process among runs of the member
         self.leader_view = leader_view
         self.leader_stickiness = leader_stickiness
         self.lead = lead
@@ -76,16 +78,19 @@
         self.campaign = Campaign()
 
     async def loop(self) -> None:
-        """Watch the leader's key, campaign when there is no leader, and lead after a campaign that
-        was won."""
+        """Follow the leader, campaign when there is none, and lead after winning a campaign."""
         while True:
             try:
                 row = await self.context.state_store.get(records.LEADER, urgent=True)
                 record = None if row is None else decode_leader(row.value)
-                if row is not None and record is not None and self._won(record):
-                    await self._lead(row, record)
-                elif row is not None and record is not None and not self._of_ended_process(record):
-                    await self._follow(row, record)
+                if row is not None and record is not None and self._won_campaign(record):
+                    await self._lead_term(row, record)
+                elif (
+                    row is not None
+                    and record is not None
+                    and not self._is_from_own_ended_process(record)
+                ):
+                    await self._follow_leader(row, record)
                 else:
                     await self._campaign(row, record)
             except ConflictError:
@@ -95,10 +100,11 @@
                 await self.context.sleep_with_jitter(ERROR_RETRY_S)
 
     async def withhold_vote(self, member: str) -> bool:
-        """Promise a leader that lost the state service not to campaign for a while.
+        """Withhold this controller's vote for a leader that lost the state service.
 
-        Only when this controller can't reach the service either: where the leader alone is refused,
-        another controller has to take over, since outcomes could not be written otherwise.
+        Return False, and withhold nothing, if this controller reaches the service, does not follow
+        that leader, or has a campaign whose outcome is not known. Where the service refuses the
+        leader alone, another controller has to take over, since otherwise no outcomes are written.
         """
         if self.leader_view.term is not None or self.leader_view.member != member:
             return False
@@ -113,23 +119,23 @@
             self.context.now()
         )
 
-    def _won(self, record: LeaderRecord) -> bool:
+    def _won_campaign(self, record: LeaderRecord) -> bool:
         if not self.campaign.nonce:
             return False
         return record.member == self.member and record.nonce == self.campaign.nonce
 
-    def _of_ended_process(self, record: LeaderRecord) -> bool:
-        """Whether an earlier process of this very member led: its key can be replaced at once."""
+    def _is_from_own_ended_process(self, record: LeaderRecord) -> bool:
+        """Return whether an ended process of this member led: its key can be replaced at once."""
         return record.member == self.member and record.run_id != self.run_id
 
-    async def _lead(self, row: VersionedValue, record: LeaderRecord) -> None:
+    async def _lead_term(self, row: VersionedValue, record: LeaderRecord) -> None:
         self.leader_view.member = self.member
         await self.lead(
             ElectedTerm(
                 record.fencing_token,
                 row.revision,
                 self.campaign.lease_id,
-                self.campaign.sent,
+                self.campaign.lease_sent_at,
                 self.ttl,
             )
         )
@@ -137,36 +143,42 @@
         self.leader_view.member = None
         await self.context.sleep_with_jitter(RETRY_S)
 
-    async def _follow(self, row: VersionedValue, record: LeaderRecord) -> None:
+    async def _follow_leader(self, row: VersionedValue, record: LeaderRecord) -> None:
         self.leader_view.member = record.member
         self.leader_view.fencing_token = record.fencing_token
-        await self.context.state_store.watch(records.LEADER, row.revision, WATCH_S)
+        await self.context.state_store.watch(records.LEADER, row.revision, LEADER_WATCH_S)
 
     async def _campaign(self, row: VersionedValue | None, record: LeaderRecord | None) -> None:
-        """There is no leader, or an ended process of this member is named as one."""
+        """Try to become the leader.
+
+        There is none, or the leader's key names an ended process of this member.
+        """
         state_store = self.context.state_store
         self.leader_view.member = None
-        own = record is not None and record.member == self.member
+        own_key = record is not None and record.member == self.member
         token_row = await state_store.get(records.FENCING_TOKEN, urgent=True)
         if self.leader_stickiness.campaign_indeterminate:
-            # Without its lease an earlier request can't be carried out any more.
+            # Once its lease is revoked, the earlier request can't be executed any more.
             await state_store.revoke_lease(self.campaign.lease_id)
             self.leader_stickiness.campaign_indeterminate = False
-        if not self._may_become_leader(own, token_row is None):
+        if not self._may_become_leader(own_key, token_row is None):
             await self.context.sleep_with_jitter(RETRY_S)
             return
-        self.campaign.sent = self.context.now()
+        self.campaign.lease_sent_at = self.context.now()
         self.campaign.lease_id = await state_store.grant_lease(self.ttl)
-        # Once more, with nothing awaited between this and the request to become the leader.
-        if not self._may_become_leader(own, token_row is None):
+        # Checked again: the vote may have been withheld during the calls above. Nothing is awaited
+        # between this check and the request to become the leader.
+        if not self._may_become_leader(own_key, token_row is None):
             await state_store.revoke_lease(self.campaign.lease_id)
             await self.context.sleep_with_jitter(RETRY_S)
             return
         await self._become_leader(row, token_row)
 
-    def _may_become_leader(self, own: bool, first_ever: bool) -> bool:
-        """Asked right after the state service has answered."""
-        vote_withheld = not self.leader_stickiness.may_campaign(self.context.now(), own, first_ever)
+    def _may_become_leader(self, own_key: bool, first_ever: bool) -> bool:
+        """Return whether a campaign is permitted, right after an answer of the state service."""
+        vote_withheld = not self.leader_stickiness.may_campaign(
+            self.context.now(), own_key, first_ever
+        )
         held = Precondition.STATE_SERVICE | (
             Precondition(0) if vote_withheld else Precondition.VOTE_NOT_WITHHELD
         )
@@ -175,7 +187,7 @@
     async def _become_leader(
         self, row: VersionedValue | None, token_row: VersionedValue | None
     ) -> None:
-        """Set the leader's key in one transaction that also raises the fencing token."""
+        """Write the leader's key and the next fencing token in one transaction."""
         campaign = self.campaign
         fencing_token = next_fencing_token(token_row.value if token_row else None)
         campaign.nonce = uuid.uuid4().hex[:12]
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -1,4 +1,4 @@
-"""Accepting jobs: what is checked, what is written, and which other controller may write it."""
+"""Acceptance of jobs: validation, durable records, and forwarding to another controller."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 
 log = logging.getLogger(__name__)
 
-# A submission has 5 s; what was looked up by then is known when it comes again.
+# A submission has to be answered within 5 s. What was looked up is cached for its retry.
 MAX_LOOKUP_S = 3.0
 FORWARD_TIMEOUT_S = 0.8
-CPU_TOLERANCE = 1e-6  # for sums of CPUs, which are not exact
+CPU_TOLERANCE = 1e-6  # for rounding errors in sums of CPUs
 
 
 class SubmissionResult(NamedTuple):
-    """What the user is told of a submitted job, and whether it is new."""
+    """The status of a submitted job, and whether this submission created it."""
 
     status: JobStatus
     created: bool
 
 
 class Submissions:
-    """Submissions to one controller."""
+    """Accepts the jobs that are submitted to one controller."""
 
     def __init__(
         self,
@@ -65,11 +65,12 @@
         self.job_status = job_status
 
     async def submit(self, job: Submission, forwarded: bool = False) -> SubmissionResult:
-        """Accept a job, or tell the status of one that was accepted before.
+        """Accept a job, or return the status of one that was accepted before.
 
-        ``forwarded``: by another controller, so it is not forwarded again. InvalidJobError if the
-        job can never run; UnavailableError and errors of the state service if that, or whether it
-        is accepted, is not known now.
+        ``forwarded``: another controller forwarded it, so it is not forwarded again.
+
+        Raises InvalidJobError if the job can never run, and UnavailableError or an error of the
+        state service if it is not known whether it can run or whether it was accepted.
         """
         if self.load.overloaded():
             raise UnavailableError("overloaded")
@@ -80,12 +81,12 @@
             self.load.submissions_in_progress -= 1
 
     async def _accept(self, job: Submission, forwarded: bool) -> SubmissionResult:
-        if (known := await self._known(job.job_id)) is not None:
-            return SubmissionResult(known, created=False)
+        if (status := await self._known_status(job.job_id)) is not None:
+            return SubmissionResult(status, created=False)
         try:
-            rows, dependency_cancelled = await self._rows_of(job)
+            rows, dependency_cancelled = await self._build_records(job)
         except InvalidJobError:
-            # A repeat of a job that was accepted must not be refused, whatever changed since.
+            # A retry of an accepted job must not be refused, even if its checks fail by now.
             if (status := await self.job_reader.read(job.job_id)) is not None:
                 return SubmissionResult(status, created=False)
             raise
@@ -109,8 +110,8 @@
         job.more = len(rows) - 1
         return SubmissionResult(self._remember_accepted(job, revision), created=True)
 
-    async def _known(self, job_id: str) -> JobStatus | None:
-        """The status of a job that this controller knows, in its memory or as the leader."""
+    async def _known_status(self, job_id: str) -> JobStatus | None:
+        """Return the status of a job that is in the cache or, at the leader, in the ledger."""
         outcome = self.job_cache.terminal_outcomes.get(job_id)
         if outcome is not None:
             return outcome.status(job_id)
@@ -122,13 +123,19 @@
     # -- checks -------------------------------------------------------------------------
 
     def _check(self, job: Submission) -> None:
-        """InvalidJobError or UnavailableError by what is known of teams and machine types."""
+        """Check a job against the team's limit and the machine types.
+
+        Raises InvalidJobError, or UnavailableError while the machine types are not known. Drops
+        unknown names from the machine types that the job allows.
+        """
         self._check_team_limit(job)
         if not self.context.machine_types:
             raise UnavailableError("machine types not known yet")
-        if not any(_fits(job, found) for found in self.context.machine_types.values()):
+        if not any(
+            _fits(job, machine_type) for machine_type in self.context.machine_types.values()
+        ):
             raise InvalidJobError("a task fits no allowed machine type")
-        if job.machine_types is not None:  # only names that exist are kept
+        if job.machine_types is not None:
             job.machine_types = sorted(
                 {name for name in job.machine_types if name in self.context.machine_types}
             )
@@ -137,16 +144,19 @@
         team = next((team for team in self.context.limits.teams if team.name == job.team), None)
         if team is None:
             raise InvalidJobError(f"unknown team {job.team[:60]}")
-        at_once = job.task_count if job.shape == wire_names.GANG else 1
-        gpus = job.accelerators * at_once
+        concurrent_tasks = job.task_count if job.shape == wire_names.GANG else 1
+        gpus = job.accelerators * concurrent_tasks
         if (
-            job.vcpus * at_once > team.max_cpus + CPU_TOLERANCE
+            job.vcpus * concurrent_tasks > team.max_cpus + CPU_TOLERANCE
             or gpus > team.max_gpus + CPU_TOLERANCE
         ):
             raise InvalidJobError("more than the team's limit")
 
     async def _check_dependencies(self, job: Submission) -> bool:
-        """Whether a dependency was cancelled; InvalidJobError if one was never accepted."""
+        """Return whether a dependency was cancelled.
+
+        Raises InvalidJobError if one was never accepted.
+        """
         depends_on = job.depends_on or []
         for job_id in depends_on:
             if job_id == job.job_id or not JOB_ID.match(job_id):
@@ -157,11 +167,16 @@
 
     # -- records ------------------------------------------------------------------------
 
-    async def _rows_of(self, job: Submission) -> tuple[list[tuple[str, dict[str, Any]]], bool]:
-        """The records of a new job, and whether a dependency was cancelled; or InvalidJobError."""
+    async def _build_records(
+        self, job: Submission
+    ) -> tuple[list[tuple[str, dict[str, Any]]], bool]:
+        """Return the records of a new job, and whether a dependency was cancelled.
+
+        Raises InvalidJobError if the job can never run or is too large to be stored.
+        """
         self._check(job)
         dependency_cancelled = bool(job.depends_on) and await self._check_dependencies(job)
-        # The time is set before the record is made, for what it takes up in it.
+        # Set before the records are built, since their size includes it.
         job.at = time.time()
         limits = self.context.state_limits
         try:
@@ -169,7 +184,7 @@
         except records.RecordTooLargeError as error:
             raise InvalidJobError(str(error)) from None
         if dependency_cancelled:
-            # The job's outcome follows from that of its dependency before anything is written.
+            # The job is cancelled with its dependency, so only its outcome is written.
             value = records.outcome_value(job, wire_names.ABORTED, job.at, limits.value_kb)
             rows = [(records.outcome_key(job.job_id), value)]
         return rows, dependency_cancelled
@@ -179,7 +194,7 @@
         return JobStatus(job.job_id, wire_names.ABORTED)
 
     def _remember_accepted(self, job: Submission, revision: int) -> JobStatus:
-        """The job is durable, by a write with this revision: what its user is told."""
+        """Remember a job that was written at ``revision``, and return its status."""
         self.job_cache.remember_accepted(job)
         term = self.leader_view.leading()
         if term is not None and term.ledger.loaded:
@@ -189,10 +204,10 @@
     # -- other controllers --------------------------------------------------------------
 
     async def _forward(self, job: Submission) -> SubmissionResult:
-        """Let another controller accept a job that this one can't write.
+        """Forward a job that this controller can't write to its peers, in turn.
 
-        The state service may refuse this controller alone. A job has one id, so that two
-        controllers may try to accept it.
+        The state service may refuse this controller alone. Writes are conditional on the job's id,
+        so that it is accepted only once even if several controllers try.
         """
         if self.connectivity.refused_alone():
             for peer in self.context.peers.values():
@@ -201,19 +216,19 @@
         raise UnavailableError("the state service does not answer")
 
     async def _forward_to(self, peer: HttpClient, job: Submission) -> SubmissionResult | None:
-        """What a peer answers to a submission; None if it is not accepted there."""
+        """Forward a job to a peer; return None if the peer does not accept it."""
         try:
             answer = await peer.call(
                 "POST", wire_names.PEER_SUBMIT_PATH, job, timeout=FORWARD_TIMEOUT_S
             )
-            return _result_in(answer, job.job_id)
+            return _decode_result(answer, job.job_id)
         except (UnansweredError, MalformedMessageError) as error:
             self.context.log_throttled("pass on", error)
             return None
 
 
 def _fits(job: Submission, machine_type: MachineType) -> bool:
-    """Whether one task of a job fits an empty machine of a type that it allows."""
+    """Return whether the job allows a machine type, and one task fits an empty machine of it."""
     return (
         job.vcpus <= machine_type.vcpus
         and job.accelerators <= machine_type.accelerators
@@ -223,8 +238,11 @@
     )
 
 
-def _result_in(answer: Answer, job_id: str) -> SubmissionResult | None:
-    """What a peer answers to a submission; MalformedMessageError if it can't be understood."""
+def _decode_result(answer: Answer, job_id: str) -> SubmissionResult | None:
+    """Decode a peer's answer to a submission; None if the peer did not accept the job.
+
+    Raises MalformedMessageError.
+    """
     if answer.status not in (200, 201):
         return None
     status = shape(answer.body, JobStatus)
