--- a/src/salthead/controller/connectivity.py
+++ b/src/salthead/controller/connectivity.py
@@ -1,4 +1,4 @@
-"""Whether this controller reaches the state service and its peers, and who is redirected by it."""
+"""Evidence on a controller's own links, and on the workers that it redirects to the leader."""
 
 from __future__ import annotations
 
@@ -16,106 +16,115 @@
 from salthead.state_store.client import RequestRefusedError
 from salthead.transport.client import HttpClient, UnansweredError
 
-# A worker whose leader hangs tries the next controller after its time-out of 4 s and 1 s more.
+# A worker whose leader hangs tries the next controller after 5 s: a time-out of 4 s, and 1 s more.
 REDIRECT_WINDOW_S = 6.0
-# The load balancer's probes are about this far apart.
-CONNECTIVITY_TIMEOUT_S = 1.0
+# About the interval of the load balancer's probes.
+CONNECTIVITY_CHECK_INTERVAL_S = 1.0
 
-# For how long a heartbeat that came here may be news to the leader, which asks every two seconds;
-# and of how many it is told at a time: 64 KiB have room for twice as many.
+# How long redirected heartbeats are kept for the leader, which asks for them every 2 s.
 REDIRECTED_HEARTBEAT_WINDOW_S = 6.0
-MAX_LISTED_HEARTBEATS = 1500
+# A body of 64 KiB has room for twice as many.
+MAX_REPORTED_HEARTBEATS = 1500
 
-NEVER = -1e9
+DISTANT_PAST_S = -1e9
 
 
-class SeenHeartbeat(NamedTuple):
-    """A worker's latest heartbeat here although another controller leads, and when it came."""
+class ReceivedHeartbeat(NamedTuple):
+    """The latest heartbeat of a redirected worker, and when it was received."""
 
     heartbeat: RedirectedHeartbeat
-    at: float
+    received_at: float
 
 
 class Connectivity:
-    """One controller's evidence on its own links, for as long as its process lives."""
+    """One controller's evidence on its own links, for the lifetime of its process."""
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        self.last_peer_answer_at = context.now()  # when another controller last answered
-        self.peers_served_at = NEVER  # when one last said that the state service serves it
-        # Workers that this controller redirected, and when; the latest stands last.
-        self.redirected: OrderedDict[str, float] = OrderedDict()
-        # Their latest heartbeats, in the same order.
-        self.seen: OrderedDict[str, SeenHeartbeat] = OrderedDict()
+        self.last_peer_answer_at = context.now()
+        # When a peer last reported that the state service answers it.
+        self.peers_served_at = DISTANT_PAST_S
+        # When each worker was last redirected, by its address; the latest entry is last.
+        self.redirected_at: OrderedDict[str, float] = OrderedDict()
+        # The latest heartbeat of each redirected worker; the latest entry is last.
+        self.heartbeats: OrderedDict[str, ReceivedHeartbeat] = OrderedDict()
 
     async def loop(self) -> None:
-        """Ask the state service, and where it does not answer the peers, until the process ends."""
+        """Probe the state service, and the peers while it does not answer, forever."""
         while True:
-            await self.context.sleep_with_jitter(CONNECTIVITY_TIMEOUT_S)
+            await self.context.sleep_with_jitter(CONNECTIVITY_CHECK_INTERVAL_S)
             if (
                 self.context.state_store.last_response_at
-                >= self.context.now() - CONNECTIVITY_TIMEOUT_S
+                >= self.context.now() - CONNECTIVITY_CHECK_INTERVAL_S
             ):
                 continue
             try:
                 await self.context.state_store.get(
-                    records.LEADER, timeout=CONNECTIVITY_TIMEOUT_S, urgent=True
+                    records.LEADER, timeout=CONNECTIVITY_CHECK_INTERVAL_S, urgent=True
                 )
             except (RequestRefusedError, UnansweredError):
                 await asyncio.gather(
-                    *(self._ask(peer) for peer in self.context.peers.values()),
+                    *(self._probe_peer(peer) for peer in self.context.peers.values()),
                     return_exceptions=True,
                 )
 
-    async def _ask(self, peer: HttpClient) -> None:
-        """Ask a peer whether it is there, and whether the state service serves it."""
+    async def _probe_peer(self, peer: HttpClient) -> None:
+        """Record whether a peer answers, and whether the state service answers that peer."""
         answer = await ask_connectivity(peer)
         if answer is None:
             return
         self.last_peer_answer_at = self.context.now()
         if (
             answer.state_service_s is not None
-            and answer.state_service_s < 2.0 * CONNECTIVITY_TIMEOUT_S
+            and answer.state_service_s < 2.0 * CONNECTIVITY_CHECK_INTERVAL_S
         ):
             self.peers_served_at = self.context.now()
 
     def report(self, to_leader: bool = False) -> ConnectivityReport:
-        """What a peer is told of this controller's links; a leader also, which heartbeats it
-        missed."""
+        """Return this controller's report on its links, for a peer.
+
+        ``to_leader``: with the latest heartbeats that were redirected, which the leader may lack.
+        """
         count = self.redirected_count()
         silence_s = self.context.now() - self.context.state_store.last_response_at
         if not to_leader:
             return ConnectivityReport(count, silence_s)
-        self._forget_old()
-        latest = islice(reversed(self.seen.values()), MAX_LISTED_HEARTBEATS)
-        return ConnectivityReport(count, silence_s, [seen.heartbeat for seen in latest])
+        self._drop_old_heartbeats()
+        latest = islice(reversed(self.heartbeats.values()), MAX_REPORTED_HEARTBEATS)
+        return ConnectivityReport(count, silence_s, [received.heartbeat for received in latest])
 
     def refused_alone(self) -> bool:
-        """Whether the state service serves others, but not this controller: it can take no job."""
+        """Return whether the state service answers a peer but not this controller.
+
+        This controller can then accept no jobs.
+        """
         now = self.context.now()
         return (
-            now - self.context.state_store.last_response_at > 2.0 * CONNECTIVITY_TIMEOUT_S
-            and now - self.peers_served_at < 4.0 * CONNECTIVITY_TIMEOUT_S
+            now - self.context.state_store.last_response_at > 2.0 * CONNECTIVITY_CHECK_INTERVAL_S
+            and now - self.peers_served_at < 4.0 * CONNECTIVITY_CHECK_INTERVAL_S
         )
 
     def cut_off(self) -> bool:
-        """Whether this controller lost the state service and all peers, though workers and users
-        may still reach it: what it knows of the leader is old, and it can decide nothing."""
-        patience = 2.0 * leader_lease.leader_ttl(self.context.limits.workers.lease_s)
+        """Return whether this controller lost both the state service and all peers.
+
+        Workers and users may still reach it, but its view of the leader is stale, and it can't
+        decide anything.
+        """
+        max_silence_s = 2.0 * leader_lease.leader_ttl(self.context.limits.workers.lease_s)
         return (
             self.context.now()
             - max(self.context.state_store.last_response_at, self.last_peer_answer_at)
-            > patience
+            > max_silence_s
         )
 
     def record_redirected_worker(self, source: str) -> None:
-        """A worker came here although another controller leads."""
-        self.redirected[source] = self.context.now()
-        self.redirected.move_to_end(source)
+        """Record that a worker was redirected, by its address."""
+        self.redirected_at[source] = self.context.now()
+        self.redirected_at.move_to_end(source)
 
     def record_redirected_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """A heartbeat came here although another controller leads."""
-        self.seen[heartbeat.worker] = SeenHeartbeat(
+        """Record a heartbeat that was redirected, for reports to the leader."""
+        self.heartbeats[heartbeat.worker] = ReceivedHeartbeat(
             RedirectedHeartbeat(
                 heartbeat.worker,
                 heartbeat.incarnation,
@@ -124,20 +133,21 @@
             ),
             self.context.now(),
         )
-        self.seen.move_to_end(heartbeat.worker)
-        self._forget_old()
+        self.heartbeats.move_to_end(heartbeat.worker)
+        self._drop_old_heartbeats()
 
-    def _forget_old(self) -> None:
+    def _drop_old_heartbeats(self) -> None:
         since = self.context.now() - REDIRECTED_HEARTBEAT_WINDOW_S
-        while self.seen and next(iter(self.seen.values())).at < since:
-            self.seen.popitem(last=False)
+        while self.heartbeats and next(iter(self.heartbeats.values())).received_at < since:
+            self.heartbeats.popitem(last=False)
 
     def redirected_count(self) -> int:
-        """How many workers came here lately although another controller leads.
+        """Return how many workers were redirected within the last ``REDIRECT_WINDOW_S`` seconds.
 
-        Asked at heartbeats, so it looks only at those that have left since it was asked last.
+        Called at each heartbeat, so it visits only the entries that have expired since the last
+        call.
         """
         since = self.context.now() - REDIRECT_WINDOW_S
-        while self.redirected and next(iter(self.redirected.values())) < since:
-            self.redirected.popitem(last=False)
-        return len(self.redirected)
+        while self.redirected_at and next(iter(self.redirected_at.values())) < since:
+            self.redirected_at.popitem(last=False)
+        return len(self.redirected_at)
--- a/src/salthead/controller/job_reader.py
+++ b/src/salthead/controller/job_reader.py
@@ -1,4 +1,4 @@
-"""What a controller reads of jobs in the state service, for answers that its memory can't give."""
+"""Consistent reads of jobs in the state service, for what is not in the cache or the ledger."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from salthead.state_store.client import VersionedValue
 from salthead.transport.client import UnansweredError
 
-# Single reads in a walk over what a job depends on, before all active jobs are read at once.
+# A walk over dependencies that needs more reads than this reads all active jobs at once.
 MAX_SINGLE_READS = 12
 
 
 @dataclass
 class _WalkReads:
-    """What one walk over dependencies has read."""
+    """The reads of one walk over dependencies."""
 
-    count: int = 0
-    active: dict[str, VersionedValue] | None = None  # all active jobs, once they are read
+    count: int = 0  # of jobs that were not in memory
+    active_jobs: dict[str, VersionedValue] | None = None  # once they have been listed
 
 
 class JobReader:
-    """Consistent reads of one controller."""
+    """Reads jobs for one controller, and caches what can't change."""
 
     def __init__(
         self, context: ControllerContext, leader_view: LeaderView, job_cache: JobCache
@@ -41,7 +41,10 @@
         self.job_cache = job_cache
 
     async def whole(self, spec: Submission) -> Submission:
-        """A job with all its dependencies, where its record is continued in further values."""
+        """Return a job with all its dependencies, including those stored under further keys.
+
+        Raises UnansweredError if one of these keys is missing.
+        """
         depends_on = list(spec.depends_on or [])
         for number in range(spec.more):
             row = await self.context.state_store.get(records.dependencies_key(spec.job_id, number))
@@ -56,23 +59,23 @@
         end: float = math.inf,
         every: bool = False,
     ) -> bool:
-        """Whether one of these jobs, or any that they depend on, was cancelled.
+        """Return whether one of these jobs, or any job that they depend on, was cancelled.
 
-        ``every``: each of them has to have been accepted, also beside one that was cancelled.
-        Seen on troubles, prairie-ledger-next: the first was cancelled, and the next, which nobody
-        had submitted, was not looked up.
+        ``every``: check that each of these jobs was accepted, even after a cancelled one is found.
+        Without it, a job could be accepted that depends on a cancelled job and on one that was
+        never submitted.
 
-        The durable outcome of the cancelled one decides; it needs no leader to be told. A job
-        whose own outcome is known needs no look at what it depends on. Raises InvalidJobError if
-        one of them was never accepted, and UnavailableError if that is not known by ``end``.
+        The durable outcome of the cancelled job decides, so no leader is needed. The dependencies
+        of a job with an outcome are not looked up. Raises InvalidJobError if one of the jobs was
+        never accepted, and UnavailableError if the walk has not ended by ``end``.
         """
-        named, seen, pending = set(depends_on), set(depends_on), deque(depends_on)
+        direct, visited, pending = set(depends_on), set(depends_on), deque(depends_on)
         reads = _WalkReads()
         cancelled = False
         while pending:
             job_id = pending.popleft()
-            if cancelled and job_id not in named:
-                break  # those that are named come first
+            if cancelled and job_id not in direct:
+                break  # direct dependencies come first in the queue
             if self.context.now() > end:
                 raise UnavailableError("still looking up the jobs that it awaits")
             phase = await self._dependency_phase(job_id, reads)
@@ -82,25 +85,31 @@
                 cancelled = True
             if phase is None:
                 for dependency in self.job_cache.dependencies.get(job_id, ()):
-                    if dependency not in seen:
-                        seen.add(dependency)
+                    if dependency not in visited:
+                        visited.add(dependency)
                         pending.append(dependency)
         return cancelled
 
     async def _dependency_phase(self, job_id: str, reads: _WalkReads) -> str | None:
-        """The terminal phase of a job that another depends on; None while it has none."""
-        known, phase = self._in_memory(job_id)
+        """Return the terminal phase of a dependency, or None while it is active."""
+        known, phase = self._phase_in_memory(job_id)
         if known:
             return phase
-        if reads.count == MAX_SINGLE_READS:  # deep or wide: all active jobs at once
-            reads.active, _ = await self.context.state_store.list_prefix(records.JOBS)
+        if reads.count == MAX_SINGLE_READS:
+            reads.active_jobs, _ = await self.context.state_store.list_prefix(records.JOBS)
         reads.count += 1
-        row = reads.active.get(records.job_key(job_id)) if reads.active is not None else None
-        return await self.look_up(job_id, row)
+        row = (
+            reads.active_jobs.get(records.job_key(job_id))
+            if reads.active_jobs is not None
+            else None
+        )
+        return await self._read_phase(job_id, row)
+
+    def _phase_in_memory(self, job_id: str) -> tuple[bool, str | None]:
+        """Return whether the phase is known from memory, and the terminal phase.
 
-    def _in_memory(self, job_id: str) -> tuple[bool, str | None]:
-        """Whether this controller knows the job's terminal phase, or that it has none; and that
-        phase."""
+        The phase is None for a job that is known to be active.
+        """
         if job_id in self.job_cache.terminal_outcomes:
             return True, self.job_cache.terminal_outcomes[job_id].phase
         term = self.leader_view.leading()
@@ -114,24 +123,28 @@
             wire_names.ABORTED if job.dependency_cancelled else None
         )
 
-    async def look_up(self, job_id: str, row: VersionedValue | None) -> str | None:
-        """A job's terminal phase, or None when it is active and its dependencies are known."""
+    async def _read_phase(self, job_id: str, row: VersionedValue | None) -> str | None:
+        """Read a job's terminal phase; None for an active job, whose dependencies are then cached.
+
+        ``row``: the job's record, if it has been listed. Raises InvalidJobError if the job was
+        never accepted.
+        """
         if row is None:
-            if (ended := await self.ended(job_id)) is not None:
-                return ended.phase
+            if (outcome := await self.ended(job_id)) is not None:
+                return outcome.phase
             if job_id in self.job_cache.dependencies:
                 return None
             row = await self.context.state_store.get(records.job_key(job_id))
-        if row is None:  # it has ended since, or was never accepted
-            if (ended := await self.ended(job_id)) is not None:
-                return ended.phase
+        if row is None:  # it has ended since the first read, or was never accepted
+            if (outcome := await self.ended(job_id)) is not None:
+                return outcome.phase
             raise InvalidJobError(f"awaits: {job_id} was never accepted")
         if job_id not in self.job_cache.dependencies:
             self.job_cache.remember_accepted(await self.whole(records.job_from(row.value)))
         return None
 
     async def ended(self, job_id: str) -> TerminalOutcome | None:
-        """The outcome of a job, if it has one."""
+        """Read and cache the outcome of a job; None if it has none."""
         row = await self.context.state_store.get(records.outcome_key(job_id))
         if row is None:
             return None
@@ -140,7 +153,7 @@
         return self.job_cache.terminal_outcomes[job_id]
 
     async def read(self, job_id: str) -> JobStatus | None:
-        """A job's status by a consistent read; None when it was never accepted."""
+        """Return a job's status by a consistent read; None if the job was never accepted."""
         row = await self.context.state_store.get(records.job_key(job_id))
         if row is None:
             outcome = await self.ended(job_id)
--- a/src/salthead/controller/job_status.py
+++ b/src/salthead/controller/job_status.py
@@ -1,4 +1,4 @@
-"""What users are told of a job, and its cancellation, by whichever controller they ask."""
+"""Status and cancellation of jobs, at any controller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class JobStatusService:
-    """Answers from memory where that is certain, else asks the leader, else reads the records."""
+    """Answers from memory where that is certain, else from the leader, else from the records."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.leader_calls = leader_calls
 
     @staticmethod
-    def _progress(term: Term, job_id: str) -> JobStatus:
+    def _status_with_progress(term: Term, job_id: str) -> JobStatus:
         ledger = term.ledger
         return JobStatus.with_progress(
             job_id,
@@ -42,7 +42,7 @@
         )
 
     def in_term(self, term: Term, job_id: str) -> JobStatus | None:
-        """A job's status as this controller's term knows it; None where only a read can tell."""
+        """Return a job's status from the term's ledger; None if only a read can be certain."""
         job = term.ledger.jobs.get(job_id)
         if job is None:
             return None
@@ -53,10 +53,14 @@
         )
         if not unresolved and not term.outcomes.is_indeterminate(job):
             held |= OUTCOMES_DETERMINATE
-        return self._progress(term, job_id) if permits(Action.REPORT_STATUS, held) else None
+        return (
+            self._status_with_progress(term, job_id)
+            if permits(Action.REPORT_STATUS, held)
+            else None
+        )
 
     def in_memory(self, job_id: str) -> JobStatus | None:
-        """A job's status where this controller can tell it without asking anybody, else None."""
+        """Return a job's status from the cache or the own term; None if neither is certain."""
         outcome = self.job_cache.terminal_outcomes.get(job_id)
         if outcome is not None:
             return outcome.status(job_id)
@@ -64,11 +68,11 @@
         return None if term is None else self.in_term(term, job_id)
 
     async def as_leader(self, term: Term, job_id: str) -> JobStatus | None:
-        """A job's status at the leader; None when it was never accepted."""
+        """Return a job's status at the leader; None if the job was never accepted."""
         return self.in_term(term, job_id) or await self.job_reader.read(job_id)
 
     async def poll(self, job_id: str) -> JobStatus | None:
-        """A job's status; None when it was never accepted."""
+        """Return a job's status; None if the job was never accepted."""
         status = self.in_memory(job_id)
         if status is None and self.leader_view.leading() is None:
             status = await self.leader_calls.job_status(
@@ -77,9 +81,10 @@
         return status if status is not None else await self.job_reader.read(job_id)
 
     async def cancel(self, job_id: str) -> JobStatus | None:
-        """Cancel a job; None when it was never accepted.
+        """Cancel a job and return its status; None if the job was never accepted.
 
-        UnavailableError where the leader, which alone may decide it, does not answer.
+        Raises UnavailableError if the leader, which alone may cancel an active job, does not
+        answer.
         """
         outcome = self.job_cache.terminal_outcomes.get(job_id)
         if outcome is not None:
@@ -92,7 +97,7 @@
         )
         if status is not None:
             return status
-        # What is decided, or unknown, anyone can read.
+        # Without the leader, only a job that has ended or was never accepted has a certain answer.
         status = await self.job_reader.read(job_id)
         if status is None or status.is_terminal:
             return status
--- a/src/salthead/controller/zone_lease_delegate.py
+++ b/src/salthead/controller/zone_lease_delegate.py
@@ -1,4 +1,4 @@
-"""Renewing the leases of a zone's workers in the name of a leader that they can't reach."""
+"""Renewal of the leases of a zone's workers, delegated by a leader that they can't reach."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, delete, put
 from salthead.transport.client import UnansweredError
 
-# Calls to the leader in a row without an answer, before its workers' leases are renewed from here.
+# Consecutive calls to the leader without an answer, after which a delegation is requested.
 MAX_MISSED_CALLS = 2
-ANSWER_CHECKS = 4  # reads of the leader's permission after one request
+MAX_GRANT_READS = 4  # per request of a delegation
 
 
 class ZoneLeaseDelegate:
-    """The controller's side: what it asks the leader for, and which workers it then answers."""
+    """The controller's side of a delegation: its requests, and which workers it then answers."""
 
     def __init__(
         self, context: ControllerContext, leader_view: LeaderView, connectivity: Connectivity
@@ -33,25 +33,25 @@
         self.lease = ZoneLease(leader_lease.leader_ttl(context.limits.workers.lease_s))
 
     async def loop(self) -> None:
-        """While the leader is unreachable and the state service is not: renew workers' leases."""
-        requested = True  # an earlier process of this member may have left its request behind
+        """Hold a delegation while the leader is unreachable and the state service is not."""
+        requested = True  # an earlier process of this member may have left a request
         missed = 0
         while True:
             await self.context.sleep_with_jitter(self.lease.ttl / 8.0)
-            missed = 0 if await self._reaches_leader() else missed + 1
+            missed = 0 if await self._leader_answers() else missed + 1
             try:
                 if missed >= MAX_MISSED_CALLS:
                     requested = True
-                    await self._ask()
+                    await self._request_delegation()
                 elif requested:
                     self.lease.stop()
-                    await self._withdraw()
+                    await self._delete_request()
                     requested = False
             except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.context.log_throttled("keep", error)
 
-    async def _reaches_leader(self) -> bool:
-        """Whether the leader answers; also where there is none, or this controller leads."""
+    async def _leader_answers(self) -> bool:
+        """Return whether the leader answers; True if there is none or this controller leads."""
         peer = self.context.peers.get(self.leader_view.member or "")
         if self.leader_view.term is not None or peer is None:
             return True
@@ -61,8 +61,8 @@
             return False
         return True
 
-    async def _ask(self) -> None:
-        """Ask the leader through the state service, and wait a little for its permission."""
+    async def _request_delegation(self) -> None:
+        """Request a delegation through the state service, and wait a little for the grant."""
         member = self.member
         request = self.lease.new_request(
             self.leader_view.fencing_token,
@@ -73,24 +73,24 @@
         await self.context.state_store.transaction(
             {}, [put(records.DELEGATION_REQUESTS + member, request)], urgent=True
         )
-        for _ in range(ANSWER_CHECKS):
+        for _ in range(MAX_GRANT_READS):
             await self.context.sleep_with_jitter(self.lease.ttl / 24.0)
             row = await self.context.state_store.get(records.DELEGATIONS + member, urgent=True)
             if row is not None and self.lease.accept_grant(row.value):
                 return
 
-    async def _withdraw(self) -> None:
+    async def _delete_request(self) -> None:
         key = records.DELEGATION_REQUESTS + self.member
         row = await self.context.state_store.get(key, urgent=True)
         if row is not None:
-            # On condition of its revision: carried out late, it must not remove a later request,
-            # by which the next leader knows of what was permitted.
+            # Conditional on the revision: a delete that is executed late must not remove a later
+            # request, from which the next leader learns of a delegation.
             await self.context.state_store.transaction(
                 {key: row.revision}, [delete(key)], urgent=True
             )
 
     def may_acknowledge(self, heartbeat: Heartbeat) -> bool:
-        """Whether to answer a worker in the name of a leader that it can't reach."""
+        """Return whether to acknowledge a heartbeat for a leader that the worker can't reach."""
         now = self.context.now()
         returned = self.lease.redirects.record(heartbeat.worker, now)
         return (
@@ -98,7 +98,7 @@
             and self.lease.valid(self.leader_view.fencing_token, now)
             and heartbeat.zone == self.context.settings.area
             and heartbeat.fencing_token <= self.leader_view.fencing_token
-            # A worker may be here by chance. A second one, or one that was redirected before and is
-            # here again, can't reach the leader, and their leases may not last for another round.
+            # A single worker may have come by chance. A second worker, or one that comes back after
+            # a redirect, can't reach the leader, and its lease may not last until its next attempt.
             and (returned or self.connectivity.redirected_count() > 0)
         )
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -195,7 +195,7 @@
     await controller.election._campaign(None, None)
     controller.leader_view.member = "n1"
     controller.leader_view.fencing_token = FENCING_TOKEN
-    await controller.zone_lease_delegate._ask()
+    await controller.zone_lease_delegate._request_delegation()
     assert await ask_to_withhold_vote(controller.peers["n1"], "n0", 1.0)
     assert await ask_connectivity(controller.peers["n1"], leads=True) is not None
     await controller.leader_calls.job_status("/peer/poll", "req-1", 1.0)
