--- a/src/salthead/transport/__init__.py
+++ b/src/salthead/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP servers and clients, limits of connections, and rate limits of calls."""
+"""HTTP servers and clients, connection limits, and rate limits."""
--- a/src/salthead/transport/client.py
+++ b/src/salthead/transport/client.py
@@ -1,8 +1,8 @@
-"""HTTP calls to one address. Each address and purpose has a pool of connections of its own.
+"""HTTP client with a connection pool for each address and purpose.
 
-One pool for everything would let one peer that hangs stall every call of the process; a separate
-one for each purpose keeps leases apart from bulk work. Connections stay open from call to call:
-opening one costs more than the call itself, on both sides.
+With a single pool, one peer that hangs would stall every call of the process. A pool for each
+purpose keeps lease renewals apart from bulk work. Connections are reused, since opening one costs
+more than a call itself, on both sides.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from salthead.errors import SaltheadError
 from salthead.protocol.messages import MalformedMessageError, decode_map, encode
 
-# Lists of the state service have no size limit.
+# The state service does not limit the size of its lists.
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
-# A connection that was idle for longer may be about to be closed by the other side.
+# The server may be about to close a connection that has been idle for longer.
 MAX_IDLE_S = 15.0
 
 
 class UnansweredError(SaltheadError):
-    """No usable answer: the request may have been executed, or may be later."""
+    """A request without a usable answer: it may have been executed, or may be later."""
 
 
 class Answer:
-    """Status and body of an answer."""
+    """The HTTP status and the decoded body of an answer."""
 
     __slots__ = ("status", "body")
 
@@ -45,14 +45,14 @@
         self.body = body
 
 
-class _Response(HTTPMessageDelegate):
-    """Collects one response."""
+class _ResponseCollector(HTTPMessageDelegate):
+    """Collects the status and the body of one response."""
 
     def __init__(self) -> None:
         self.status = 0
         self.chunks: list[bytes] = []
         self.complete = False
-        self.keep_alive = False  # whether the other side keeps the connection open
+        self.keep_alive = False  # whether the server keeps the connection open
 
     def headers_received(
         self,
@@ -71,10 +71,10 @@
 
 
 class HttpClient:
-    """Calls to one address, at most ``slots`` at a time, each on a connection of its own.
+    """An HTTP client for one address, with at most ``slots`` concurrent calls.
 
-    Without an address each call names its own, and connections are not kept open: there are many
-    addresses.
+    Each call in progress has a connection of its own. With an empty ``endpoint``, each call names
+    its address, and connections are not reused, since there are many addresses.
     """
 
     PARAMS = HTTP1ConnectionParameters(max_body_size=MAX_RESPONSE_BYTES)
@@ -93,14 +93,18 @@
         query: dict[str, Any] | None = None,
         endpoint: str = "",
     ) -> Answer:
-        """One request and its answer; UnansweredError if none came that can be used."""
+        """Send a request and return its answer.
+
+        ``timeout`` in seconds includes the wait for a slot. Raises UnansweredError if no usable
+        answer came in that time.
+        """
         if query:
             path += "?" + "&".join(f"{k}={quote(str(v), safe='/')}" for k, v in query.items())
         payload = b"" if method in ("GET", "DELETE") else encode({} if body is None else body)
         try:
             async with asyncio.timeout(timeout), self.slots:
                 response = await self._exchange(endpoint or self.endpoint, method, path, payload)
-        except (OSError, ValueError) as error:  # a time-out is an OSError, and a closed stream
+        except (OSError, ValueError) as error:  # OSError includes time-outs and closed streams
             raise UnansweredError(f"{method} {path}: {error or 'timeout'}") from None
         if not response.complete or response.status < 200:
             raise UnansweredError(f"{method} {path}: connection closed")
@@ -119,9 +123,9 @@
         method: str,
         path: str,
         payload: bytes,
-    ) -> _Response:
-        stream = await self._stream(endpoint)
-        response = _Response()
+    ) -> _ResponseCollector:
+        stream = await self._acquire_stream(endpoint)
+        response = _ResponseCollector()
         try:
             headers = HTTPHeaders({"Host": endpoint, "Content-Type": "application/cbor"})
             if method == "POST":
@@ -136,12 +140,12 @@
             else:
                 stream.close()
                 if not response.complete:
-                    # Behind a cut the idle connections are as dead as this one, and would each cost
-                    # a time-out once the cut has ended.
+                    # In a network cut the idle connections are as dead as this one, and each would
+                    # cost a time-out once the cut has ended.
                     self.close()
         return response
 
-    async def _stream(self, endpoint: str) -> IOStream:
+    async def _acquire_stream(self, endpoint: str) -> IOStream:
         now = asyncio.get_running_loop().time()
         while self.idle:
             stream, since = self.idle.pop()
@@ -162,14 +166,14 @@
 
     def _add_idle(self, stream: IOStream) -> None:
         self.idle.append((stream, asyncio.get_running_loop().time()))
-        # Noticed at once, so that no call goes to a connection that the other side has closed.
+        # Removed as soon as the server closes it, so that no call is sent on a closed connection.
         stream.set_close_callback(lambda: self._remove_idle(stream))
 
     def _remove_idle(self, stream: IOStream) -> None:
         self.idle = [(other, since) for other, since in self.idle if other is not stream]
 
     def close(self) -> None:
-        """Close the connections that are idle."""
+        """Close all idle connections."""
         idle, self.idle = self.idle, []
         for stream, _ in idle:
             stream.set_close_callback(None)
--- a/src/salthead/transport/connections.py
+++ b/src/salthead/transport/connections.py
@@ -1,9 +1,9 @@
-"""How many connections are open on a server, and which of them are closed at the limit.
+"""Limit on the open connections of a server, and the choice of those to close.
 
-The platform gives a process a number of sockets. Seen at half as many machines again as the fleet
-deployments have: behind a cut that holds packets, workers leave connections half open and open
-new ones, 1,344 on one controller with 926 machines. At the platform's limit a process can't reach
-the state service either, and a leader would lose its leadership.
+The platform limits the sockets of a process. Behind a network cut that holds packets back, workers
+leave connections half open and open new ones: 926 machines, 1.5 times the fleet of the deployments,
+held 1,344 on one controller. At the platform's limit a process can't reach the state service
+either, and a leader would lose its leadership.
 """
 
 from __future__ import annotations
@@ -13,26 +13,27 @@
 from typing import Protocol
 
 ABANDONED_AFTER_S = 120.0
-# Above this share of the limit each connection is closed after its answer. A fleet that is larger
-# than the number of sockets then takes turns instead of being refused: 4,000 workers that send a
-# heartbeat every 3 s, each for 50 ms, hold about 70 connections at a time.
+# Above this share of the limit, each connection is closed after its answer. A fleet larger than the
+# number of sockets then shares them instead of being refused: 4,000 workers that each send a
+# heartbeat every 3 s, for 50 ms, hold about 70 connections at a time.
 CROWDED_SHARE = 0.8
 
-HeartbeatNumber = tuple[int, int]  # incarnation and sequence of a heartbeat, which it is ordered by
+HeartbeatOrder = tuple[int, int]  # incarnation and sequence, in the order of sending
 
 
 class Closable(Protocol):
-    """A connection that can be closed, such as a stream."""
+    """A connection that can be closed, such as an ``IOStream``."""
 
     def close(self) -> None:
         """Close the connection."""
 
 
 class Connections:
-    """Open connections, the least recently used first.
+    """The open connections of a server, the least recently used first.
 
-    ``limit``: the number of connections; 0: no limit. ``idle_s``: a connection without a request
-    for this long may be closed for a new one, since its client is gone or can connect again.
+    ``limit``: the maximum number of connections, 0 for no limit. ``idle_s``: a connection without
+    a request for this long may be closed in favour of a new one, since its client is gone or can
+    connect again.
     """
 
     def __init__(self, limit: int, idle_s: float, now: Callable[[], float]) -> None:
@@ -40,15 +41,15 @@
         self.idle_s = idle_s
         self.now = now
         self.last_used_at: OrderedDict[Closable, float] = OrderedDict()
-        self.by_worker: dict[str, tuple[Closable, HeartbeatNumber]] = {}
+        self.newest_by_worker: dict[str, tuple[Closable, HeartbeatOrder]] = {}
         self.worker_of: dict[Closable, str] = {}
 
     def crowded(self) -> bool:
-        """Whether connections are to be closed after their answer, so that others get a turn."""
+        """Return whether to close connections after their answers, to free them for others."""
         return self.limit > 0 and len(self.last_used_at) > CROWDED_SHARE * self.limit
 
     def admit(self, stream: Closable) -> bool:
-        """Whether a new connection may stay; at the limit, an idle one is closed for it."""
+        """Add a connection; return False if the limit is reached and none can be closed for it."""
         now = self.now()
         if 0 < self.limit <= len(self.last_used_at):
             oldest, at = next(iter(self.last_used_at.items()))
@@ -60,7 +61,7 @@
         return True
 
     def close_abandoned(self) -> None:
-        """Close connections without a request for long, or with half of one."""
+        """Close connections that began no request for long, or left one incomplete."""
         now = self.now()
         while self.last_used_at:
             oldest, at = next(iter(self.last_used_at.items()))
@@ -70,30 +71,30 @@
             oldest.close()
 
     def request_received(self, stream: Closable) -> None:
-        """A request has begun on a connection."""
+        """Record that a request has begun on a connection."""
         if stream in self.last_used_at:
             self.last_used_at[stream] = self.now()
             self.last_used_at.move_to_end(stream)
 
     def forget(self, stream: Closable) -> None:
-        """A connection has ended, or is about to be closed."""
+        """Remove a connection that has ended or is about to be closed."""
         self.last_used_at.pop(stream, None)
         worker = self.worker_of.pop(stream, None)
-        if worker is not None and self.by_worker.get(worker, (None,))[0] is stream:
-            del self.by_worker[worker]
+        if worker is not None and self.newest_by_worker.get(worker, (None,))[0] is stream:
+            del self.newest_by_worker[worker]
 
-    def heartbeat_received(self, worker: str, number: HeartbeatNumber, stream: Closable) -> None:
-        """Keep one connection for each worker: an older one, which may be half open, is closed.
+    def heartbeat_received(self, worker: str, order: HeartbeatOrder, stream: Closable) -> None:
+        """Keep one connection per worker: close its earlier one, which may be half open.
 
-        A late copy on another connection is no newer heartbeat, and closes nothing.
+        A late or repeated heartbeat on another connection closes nothing.
         """
         if stream not in self.last_used_at:
             return
-        known = self.by_worker.get(worker)
-        if known is not None and known[0] is not stream:
-            if number <= known[1]:
+        previous = self.newest_by_worker.get(worker)
+        if previous is not None and previous[0] is not stream:
+            if order <= previous[1]:
                 return
-            self.forget(known[0])
-            known[0].close()
-        self.by_worker[worker] = (stream, number)
+            self.forget(previous[0])
+            previous[0].close()
+        self.newest_by_worker[worker] = (stream, order)
         self.worker_of[stream] = worker
--- a/src/salthead/transport/http.py
+++ b/src/salthead/transport/http.py
@@ -1,7 +1,8 @@
-"""Requests and replies on tornado's own connections, without an application around them.
+"""HTTP request routing on tornado's connections, without ``tornado.web``.
 
-A request handler of ``tornado.web`` costs several times what most answers do, and its module takes
-a tenth of a controller's start; a controller with a small share of a core has neither to spare.
+A ``tornado.web`` request handler costs several times as much as most answers, and importing the
+module takes a tenth of a controller's start-up time. A controller with a small share of a core can
+afford neither.
 """
 
 from __future__ import annotations
@@ -41,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request, as its handler gets it."""
+    """A complete request, as passed to its handler."""
 
-    parameter: str  # the variable part of the path, such as a job's id
+    parameter: str  # the variable segment of the path, such as a job's id
     body: bytes
     remote_ip: str
     stream: IOStream | None
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A handler's answer: a message is sent as CBOR, bytes as they are."""
+    """A handler's answer. A struct or a dict is sent as CBOR, bytes are sent unchanged."""
 
     status: int
     body: msgspec.Struct | dict[str, Any] | bytes
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One method of one path, and the name by which metrics count its answers."""
+    """The method and handler of a path, and the label of its answers in metrics."""
 
     method: str
     label: str
@@ -79,7 +80,7 @@
     by_suffix: Mapping[str, Route]
 
     def find(self, path: str) -> tuple[Route | None, str]:
-        """The route of a path below the prefix, and the value of its variable segment."""
+        """Return the route of a path below the prefix, and the value of its variable segment."""
         value, _, suffix = path.removeprefix(self.prefix + "/").partition("/")
         if not value or not path.startswith(self.prefix + "/"):
             return None, ""
@@ -87,7 +88,7 @@
 
 
 class Router(HTTPServerConnectionDelegate):
-    """Finds the handler of each request that comes in on a server's connections."""
+    """Dispatches the requests on a server's connections to their handlers."""
 
     def __init__(
         self,
@@ -98,28 +99,28 @@
         self.clock = clock
         self.routes = routes
         self.prefix_routes = prefix_routes
-        self.connections: Connections | None = None  # set by the server that uses this router
+        self.connections: Connections | None = None  # set by ``listen``
         self.in_progress: set[asyncio.Task[None]] = set()
 
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Tornado's hook: a request begins on a connection."""
+        """Return the delegate for a new request (Tornado hook)."""
         stream = getattr(server_conn, "stream", None)
         return _RequestDelegate(self, request_conn, stream)
 
     def on_close(self, server_conn: object) -> None:
-        """Tornado's hook: a connection has ended. The router holds nothing for it."""
+        """Do nothing: the router keeps no state for a connection (Tornado hook)."""
 
     def find(self, path: str) -> tuple[Route | None, str]:
-        """The route of a path without its query, and the value of its variable segment."""
+        """Return the route of a path without a query, and the value of its variable segment."""
         route = self.routes.get(path)
         if route is not None or self.prefix_routes is None:
             return route, ""
         return self.prefix_routes.find(path)
 
 
-def _head(reply: Reply, length: int) -> tuple[ResponseStartLine, HTTPHeaders]:
+def _response_head(reply: Reply, length: int) -> tuple[ResponseStartLine, HTTPHeaders]:
     headers = HTTPHeaders({"Content-Type": reply.content_type})
     headers["Content-Length"] = str(length)
     if reply.status in RETRY_STATUSES:
@@ -128,8 +129,8 @@
 
 
 @functools.lru_cache(maxsize=64)
-def _head_template(status: int, content_type: str, closing: bool) -> str:
-    start_line, headers = _head(Reply(status, b"", content_type), 0)
+def _response_head_template(status: int, content_type: str, closing: bool) -> str:
+    start_line, headers = _response_head(Reply(status, b"", content_type), 0)
     headers["Content-Length"] = "%d"
     if closing:
         headers["Connection"] = "close"
@@ -138,8 +139,10 @@
     return "\r\n".join(lines) + "\r\n\r\n"
 
 
-def _encoded_head(reply: Reply, length: int, closing: bool) -> bytes:
-    return (_head_template(reply.status, reply.content_type, closing) % length).encode("latin1")
+def _encode_response_head(reply: Reply, length: int, closing: bool) -> bytes:
+    return (_response_head_template(reply.status, reply.content_type, closing) % length).encode(
+        "latin1"
+    )
 
 
 def _close(stream: IOStream, sent: object) -> None:
@@ -147,13 +150,13 @@
 
 
 class _RequestDelegate(HTTPMessageDelegate):
-    """Collects one request, lets its handler answer, and writes the reply."""
+    """Collects one request, calls its handler, and writes the reply."""
 
     def __init__(self, router: Router, connection: HTTPConnection, stream: IOStream | None) -> None:
         self.router = router
         self.connection = connection
         self.stream = stream
-        self.began = router.clock()
+        self.started_at = router.clock()
         self.chunks: list[bytes] = []
         self.method = ""
         self.path = ""
@@ -180,7 +183,7 @@
         self.chunks.clear()
 
     def finish(self) -> None:
-        """The request is complete: answer it, at once where its handler waits for nothing."""
+        """Handle the complete request; answer at once if its handler is not asynchronous."""
         route, parameter = self.router.find(self.path)
         if route is None:
             self._write("other", Reply(404, {"error": "no such path"}))
@@ -222,15 +225,17 @@
     def _write(self, label: str, reply: Reply) -> None:
         payload = reply.body if isinstance(reply.body, bytes) else encode(reply.body)
         if self.persistent:
-            # Tornado takes an encoded head as well. For each reply, its own way checks every header
-            # anew, though none of them varies but the length: a seventh of a heartbeat's time.
+            # ``write`` takes an encoded head as it is. ``write_headers`` would check every header
+            # of each reply, though only the length varies: a seventh of a heartbeat's time.
             connections = self.router.connections
             closing = connections is not None and connections.crowded()
-            sent = self.connection.write(_encoded_head(reply, len(payload), closing) + payload)
+            sent = self.connection.write(
+                _encode_response_head(reply, len(payload), closing) + payload
+            )
             if closing and self.stream is not None:
-                # The other side may be slow to close it, so this one does not wait for that.
+                # Closed from this side, since the client may be slow to close it.
                 sent.add_done_callback(functools.partial(_close, self.stream))
         else:
-            self.connection.write_headers(*_head(reply, len(payload)), payload)
+            self.connection.write_headers(*_response_head(reply, len(payload)), payload)
         self.connection.finish()
-        metrics.count_answer(label, reply.status, self.router.clock() - self.began)
+        metrics.count_answer(label, reply.status, self.router.clock() - self.started_at)
