--- a/src/salthead/controller/job_cache.py
+++ b/src/salthead/controller/job_cache.py
@@ -16,7 +16,7 @@
 
     phase: str
     task_count: int
-    at: float | None  # Unix time at which it ended, if known
+    ended_at: float | None  # Unix time, if known
 
     def status(self, job_id: str) -> JobStatus:
         """Return the status that users see."""
