--- a/tests/builders/__init__.py
+++ b/tests/builders/__init__.py
@@ -1,7 +1,7 @@
-"""Builders of what tests need: settings, submissions, and ledgers with machines and jobs.
+"""Builders of test data: settings, submissions, and ledgers with machines and jobs.
 
-Whoever imports one has the invariants of ledgers checked strictly: a broken one raises an error in
-place of a log line. ``conftest.py`` imports them, so that this holds for all tests.
+Importing this package makes the invariants of ledgers strict: a violation raises an error instead
+of writing a log line. ``conftest.py`` imports it, so this holds for all tests.
 """
 
 from salthead.cluster.invariants import Invariants
--- a/tests/builders/ledgers.py
+++ b/tests/builders/ledgers.py
@@ -1,4 +1,4 @@
-"""Ledgers of a leader, with machines that send heartbeats, and jobs."""
+"""Builders of leader ledgers, machines, heartbeats and jobs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def new_ledger(now: float = 0.0, fencing_token: int = FENCING_TOKEN, **changes: Any) -> Ledger:
-    """Return the ledger of a leader that has read all records, and has heard of no machine."""
+    """Return the ledger of a leader that has read all records and knows no machine yet."""
     ledger = Ledger(platform_limits(**changes), fencing_token, now)
     ledger.set_machine_types(MACHINE_TYPES)
     ledger.loaded = True
@@ -67,7 +67,7 @@
 
 
 def add_machine(ledger: Ledger, name: str, now: float = 0.0, **kind: Any) -> Machine:
-    """Add a machine that is up, registered, and has sent a heartbeat under the fencing token."""
+    """Add a registered machine that has sent a heartbeat with the current fencing token."""
     ledger.add_machine(
         name,
         kind.get("machine_type", "small"),
@@ -81,13 +81,13 @@
 
 
 def add_job(ledger: Ledger, now: float = 0.0, **changes: Any) -> Job:
-    """Add a job, with changes by the names of the submission's attributes."""
+    """Add a job; ``changes`` override attributes of the default submission."""
     job = ledger.add_job(submission(**changes), now)
     assert job is not None
     return job
 
 
 def verbs_of(orders: list[Command] | None) -> list[tuple[str, str]]:
-    """Return what each command says, and of which task."""
+    """Return the verb and the task of each command."""
     assert orders is not None
     return [(order["verb"], order["piece"]) for order in msgspec.to_builtins(orders)]
--- a/tests/builders/platform.py
+++ b/tests/builders/platform.py
@@ -1,4 +1,4 @@
-"""The platform's limits, machine types and settings, as small as tests need them."""
+"""Small platform limits, machine types and settings for tests."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
 
 
 def platform_limits(**changes: Any) -> Limits:
-    """Return the limits, with changes to whole groups of them."""
+    """Return the limits; ``changes`` replace whole groups."""
     return msgspec.convert(LIMITS | changes, Limits)
 
 
 def settings_tree(member: str = "n0", others: tuple[str, ...] = ()) -> dict[str, Any]:
-    """Return the settings of a controller as its file has them."""
+    """Return the settings of a controller in the structure of its configuration file."""
     return {
         "member": member,
         "area": "north",
@@ -70,7 +70,7 @@
 def settings(
     member: str = "n0", others: tuple[str, ...] = (), kind: Any = Settings, **state: Any
 ) -> Any:
-    """Settings of this version, or of ``kind``, with changes to the state service's limits."""
+    """Return settings of class ``kind``; ``state`` overrides limits of the state service."""
     tree = settings_tree(member, others)
     tree["settings"] = LIMITS | {"state": LIMITS["state"] | state}
     return msgspec.convert(tree, kind)
--- a/tests/builders/submissions.py
+++ b/tests/builders/submissions.py
@@ -1,4 +1,4 @@
-"""Submissions, as objects and as users send them."""
+"""Builders of submissions, as objects and as request bodies."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def submission(job_id: str = "req-1", **changes: Any) -> Submission:
-    """A small array, with changes by the names of the structure's attributes."""
+    """Return the submission of a small array; ``changes`` override attributes."""
     fields: dict[str, Any] = {
         "job_id": job_id,
         "job_class": "b",
@@ -27,11 +27,10 @@
 
 
 def submission_fields(job: Any) -> dict[str, Any]:
-    """A submission as a user sends it, or with what another controller left out: no field is
-    missing."""
-    whole = job if not isinstance(job, dict) else msgspec.convert(job, Submission)
+    """Return the request body of a submission, with all fields that ``job`` may omit filled in."""
+    submitted = job if not isinstance(job, dict) else msgspec.convert(job, Submission)
     fields = {
-        field.encode_name: getattr(whole, field.name)
+        field.encode_name: getattr(submitted, field.name)
         for field in msgspec.structs.fields(Submission)
     }
     return fields | {"kit": fields["kit"] or "img-0"}
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,14 +1,14 @@
-"""What holds for all tests."""
+"""Fixtures and settings for all tests."""
 
 from __future__ import annotations
 
 import pytest
 
-import builders  # noqa: F401  (has the invariants checked strictly)
+import builders  # noqa: F401  (makes ledger invariants strict)
 from salthead.cluster.invariants import Invariants
 
 
 @pytest.fixture(autouse=True)
 def strict_invariants() -> None:
-    """No test begins with invariants that only log."""
+    """Assert before each test that a violated invariant raises an error."""
     assert Invariants.strict
--- a/tests/cut_world.py
+++ b/tests/cut_world.py
@@ -1,8 +1,8 @@
-"""A stand-in world in which each direction of each link can be cut, and cases of such cuts.
+"""Simulated world in which each direction of each link can be cut, and a table of such cuts.
 
     python3 tests/cut_world.py [--processes N] [--seed N]
 
-plays all cases of the table and prints their counts; CI plays a seeded part (``test_cuts.py``).
+runs all cases of the table and prints their counts; CI runs a seeded sample (``test_cuts.py``).
 """
 
 from __future__ import annotations
@@ -35,103 +35,109 @@
         enabled=True, min_machines=3, shared_share=0.15, wait_boots=1.0, handover_factor=1.5
     )
 )
-MACHINES = 6  # in each zone
+MACHINES_PER_ZONE = 6
 
 
 class Direction(NamedTuple):
-    """Messages that go one way: from a controller, a zone's workers or a service, to another of
-    these."""
+    """One direction of a link between controllers, zones of workers, and services."""
 
     source: str
     target: str
 
 
 class CutWorld(ZoneWorld):
-    """Two zones, three controllers, of which one is in the south; any direction can be cut."""
-
-    def __init__(self, seed: int, policy: Policy = CUTS_ON, most: int = MACHINES, **more: Any):
+    """World of two zones and three controllers (one in the south) with cuts of any direction."""
+
+    def __init__(
+        self,
+        seed: int,
+        policy: Policy = CUTS_ON,
+        machines_per_zone: int = MACHINES_PER_ZONE,
+        **more: Any,
+    ):
         super().__init__(seed=seed, areas={"n2": "south"}, policy=policy, **more)
         self.answers = AnswerHistory(LIMITS["workers"]["cancel_s"])
-        self.watch_zones(most)
+        self.watch_zones(machines_per_zone)
         self.drops: set[Direction] = set()
-        self.holds: set[Direction] = set()  # delivered at the end, though the sender has given up
+        # Messages are delivered after the cut, though their senders have timed out.
+        self.holds: set[Direction] = set()
         self.healed = asyncio.Event()
-        self.seen: Counter[str] = Counter()  # writes, starts and returns that were carried out
+        self.event_counts: Counter[str] = Counter()  # executed writes, starts and returns
 
-    def _end_of_link(self, host: str) -> str:
-        """Workers are cut by their zones, all others by themselves."""
+    def _link_endpoint(self, host: str) -> str:
+        """Return the zone of a worker, and any other host itself."""
         worker = self.cloud.hosts.get(host)
         return host if worker is None else worker.zone
 
     def heal(self) -> None:
-        """All directions work again; what was held arrives."""
+        """Restore all directions and release the held messages."""
         self.drops, self.holds = set(), set()
         self.healed.set()
         self.healed = asyncio.Event()
 
-    async def _pass(self, source: str, target: str) -> None:
-        """Let a message go its way: now, at the end of the cut, or never."""
-        way = Direction(self._end_of_link(source), self._end_of_link(target))
-        if way in self.drops:
+    async def _transmit(self, source: str, target: str) -> None:
+        """Delay a message by its direction: not at all, until the end of the cut, or for ever."""
+        direction = Direction(self._link_endpoint(source), self._link_endpoint(target))
+        if direction in self.drops:
             await asyncio.sleep(1e6)
-        while way in self.holds:
+        while direction in self.holds:
             await self.healed.wait()
 
     async def _deliver(self, call: Call, late_s: float) -> Answer:
-        await self._pass(call.source, call.target)
+        await self._transmit(call.source, call.target)
         answer = await super()._deliver(call, late_s)
         if call.path == "/txn" and answer.status == 200:
-            self.seen["write"] += 1
-            self._note_outcomes()
-        self.seen["return"] += call.path == "/hosts/return"
-        await self._pass(call.target, call.source)
+            self.event_counts["write"] += 1
+            self._record_outcomes()
+        self.event_counts["return"] += call.path == "/hosts/return"
+        await self._transmit(call.target, call.source)
         return answer
 
-    def _note_outcomes(self) -> None:
+    def _record_outcomes(self) -> None:
         for change in self.state.log[-LIMITS["state"]["txn_ops"] :]:
             key = change.get("set", "")
             if key.startswith("over/"):
-                self.answers.recorded(self.now(), key[5:], change["value"]["phase"])
+                self.answers.record_outcome(self.now(), key[5:], change["value"]["phase"])
 
     async def deliver_heartbeat(
         self, worker: Worker, controller: int, message: bytes
     ) -> tuple[int, dict[str, Any]]:
-        """A heartbeat, in the direction from the worker's zone; and its answer back."""
+        """Send a heartbeat and return its answer, each as the cuts of its direction allow."""
         name = self.names[controller]
-        way = Direction(worker.zone, name)
-        if way in self.holds:
+        direction = Direction(worker.zone, name)
+        if direction in self.holds:
             self.in_background(self._deliver_when_healed(worker, name, message))
-        if way in self.drops | self.holds:
+        if direction in self.drops | self.holds:
             await asyncio.sleep(60.0)
         answer = await super().deliver_heartbeat(worker, controller, message)
-        await self._pass(name, worker.name)
+        await self._transmit(name, worker.name)
         return answer
 
     async def _deliver_when_healed(self, worker: Worker, name: str, message: bytes) -> None:
-        await self._pass(worker.name, name)
+        await self._transmit(worker.name, name)
         await self.deliver_held_heartbeat(worker, name, message)
 
-    def check_phase(self, job_id: str, phase: str, began: float) -> None:
-        """What any controller tells any user; the history of answers has it too."""
-        super().check_phase(job_id, phase, began)
-        self.answers.told(began, self.now(), job_id, phase)
+    def check_phase(self, job_id: str, phase: str, requested_at: float) -> None:
+        """Check an answer to a user, also in the history of answers."""
+        super().check_phase(job_id, phase, requested_at)
+        self.answers.record_answer(requested_at, self.now(), job_id, phase)
 
     def snapshot(self) -> None:
-        """Show both checkers what is on machines now."""
+        """Pass the tasks that are on machines now to both checkers."""
         super().snapshot()
-        self.answers.present(self.now(), {task_id for _, task_id in self.on_machines()})
+        self.answers.check_present(self.now(), {task_id for _, task_id in self.on_machines()})
 
     def before_start(self, worker: Worker, task_id: str) -> None:
-        """A worker is about to start a task."""
-        self.seen["start"] += 1
+        """Check and count a task that a worker is about to start."""
+        self.event_counts["start"] += 1
         super().before_start(worker, task_id)
 
-    def found(self) -> list[str]:
-        """All that any checker calls broken."""
+    def violations(self) -> list[str]:
+        """Return the violations that any checker has listed."""
         return self.broken + self.history.broken + self.answers.broken
 
 
-# What is cut, by roles at that time; ``peers`` are all other controllers, ``controllers`` all.
+# Cut directions by current role: ``peers`` are all controllers but the leader, ``nodes`` are all.
 CUTS: dict[str, list[Direction]] = {
     name: [Direction(*way.split(">")) for way in ways.split()]
     for name, ways in {
@@ -154,16 +160,17 @@
     }.items()
 }
 WORKERS = LIMITS["workers"]
-# Around withheld votes and the leader's lease, a worker's lease, and the time to cancel.
+# Near the periods of withheld votes and the leader's lease, a worker's lease, and ``cancel_s``.
 DURATIONS_S = (2.5, 0.6 * WORKERS["lease_s"], 1.7 * WORKERS["lease_s"], 1.2 * WORKERS["cancel_s"])
-HEALS = ("at a time", "write", "start", "return")  # or when one of these was just carried out
+# A cut ends after ``lasts_s``, or right after the next such event from then on.
+HEALS = ("at a time", "write", "start", "return")
 LEADERS = ("stays", "ends", "back at once", "paused")
-HEAL_WAIT_S = 8.0  # for the event by which a cut ends
+HEAL_WAIT_S = 8.0  # longest wait for the event that ends a cut
 
 
 @dataclass(frozen=True)
 class Case:
-    """One cut, how it ends, and what happens to the leader meanwhile."""
+    """One cut, the event that ends it, and the fault of the leader meanwhile."""
 
     cut: str
     lasts_s: float
@@ -174,13 +181,13 @@
 
 
 def all_cases(seed: int) -> list[Case]:
-    """The whole table."""
-    found = itertools.product(CUTS, DURATIONS_S, HEALS, LEADERS, (False, True))
-    return [Case(*case, seed + n) for n, case in enumerate(found)]
+    """Return all cases of the table."""
+    combinations = itertools.product(CUTS, DURATIONS_S, HEALS, LEADERS, (False, True))
+    return [Case(*case, seed + n) for n, case in enumerate(combinations)]
 
 
 def directions(world: CutWorld, cut: str) -> set[Direction]:
-    """The cut's directions between hosts, by who leads now."""
+    """Return the cut's directions between hosts, with the present leader."""
     leader = world.leader()
     assert leader is not None
     name = leader.settings.member
@@ -203,25 +210,25 @@
     submission("req-4", shape="gang", task_count=2, vcpus=6.0, estimated_run_s=200.0),
     submission("req-5", task_count=8, vcpus=2.0, estimated_run_s=15.0, zone="south"),
 ]
-LATE = [
+LATE_JOBS = [
     submission("req-7", task_count=6),
     submission("req-8", shape="gang", task_count=2, vcpus=6.0),
 ]
 
 
-async def _trouble_leader(world: CutWorld, name: str, what: str) -> None:
-    if what == "paused":
+async def _disturb_leader(world: CutWorld, name: str, fault: str) -> None:
+    if fault == "paused":
         world.paused.add(name)
         await asyncio.sleep(5.0)
         world.paused.discard(name)
-    elif what != "stays":
+    elif fault != "stays":
         await world.crash(name)
-        await asyncio.sleep(0.3 if what == "back at once" else 6.0)
+        await asyncio.sleep(0.3 if fault == "back at once" else 6.0)
         world.boot(name)
 
 
-async def play(case: Case) -> CutWorld:
-    """A day with one case."""
+async def run_case(case: Case) -> CutWorld:
+    """Run a workload with one case of a cut."""
     world = CutWorld(case.seed)
     await asyncio.sleep(2.0)
     for job in JOBS:
@@ -233,14 +240,18 @@
     (world.holds if case.hold else world.drops).update(directions(world, case.cut))
     cancelling = asyncio.create_task(world.cancel("req-4"))
     await asyncio.sleep(1.0)
-    await _trouble_leader(world, leader.settings.member, case.leader)
+    await _disturb_leader(world, leader.settings.member, case.leader)
     await asyncio.sleep(max(0.0, ends - world.now()))
-    before, most = world.seen[case.heals], world.now() + HEAL_WAIT_S
-    while case.heals in HEALS[1:] and world.seen[case.heals] == before and world.now() < most:
+    before, latest = world.event_counts[case.heals], world.now() + HEAL_WAIT_S
+    while (
+        case.heals in HEALS[1:]
+        and world.event_counts[case.heals] == before
+        and world.now() < latest
+    ):
         await asyncio.sleep(0.01)
     world.heal()
-    world.trouble_until = world.now()
-    for job in LATE:
+    world.faults_end_at = world.now()
+    for job in LATE_JOBS:
         assert await world.submit(job) in (200, 201)
     await world.poll_until_terminal()
     await cancelling
@@ -251,30 +262,30 @@
 
 
 def outcome(case: Case) -> tuple[Case, list[str]]:
-    """What the checkers, or the day itself, found wrong."""
+    """Run a case and return its violations."""
     try:
-        return case, run(lambda: play(case)).found()
+        return case, run(lambda: run_case(case)).violations()
     except AssertionError as error:
         return case, [f"not over: {error}"]
 
 
 def main() -> None:
-    """Play the whole table."""
+    """Run all cases of the table."""
     options = argparse.ArgumentParser(description=main.__doc__)
     options.add_argument("--processes", type=int, default=4)
     options.add_argument("--seed", type=int, default=1)
     chosen = options.parse_args()
     cases = all_cases(chosen.seed)
-    found: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     with multiprocessing.Pool(chosen.processes) as pool:
         for case, broken in pool.imap_unordered(outcome, cases):
-            found["cases with something broken"] += bool(broken)
-            found["duplicate runs"] += sum(
+            counts["cases with something broken"] += bool(broken)
+            counts["duplicate runs"] += sum(
                 "twice" in one or "two attempts" in one for one in broken
             )
             if broken:
                 print(case, broken[:3])
-    print(f"{len(cases)} cases:", dict(found))
+    print(f"{len(cases)} cases:", dict(counts))
 
 
 if __name__ == "__main__":
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""The builders of ``tests/builders`` by the short names that scenes with many of them use."""
+"""Short names for the builders of ``tests/builders``, for tests that use many of them."""
 
 from builders.ledgers import add_job as job
 from builders.ledgers import add_machine as machine
--- a/tests/link_setup.py
+++ b/tests/link_setup.py
@@ -1,4 +1,4 @@
-"""Controllers on loopback whose links to the state service and to each other go through proxies."""
+"""Controllers on loopback with proxies on their links to the state service and to each other."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from salthead.transport.client import UnansweredError
 
 
-class Direct(RequestHandler):
-    """A worker's own address."""
+class CommandHandler(RequestHandler):
+    """HTTP handler of a worker's address for direct commands."""
 
     def initialize(self, world: Any, worker: str) -> None:
-        """Take the arguments of the route."""
+        """Store the arguments of the route."""
         self.world, self.worker = world, worker
 
     async def post(self) -> None:
-        """A direct command."""
+        """Deliver a direct command to the worker."""
         try:
             answer = await self.world.deliver_command(self.worker, cbor2.loads(self.request.body))
         except UnansweredError:
@@ -34,23 +34,23 @@
 
 
 def listen_for(world: Any, worker: str) -> tuple[HTTPServer, int]:
-    """Open a worker's own address; its port."""
-    routes = [(r"/do", Direct, {"world": world, "worker": worker})]
-    served = Application(routes, log_function=lambda handler: None).listen(0, "127.0.0.1")
-    return served, next(iter(served._sockets.values())).getsockname()[1]
+    """Start a worker's server for direct commands; return the server and its port."""
+    routes = [(r"/do", CommandHandler, {"world": world, "worker": worker})]
+    server = Application(routes, log_function=lambda handler: None).listen(0, "127.0.0.1")
+    return server, next(iter(server._sockets.values())).getsockname()[1]
 
 
 def address_of(endpoint: str) -> tuple[str, int]:
-    """Host and port."""
+    """Return the host and the port of an endpoint."""
     host, _, port = endpoint.rpartition(":")
     return host, int(port)
 
 
 class LinkSetup(LocalSetup):
-    """Controllers with a proxy to the state service, and one to each peer."""
+    """Controllers that each have a proxy to the state service and one to each peer."""
 
-    async def make_proxies(self) -> None:
-        """Open what stands between controllers, and before the state service."""
+    async def start_proxies(self) -> None:
+        """Start the proxies to the state service and between controllers."""
         self.state = [LinkProxy("127.0.0.1", 0) for _ in self.addresses]
         self.state_ports = [await proxy.start() for proxy in self.state]
         self.peers = {
@@ -62,11 +62,11 @@
         self.peer_ports = {link: await proxy.start() for link, proxy in self.peers.items()}
 
     def state_port(self, controller: int) -> int:
-        """Where the state service is served for a controller."""
+        """Return the port of the state service for a controller."""
         return self.ports[0]
 
     def write_settings(self, path: Path, n: int) -> None:
-        """The settings of controller ``n``: it reaches others through its proxies."""
+        """Write the settings of controller ``n`` with the addresses of its proxies."""
         self.state[n].target = ("127.0.0.1", self.state_port(n))
         addresses = [
             own if other == n else (own[0], f"127.0.0.1:{self.peer_ports[n, other]}")
@@ -76,15 +76,15 @@
         settings_file(path, n, addresses, cloud, state, self.areas)
 
     def worker_proxies(self) -> list[LinkProxy]:
-        """Those between workers and controllers."""
+        """Return the proxies between workers and controllers."""
         return []
 
     def proxies(self) -> list[LinkProxy]:
-        """All of them."""
+        """Return all proxies."""
         return [*self.state, *self.peers.values(), *self.worker_proxies()]
 
     async def stop(self, listening: list[HTTPServer]) -> None:
-        """Close all proxies and the workers' own servers, and end what still runs here."""
+        """Stop all proxies and worker servers, and cancel the remaining tasks."""
         for proxy in self.proxies():
             proxy.stop()
         for server in listening:
--- a/tests/local_setup.py
+++ b/tests/local_setup.py
@@ -1,9 +1,9 @@
-"""A small local set-up to try salthead by hand: stand-ins and controllers on loopback.
+"""Local cluster to try salthead by hand: controllers and simulated services on loopback.
 
     python3 tests/local_setup.py [CONTROLLERS]
 
 It prints the addresses for ``salthead submit`` and runs until it is interrupted. The machines
-are stand-ins: a task "runs" by waiting for its ``guess_s``.
+are simulated: a task "runs" by waiting for its ``guess_s``.
 """
 
 from __future__ import annotations
@@ -33,36 +33,38 @@
 from standins import Worker, World  # noqa: E402
 
 LOWEST_PORT = 15000
-PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")  # of connections that are opened
+EPHEMERAL_PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
 def free_port() -> int:
-    """A port for a process that is started later.
+    """Return a free port below the ephemeral range, for a process that starts later.
 
-    Below those that the system gives to connections: one of these, of a proxy or of another run
-    beside this one, took the port that had been found free, and the controller could not listen.
+    Within the ephemeral range, a connection of a proxy or of a concurrent test run can take the
+    port before the controller listens on it.
     """
-    highest = int(PORT_RANGE.read_text().split()[0]) if PORT_RANGE.exists() else 32768
+    upper_limit = (
+        int(EPHEMERAL_PORT_RANGE.read_text().split()[0]) if EPHEMERAL_PORT_RANGE.exists() else 32768
+    )
     while True:
-        port = random.SystemRandom().randrange(LOWEST_PORT, highest)
+        port = random.SystemRandom().randrange(LOWEST_PORT, upper_limit)
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port))
             return port
 
 
 class LocalWorld(World):
-    """Stand-ins whose workers report over HTTP to real controllers."""
+    """Simulated services whose workers send heartbeats over HTTP to real controllers."""
 
     def __init__(self, addresses: list[str]) -> None:
         super().__init__(controllers=0)
         self.callers = [HttpClient(address, 100) for address in addresses]
         self.controllers = {f"n{n}": None for n in range(len(addresses))}
-        self.printed = 0  # of the broken rules
+        self.printed_count = 0  # number of printed violations
 
     async def deliver_heartbeat(
         self, worker: Worker, controller: int, message: bytes
     ) -> tuple[int, dict[str, Any]]:
-        """A heartbeat, over HTTP."""
+        """Send a heartbeat over HTTP and return the status and the body of its answer."""
         if worker.cut:
             await asyncio.sleep(60.0)
         answer = await self.callers[controller].call(
@@ -71,7 +73,7 @@
         return answer.status, answer.body
 
     def spec(self, job_id: str) -> Submission | None:
-        """Return a job's submission by the records of the state service; None without one."""
+        """Return a job's submission from the records of the state service, or None."""
         for key in (f"job/{job_id}", f"over/{job_id}"):
             if key in self.state.keys:
                 value = self.state.keys[key][0]
@@ -79,25 +81,25 @@
         return None
 
     def before_start(self, worker: Worker, task_id: str) -> None:
-        """A worker is about to start a task; broken rules are printed."""
+        """Check and count a task that a worker is about to start, and print new violations."""
         job_id = task_id.rpartition("/")[0]
         if (spec := self.spec(job_id)) is not None:
             self.specs[job_id] = spec
         super().before_start(worker, task_id)
-        for what in self.broken[self.printed :]:
-            print("broken rule:", what, file=sys.stderr)
-        self.printed = len(self.broken)
+        for violation in self.broken[self.printed_count :]:
+            print("violated invariant:", violation, file=sys.stderr)
+        self.printed_count = len(self.broken)
 
 
-class Serve(RequestHandler):
-    """The interface of the state service or the cloud."""
+class ServiceHandler(RequestHandler):
+    """HTTP handler of the simulated state service or cloud."""
 
     def initialize(self, standin: Any) -> None:
-        """Take the argument of the route."""
+        """Store the argument of the route."""
         self.standin = standin
 
     async def answer(self) -> None:
-        """Let the stand-in answer."""
+        """Pass the request to the simulated service and send its answer."""
         query = {k: v[0].decode() for k, v in self.request.query_arguments.items()}
         body = cbor2.loads(self.request.body) if self.request.body else {}
         answer = await self.standin.handle(self.request.method, self.request.path, query, body)
@@ -115,7 +117,7 @@
     state: str,
     areas: Sequence[str] = (),
 ) -> None:
-    """Write the settings of controller ``n``; ``areas`` are all zones, north if not named."""
+    """Write the settings of controller ``n``; ``areas`` are the zones by controller, or north."""
     areas = [*areas, *["north"] * (len(addresses) - len(areas))]
     lines = [
         f'member = "n{n}"',
@@ -150,7 +152,7 @@
 
 
 class LocalSetup:
-    """Stand-ins in this process and controllers as processes of their own, all on loopback."""
+    """Simulated services in this process and controllers as subprocesses, on loopback."""
 
     def __init__(
         self,
@@ -169,10 +171,10 @@
         self.servers: list[HTTPServer] = []
         self.folder = tempfile.TemporaryDirectory()
         self.ports: list[int] = []
-        self.logs: Path | None = None  # a folder for what the controllers log
+        self.logs: Path | None = None  # folder for the logs of the controllers
 
     def standins(self) -> list[Any]:
-        """What is served on loopback, in the order of ``ports``."""
+        """Return the services on loopback, in the order of ``ports``."""
         return [self.world.state, self.world.cloud]
 
     def __enter__(self) -> LocalSetup:
@@ -180,7 +182,8 @@
             self.ports.append(free_port())
             server = HTTPServer(
                 Application(
-                    [(r"/.*", Serve, {"standin": standin})], log_function=lambda handler: None
+                    [(r"/.*", ServiceHandler, {"standin": standin})],
+                    log_function=lambda handler: None,
                 )
             )
             server.listen(self.ports[-1], "127.0.0.1")
@@ -190,33 +193,33 @@
         return self
 
     def start(self, n: int) -> None:
-        """Start controller ``n``, the first time or again."""
+        """Start or restart controller ``n``."""
         path = Path(self.folder.name) / f"n{n}.toml"
         self.write_settings(path, n)
-        words = [sys.executable, str(ROOT / "run.py"), "--config", str(path)]
+        command = [sys.executable, str(ROOT / "run.py"), "--config", str(path)]
         if self.policy is not None:
-            words += ["--policy", str(self.policy)]
+            command += ["--policy", str(self.policy)]
         if self.logs is None:
-            self.processes[n] = subprocess.Popen(words)
+            self.processes[n] = subprocess.Popen(command)
             return
         with (self.logs / f"n{n}.log").open("ab") as log:
-            self.processes[n] = subprocess.Popen(words, stderr=log)
+            self.processes[n] = subprocess.Popen(command, stderr=log)
 
     def write_settings(self, path: Path, n: int) -> None:
-        """The settings of controller ``n``: where it finds what it talks to."""
+        """Write the settings of controller ``n`` with the addresses of its peers and services."""
         state, cloud = (f"127.0.0.1:{port}" for port in self.ports)
         settings_file(path, n, self.addresses, cloud, state, self.areas)
 
     def pause(self, n: int) -> None:
-        """Controller ``n`` stands still until it is resumed."""
+        """Suspend controller ``n`` (SIGSTOP)."""
         self.processes[n].send_signal(signal.SIGSTOP)
 
     def resume(self, n: int) -> None:
-        """Controller ``n`` goes on."""
+        """Resume controller ``n`` (SIGCONT)."""
         self.processes[n].send_signal(signal.SIGCONT)
 
     def kill(self, n: int) -> None:
-        """End controller ``n`` with no signal that it could handle."""
+        """Kill controller ``n`` (SIGKILL) and wait for its end."""
         process = self.processes.pop(n)
         process.kill()
         process.wait()
@@ -234,8 +237,9 @@
 async def end_other_tasks(rounds: int = 40) -> None:
     """Cancel all other tasks of the loop until they have ended.
 
-    Once is not enough: ``wait_for``, by which the stand-in workers wait, loses a cancellation that
-    comes just as what it waits for is done, and the end of the loop would wait for ever.
+    Tasks are cancelled repeatedly because ``asyncio.wait_for``, which the simulated workers use,
+    loses a cancellation that coincides with the end of the awaited work, and the loop would never
+    close.
     """
     for _ in range(rounds):
         left = asyncio.all_tasks() - {asyncio.current_task()}
@@ -244,11 +248,11 @@
         for task in left:
             task.cancel()
         await asyncio.wait(left, timeout=0.25)
-    raise AssertionError("tasks that can't be cancelled")
+    raise AssertionError(f"tasks did not end after {rounds} cancellations")
 
 
 async def main(controllers: int) -> None:
-    """Run a set-up until it is interrupted, or a controller ends."""
+    """Run a local cluster until it is interrupted or a controller ends."""
     with LocalSetup(controllers, policy=ROOT / "deploy" / "policy.toml") as local:
         print(
             "export SALTHEAD_CONTROLLERS='"
--- a/tests/production.py
+++ b/tests/production.py
@@ -1,10 +1,10 @@
-"""The version in production, taken from the repository's history, beside this one.
+"""Access to the version in production, taken from the git history, next to the current version.
 
-``deploy/service.toml`` names its commit. Its sources are laid out under ``target/`` as a package of
-another name, so that both versions can be imported by one process and talk to each other in the
-stand-ins. Without the history the tests that need it fail, and say so.
+``deploy/service.toml`` names its commit. Its sources are extracted to ``target/`` as a package of
+another name, so that one process can import both versions and connect them in the simulated world.
+Without the git history the tests that need that version fail with an error that says so.
 
-    python3 tests/production.py        makes tests/fixtures/production.json anew from that commit
+    python3 tests/production.py        regenerates tests/fixtures/production.json from that commit
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 FIXTURES = ROOT / "tests" / "fixtures" / "production.json"
-NAME = "salthead_production"
+PRODUCTION_PACKAGE = "salthead_production"
 
 
 def commit() -> str:
@@ -35,8 +35,8 @@
     return str(service["production"])
 
 
-def lay_out() -> Path:
-    """The package at that commit, under another name."""
+def extract_sources() -> Path:
+    """Extract the package in production under another name; return the folder for ``sys.path``."""
     folder = ROOT / "target" / "production" / commit()
     if not (folder / "whole").exists():
         with tarfile.open(fileobj=io.BytesIO(_archive())) as tar:
@@ -54,25 +54,25 @@
     )
     if archived.returncode != 0:
         raise RuntimeError(
-            f"the history lacks {commit()}, the version in production: "
-            f"{archived.stderr.decode().strip()}; fetch the whole history"
+            f"the git history lacks {commit()}, the version in production: "
+            f"{archived.stderr.decode().strip()}; fetch the full history"
         )
     return archived.stdout
 
 
 def _write_module(tar: tarfile.TarFile, member: tarfile.TarInfo, folder: Path) -> None:
-    """Write a module, with its imports from the package's other name."""
-    path = folder / NAME / Path(member.name).relative_to("src/salthead")
+    """Write a module with its imports changed to the package's other name."""
+    path = folder / PRODUCTION_PACKAGE / Path(member.name).relative_to("src/salthead")
     path.parent.mkdir(parents=True, exist_ok=True)
     file = tar.extractfile(member)
     assert file is not None
     text = file.read().decode()
-    path.write_text(re.sub(r"\b(from|import) salthead\b", rf"\1 {NAME}", text))
+    path.write_text(re.sub(r"\b(from|import) salthead\b", rf"\1 {PRODUCTION_PACKAGE}", text))
 
 
 @dataclass(frozen=True)
 class Version:
-    """What the stand-ins and the tests use of one version."""
+    """Uniform access to one salthead version, for the simulated world and the tests."""
 
     package: str
 
@@ -82,26 +82,26 @@
 
     @property
     def controller(self) -> Any:
-        """The class of a controller process."""
-        if self.package == NAME:
+        """The controller class."""
+        if self.package == PRODUCTION_PACKAGE:
             return self.module("service").Node
         return self.module("controller.controller").Controller
 
     @property
     def settings(self) -> Any:
-        """The class of the platform's settings."""
+        """The settings class."""
         return self.module("settings").Settings
 
     @property
     def unanswered(self) -> type[Exception]:
-        """The error of a call without an answer."""
-        name = "Unanswered" if self.package == NAME else "UnansweredError"
+        """The error class of a call without an answer."""
+        name = "Unanswered" if self.package == PRODUCTION_PACKAGE else "UnansweredError"
         return getattr(self.module("transport.client"), name)  # type: ignore[no-any-return]
 
     @property
     def undecided_errors(self) -> tuple[type[Exception], ...]:
-        """What a controller raises where the answer to a request is 503."""
-        if self.package == NAME:
+        """The error classes for which a controller answers 503."""
+        if self.package == PRODUCTION_PACKAGE:
             return self.module("transport.server").CANT_NOW  # type: ignore[no-any-return]
         return self.module("controller.handlers").UNDECIDED_ERRORS  # type: ignore[no-any-return]
 
@@ -113,11 +113,13 @@
     @property
     def validation(self) -> Any:
         """The module that decodes submissions and heartbeats."""
-        return self.module("protocol.messages" if self.package == NAME else "protocol.validation")
+        return self.module(
+            "protocol.messages" if self.package == PRODUCTION_PACKAGE else "protocol.validation"
+        )
 
     def handle_heartbeat(self, controller: Any, message: bytes) -> tuple[int, dict[str, Any]]:
-        """What a process of this version answers to the bytes of a heartbeat."""
-        if self.package == NAME:
+        """Return the status and the body of the answer to an encoded heartbeat."""
+        if self.package == PRODUCTION_PACKAGE:
             return controller.on_report(  # type: ignore[no-any-return]
                 self.messages.decode_report(message)
             )
@@ -131,59 +133,61 @@
     async def submit(
         self, controller: Any, submission: bytes, forwarded: bool = False
     ) -> tuple[int, dict[str, Any]]:
-        """What a process of this version answers to the bytes of a submission."""
+        """Return the status and the body of the answer to an encoded submission."""
         job = self.validation.decode_submission(submission)
-        if self.package == NAME:
+        if self.package == PRODUCTION_PACKAGE:
             return await controller.submit(job, forwarded)  # type: ignore[no-any-return]
         status, created = await controller.submissions.submit(job, forwarded)
         return 201 if created else 200, msgspec.to_builtins(status)
 
     async def poll(self, controller: Any, job_id: str) -> dict[str, Any] | None:
-        """What a process of this version tells of a job; None where that is 404."""
-        owner = controller if self.package == NAME else controller.job_status
+        """Return the status of a job; None for 404."""
+        owner = controller if self.package == PRODUCTION_PACKAGE else controller.job_status
         return msgspec.to_builtins(await owner.poll(job_id))  # type: ignore[no-any-return]
 
     async def cancel(self, controller: Any, job_id: str) -> dict[str, Any] | None:
-        """What a process of this version tells of a job that it is to cancel; None for 404."""
-        owner = controller if self.package == NAME else controller.job_status
+        """Cancel a job and return its status; None for 404."""
+        owner = controller if self.package == PRODUCTION_PACKAGE else controller.job_status
         return msgspec.to_builtins(await owner.cancel(job_id))  # type: ignore[no-any-return]
 
     async def poll_at_leader(
         self, controller: Any, term: Any, job_id: str
     ) -> dict[str, Any] | None:
-        """What a process of this version that leads tells a peer of a job; None for 404."""
-        if self.package == NAME:
-            found = await controller.poll_here(term, job_id)
+        """Return the leader's answer to a peer that polls a job; None for 404."""
+        if self.package == PRODUCTION_PACKAGE:
+            status = await controller.poll_here(term, job_id)
         else:
-            found = await controller.job_status.as_leader(term, job_id)
-        return msgspec.to_builtins(found)  # type: ignore[no-any-return]
+            status = await controller.job_status.as_leader(term, job_id)
+        return msgspec.to_builtins(status)  # type: ignore[no-any-return]
 
     def withhold_vote(self, controller: Any, member: str) -> Any:
-        """Whether a process of this version withholds its vote for a leader, awaitable."""
-        if self.package == NAME:
+        """Return an awaitable that tells whether the controller withholds its vote."""
+        if self.package == PRODUCTION_PACKAGE:
             return controller.promise(member)
         return controller.election.withhold_vote(member)
 
     def connectivity_report(self, controller: Any, to_leader: bool) -> dict[str, Any]:
-        """What a process of this version tells a peer of its connectivity."""
-        if self.package == NAME:
+        """Return the connectivity report that a controller sends to a peer."""
+        if self.package == PRODUCTION_PACKAGE:
             return controller.knocks_body()  # type: ignore[no-any-return]
         report = controller.connectivity.report(to_leader)
         return msgspec.to_builtins(report)  # type: ignore[no-any-return]
 
     def fencing_token(self, term: Any) -> int:
-        """The fencing token of a term of this version."""
-        return int(term.token if self.package == NAME else term.fencing_token)
+        """Return the fencing token of a term."""
+        return int(term.token if self.package == PRODUCTION_PACKAGE else term.fencing_token)
 
     @property
     def records(self) -> Any:
-        """The module of the records in the state service."""
-        return self.module("bookkeeping.records" if self.package == NAME else "state_store.records")
+        """The module that encodes the records in the state service."""
+        return self.module(
+            "bookkeeping.records" if self.package == PRODUCTION_PACKAGE else "state_store.records"
+        )
 
     @property
     def pages(self) -> Any:
-        """The class of pages of records."""
-        package = "bookkeeping" if self.package == NAME else "state_store"
+        """The class of paged records."""
+        package = "bookkeeping" if self.package == PRODUCTION_PACKAGE else "state_store"
         return self.module(f"{package}.pages").Pages
 
 
@@ -192,15 +196,15 @@
 
 @functools.cache
 def production() -> Version:
-    """Return the version in production, laid out and ready for import."""
-    folder = str(lay_out())
+    """Extract the version in production and return it, ready for import."""
+    folder = str(extract_sources())
     if folder not in sys.path:
         sys.path.append(folder)
-    return Version(NAME)
+    return Version(PRODUCTION_PACKAGE)
 
 
 def fixtures() -> dict[str, Any]:
-    """Records and messages as the production version writes them."""
+    """Return records and messages as the version in production encodes them."""
     old = production()
     records, messages = old.records, old.messages
     spec = messages.shape(
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,10 +1,10 @@
-"""A soak: three real controllers over loopback, random faults, and rules checked from outside.
+"""Soak test: three real controllers on loopback, random faults, and black-box checks.
 
     python3 tests/soak.py --seeds 1-50 --workers 40 --processes 4 --seconds 30
 
-plays each seed in a process of its own and prints a line for each. The exit code is 0 only if no
-rule was broken. Of a seed that broke one, what the controllers logged, its faults and its history
-are kept. ``--plan`` prints the faults of the seeds and plays nothing.
+runs each seed in a subprocess and prints one line for each. The exit code is 0 only if no invariant
+was violated. For a seed with violations the controller logs, the faults and the outcome are kept.
+``--plan`` prints the faults of the seeds and runs nothing.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
 from soak_world import SoakSetup, SoakWorld, Users  # noqa: E402
 
 FAST = {"report_s": 0.6, "lease_s": 6.0, "gang_wait_s": 15.0, "gang_peer_s": 2.0, "cancel_s": 20.0}
-CPUS = 8.0  # of a small machine
-JOBS_A_SECOND = 0.8
-# Longer than a busy machine needs: that a job is never served is the fault, not when.
+SMALL_MACHINE_CPUS = 8.0
+JOBS_PER_SECOND = 0.8
+# Longer than a busy test machine needs: only a job that is never served is a fault.
 SERVED_WITHIN_S = 240.0
 LOGGED_FAULT = re.compile(r"invariant_broken|Traceback|ends by an error|background work failed")
-LEFT_RUNNING_S = 10.0  # for a seed's process to end its controllers when it is interrupted
+TERMINATE_TIMEOUT_S = 10.0  # for an interrupted subprocess to end its controllers
 
 
 @dataclass
 class Outcome:
-    """What a seed came to."""
+    """Violations and statistics of one seed."""
 
     seed: int
     broken: list[str] = field(default_factory=list)
@@ -53,23 +53,29 @@
     faults: int = 0
     terms: int = 0
 
-    def line(self) -> str:
-        """For people."""
+    def summary(self) -> str:
+        """Return a summary of the outcome for the console."""
         counts = f"{self.jobs} jobs, {self.starts} starts, {self.faults} faults, {self.terms} terms"
         verdict = f"BROKEN {len(self.broken)}: {self.broken[0]}" if self.broken else "ok"
         return f"seed {self.seed}: {verdict} ({counts})"
 
 
 def scale_to(workers: int) -> None:
-    """Heartbeats and leases as fast as loopback allows, and limits that the work exceeds."""
+    """Set fast heartbeats and leases for loopback, and team limits that the load exceeds."""
     LIMITS["workers"].update(FAST)
     red, blue = LIMITS["teams"]
-    red.update(cpus=0.05 * workers * CPUS, cpus_max=max(24.0, 0.15 * workers * CPUS))
-    blue.update(cpus=0.2 * workers * CPUS, cpus_max=max(64.0, 0.5 * workers * CPUS))
-
-
-async def play(seed: int, workers: int, seconds: float, folder: Path) -> Outcome:
-    """One seed from beginning to end."""
+    red.update(
+        cpus=0.05 * workers * SMALL_MACHINE_CPUS,
+        cpus_max=max(24.0, 0.15 * workers * SMALL_MACHINE_CPUS),
+    )
+    blue.update(
+        cpus=0.2 * workers * SMALL_MACHINE_CPUS,
+        cpus_max=max(64.0, 0.5 * workers * SMALL_MACHINE_CPUS),
+    )
+
+
+async def run_seed(seed: int, workers: int, seconds: float, folder: Path) -> Outcome:
+    """Run one seed and return its outcome."""
     scale_to(workers)
     faults = soak_faults.plan(seed, seconds)
     setup = SoakSetup(3, ("north", "north", "south"), ROOT / "deploy/partial-cuts.toml", SoakWorld)
@@ -78,14 +84,14 @@
     world.rng.seed(seed)
     users = Users(world, random.Random(seed), workers)
     try:
-        await setup.make_proxies()
+        await setup.start_proxies()
         await world.listen(workers)
         with setup:
-            world.later(0.0, users.submit_loop(JOBS_A_SECOND))
-            world.later(0.0, users.ask_loop())
-            await soak_faults.play(setup, faults)
-            users.ending = True
-            world.broken += await serve_all(world)
+            world.run_later(0.0, users.submit_loop(JOBS_PER_SECOND))
+            world.run_later(0.0, users.poll_loop())
+            await soak_faults.inject_all(setup, faults)
+            users.stopped = True
+            world.broken += await wait_until_served(world)
             world.broken += [
                 f"controller n{n} ended by itself with {process.returncode}"
                 for n, process in setup.processes.items()
@@ -98,8 +104,8 @@
     return Outcome(seed, broken, len(world.specs), world.starts, len(faults), terms)
 
 
-async def serve_all(world: SoakWorld) -> list[str]:
-    """After the last fault each job that was accepted ends; those that did not."""
+async def wait_until_served(world: SoakWorld) -> list[str]:
+    """Wait until all submitted jobs are accepted and terminal; return a violation for each left."""
     end = world.now() + SERVED_WITHIN_S
     while world.now() < end:
         left = [
@@ -114,7 +120,7 @@
 
 
 def logged_faults(folder: Path) -> list[str]:
-    """What the controllers themselves call a fault of their own."""
+    """Return the internal errors that the controllers logged."""
     return [
         f"{path.stem} logged: {line[:300]}"
         for path in sorted(folder.glob("n*.log"))
@@ -123,18 +129,18 @@
     ]
 
 
-def play_here(seed: int, options: argparse.Namespace) -> int:
-    """Play one seed in this process, and leave its outcome in its folder."""
+def run_in_this_process(seed: int, options: argparse.Namespace) -> int:
+    """Run one seed in this process and write its outcome to its folder."""
     folder = Path(options.keep) / f"seed-{seed}"
     folder.mkdir(parents=True, exist_ok=True)
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(1))
-    found = asyncio.run(play(seed, options.workers, options.seconds, folder))
-    (folder / "outcome.json").write_text(json.dumps(asdict(found), indent=1))
-    return 1 if found.broken else 0
+    outcome = asyncio.run(run_seed(seed, options.workers, options.seconds, folder))
+    (folder / "outcome.json").write_text(json.dumps(asdict(outcome), indent=1))
+    return 1 if outcome.broken else 0
 
 
-def play_apart(seed: int, options: argparse.Namespace) -> Outcome:
-    """Play one seed in a process of its own."""
+def run_in_subprocess(seed: int, options: argparse.Namespace) -> Outcome:
+    """Run one seed in a subprocess and return its outcome."""
     folder = Path(options.keep) / f"seed-{seed}"
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
@@ -150,21 +156,21 @@
     (folder / "faults.txt").write_text(plan + "\n")
     if not (folder / "outcome.json").exists():
         return Outcome(seed, [f"no outcome: see {folder / 'soak.log'}"])
-    found = Outcome(**json.loads((folder / "outcome.json").read_text()))
-    if not found.broken:
+    outcome = Outcome(**json.loads((folder / "outcome.json").read_text()))
+    if not outcome.broken:
         shutil.rmtree(folder)
-    return found
+    return outcome
 
 
-def play_all(options: argparse.Namespace) -> int:
-    """All seeds, some at a time; the exit code."""
+def run_all_seeds(options: argparse.Namespace) -> int:
+    """Run all seeds, ``--processes`` at a time, and return the exit code."""
     options.running = set()
     outcomes = []
     pool = ThreadPoolExecutor(options.processes)
     try:
-        for found in pool.map(lambda seed: play_apart(seed, options), options.seeds):
-            print(found.line(), flush=True)
-            outcomes.append(found)
+        for outcome in pool.map(lambda seed: run_in_subprocess(seed, options), options.seeds):
+            print(outcome.summary(), flush=True)
+            outcomes.append(outcome)
     except KeyboardInterrupt:
         print("interrupted", file=sys.stderr)
         return 130
@@ -173,46 +179,48 @@
         for process in list(options.running):
             process.terminate()
         for process in list(options.running):
-            process.wait(LEFT_RUNNING_S)
-    bad = [found for found in outcomes if found.broken]
+            process.wait(TERMINATE_TIMEOUT_S)
+    bad = [outcome for outcome in outcomes if outcome.broken]
     print(f"{len(outcomes)} seeds, {len(bad)} broke a rule", end="")
     print(f"; kept in {options.keep}" if bad else "")
     return 1 if bad else 0
 
 
 def seeds_from(text: str) -> list[int]:
-    """``7``, ``1-50`` or ``1,4,9-12``."""
-    found: list[int] = []
+    """Parse seeds such as ``7``, ``1-50`` or ``1,4,9-12``."""
+    seeds: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
-        found += range(int(first), int(last or first) + 1)
-    if not found:
+        seeds += range(int(first), int(last or first) + 1)
+    if not seeds:
         raise ValueError("no seeds")
-    return found
+    return seeds
 
 
-def at_least(least: float) -> type[float]:
-    """A number that is no smaller."""
+def at_least(minimum: float) -> type[float]:
+    """Return an argument parser for numbers that are not below ``minimum``."""
 
     def number(text: str) -> float:
-        if not float(text) >= least:
+        if not float(text) >= minimum:
             raise ValueError(text)
         return float(text)
 
     return number  # type: ignore[return-value]
 
 
-class OneLine(argparse.ArgumentParser):
-    """Says what is wrong in one line."""
+class OneLineErrorParser(argparse.ArgumentParser):
+    """Argument parser that reports an error in one line."""
 
     def error(self, message: str) -> None:  # type: ignore[override]
-        """Exit code 2."""
+        """Print the error and exit with code 2."""
         self.exit(2, f"soak.py: {message}\n")
 
 
 def main() -> int:
-    """The command line."""
-    parser = OneLine(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    """Run the command line and return the exit code."""
+    parser = OneLineErrorParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--seeds", type=seeds_from, default=seeds_from("1-4"), help="as 1-50")
     parser.add_argument("--workers", type=int, default=16, choices=range(8, 601), metavar="N")
     parser.add_argument("--processes", type=int, default=2, choices=range(1, 17), metavar="P")
@@ -228,8 +236,8 @@
                 print(f"seed {seed}: {fault}")
         return 0
     if options.one:
-        return play_here(options.seeds[0], options)
-    return play_all(options)
+        return run_in_this_process(options.seeds[0], options)
+    return run_all_seeds(options)
 
 
 if __name__ == "__main__":
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -1,4 +1,4 @@
-"""Faults for a soak, drawn from one seeded generator, and how each is brought about and undone."""
+"""Faults for a soak test: a seeded schedule, and how each fault is injected and undone."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 from soak_world import ZONES, SoakSetup, SoakWorld
 from standins import Worker
 
-LASTS_S = (0.3, 1.0, 2.5, 5.0, 8.0)  # around withheld votes, the leader's and the workers' leases
-GAP_S = (0.2, 3.5)  # between the beginnings of two faults: two or three overlap
-FIRST_AT_S = 5.0  # so that there are machines and tasks to lose
+# Near the periods of withheld votes, of the leader's lease and of the workers' leases.
+DURATIONS_S = (0.3, 1.0, 2.5, 5.0, 8.0)
+GAP_S = (0.2, 3.5)  # between the starts of two faults, so that two or three overlap
+FIRST_AT_S = 5.0  # lets machines and tasks start first
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault: when it begins, for how long it lasts, and a seed for what it chooses."""
+    """One fault with its start, its duration, and a seed for its random choices."""
 
     at_s: float
     kind: str
@@ -31,27 +32,27 @@
 
 
 def plan(seed: int, seconds: float) -> list[Fault]:
-    """The faults of a seed."""
+    """Return the schedule of faults of a seed."""
     rng = random.Random(seed)
     faults = []
     at_s = FIRST_AT_S
     while at_s < seconds:
-        lasts_s, choice = rng.choice(LASTS_S), rng.randrange(1_000_000)
+        lasts_s, choice = rng.choice(DURATIONS_S), rng.randrange(1_000_000)
         faults.append(Fault(round(at_s, 2), rng.choice(sorted(KINDS)), lasts_s, choice))
         at_s += rng.uniform(*GAP_S)
     return faults
 
 
-async def play(local: SoakSetup, faults: list[Fault]) -> None:
-    """All faults at their times; returns when the last is over."""
+async def inject_all(local: SoakSetup, faults: list[Fault]) -> None:
+    """Inject all faults at their times, and return after the last has been undone."""
     began = asyncio.get_running_loop().time()
 
-    async def play_one(fault: Fault) -> None:
+    async def inject(fault: Fault) -> None:
         await asyncio.sleep(max(0.0, began + fault.at_s - asyncio.get_running_loop().time()))
         async with KINDS[fault.kind](local, random.Random(fault.seed), fault.lasts_s):
             await asyncio.sleep(fault.lasts_s)
 
-    await asyncio.gather(*(play_one(fault) for fault in faults))
+    await asyncio.gather(*(inject(fault) for fault in faults))
 
 
 Undo = AsyncIterator[None]
@@ -59,7 +60,7 @@
 
 
 def _leader_first(local: SoakSetup, rng: random.Random) -> list[int]:
-    """The leader first, then the others in some order."""
+    """Return the indexes of the controllers: the leader, then the others in random order."""
     others = list(range(len(local.addresses)))
     rng.shuffle(others)
     leader = local.leader()
@@ -75,19 +76,19 @@
 
 @asynccontextmanager
 async def leader_back_at_once(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """The leader ends and is back within a fraction of a second."""
+    """Kill the leader and restart it within half a second."""
     await _restart(local, _leader_first(local, rng)[0], rng.uniform(0.0, 0.5))
     yield
 
 
 @asynccontextmanager
 async def leader_back_without_types(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """The same while the cloud's answers and direct commands are slow, and some machines hang.
+    """Restart the leader with slow machine types, held direct commands and some hung machines.
 
-    So it is with thousands of machines, of which few have been called when the types arrive.
+    This simulates thousands of machines, of which few have been called when the types arrive.
     """
     world = local.world
-    world.types_late_s = rng.uniform(0.3, 2.0)
+    world.machine_types_delay_s = rng.uniform(0.3, 2.0)
     world.commands = dict.fromkeys(ZONES, Mode.HOLD)
     hung = _some_workers(world, rng, 0.35)
     for worker in hung:
@@ -97,19 +98,19 @@
     for worker in hung:
         worker.hung = False
     world.commands = dict.fromkeys(ZONES, Mode.PASS)
-    world.types_late_s = 0.0
+    world.machine_types_delay_s = 0.0
 
 
 @asynccontextmanager
 async def leader_gone(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """The leader ends for a while."""
+    """Kill the leader and restart it after the duration."""
     await _restart(local, _leader_first(local, rng)[0], lasts_s)
     yield
 
 
 @asynccontextmanager
 async def leaders_in_series(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """Whoever leads ends, four times."""
+    """Kill and restart the current leader four times."""
     for _ in range(4):
         await _restart(local, _leader_first(local, rng)[0], rng.uniform(0.0, 0.3))
         await asyncio.sleep(rng.uniform(0.3, 2.0))
@@ -118,7 +119,7 @@
 
 @asynccontextmanager
 async def all_end(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """All controllers end, and come back one by one."""
+    """Kill all controllers and restart them one by one."""
     await asyncio.gather(
         *(_restart(local, n, lasts_s + rng.uniform(0.0, 1.0)) for n in _leader_first(local, rng))
     )
@@ -127,7 +128,7 @@
 
 @asynccontextmanager
 async def paused(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """A controller, mostly the leader, stands still while its clocks run."""
+    """Suspend a controller, mostly the leader, while its clocks run on."""
     controller = _leader_first(local, rng)[0 if rng.random() < 0.7 else 1]
     if controller in local.processes:
         local.pause(controller)
@@ -138,7 +139,7 @@
 
 @asynccontextmanager
 async def state_down(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """The state service is down for all; leases have their full time afterwards."""
+    """Take the state service down; leases get their full TTL afterwards."""
     local.world.state.down = True
     yield
     local.world.state.recover()
@@ -146,7 +147,7 @@
 
 @asynccontextmanager
 async def state_refuses_one(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """The state service refuses one controller, mostly the leader."""
+    """Let the state service refuse one controller, mostly the leader."""
     controller = _leader_first(local, rng)[0 if rng.random() < 0.7 else 1]
     local.world.refused_controllers.add(controller)
     yield
@@ -155,7 +156,7 @@
 
 @asynccontextmanager
 async def cloud_down(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """The cloud's interface is down."""
+    """Take the cloud API down."""
     local.world.cloud.down = True
     yield
     local.world.cloud.down = False
@@ -163,7 +164,7 @@
 
 @asynccontextmanager
 async def late_writes(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """Some transactions are carried out late, or at once without an answer."""
+    """Apply some transactions without an answer, either late or at once."""
     local.world.late_writes, local.world.writes_at_once = 0.3, rng.random() < 0.5
     yield
     local.world.late_writes = 0.0
@@ -171,7 +172,7 @@
 
 @asynccontextmanager
 async def late_copies(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """Of some reports copies arrive at all controllers later."""
+    """Deliver late copies of some heartbeats to all controllers."""
     local.world.copies = 0.3
     yield
     local.world.copies = 0.0
@@ -179,7 +180,7 @@
 
 @asynccontextmanager
 async def link_cut(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """One direction of one kind of link is cut, held or slow."""
+    """Drop, hold or delay messages in one or both directions of one kind of link."""
     controller, other = _leader_first(local, rng)[:2]
     zone = rng.choice(ZONES)
     proxies: list[LinkProxy] = rng.choice(
@@ -193,11 +194,11 @@
         ]
     )
     both, delayed = rng.random() < 0.3, rng.random() < 0.2
-    mode, forth = rng.choice((Mode.DROP, Mode.HOLD)), rng.random() < 0.5
+    mode, to_target = rng.choice((Mode.DROP, Mode.HOLD)), rng.random() < 0.5
     ways: list[Way] = [
         way
         for proxy in proxies
-        for way, chosen in ((proxy.to_target, forth), (proxy.from_target, not forth))
+        for way, chosen in ((proxy.to_target, to_target), (proxy.from_target, not to_target))
         if both or chosen
     ]
     for way in ways:
@@ -213,7 +214,7 @@
 
 @asynccontextmanager
 async def commands_cut(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """Direct commands to a zone are lost, or arrive late."""
+    """Drop or hold the direct commands to a zone."""
     zone = rng.choice(ZONES)
     local.world.commands[zone] = rng.choice((Mode.DROP, Mode.HOLD))
     yield
@@ -222,7 +223,7 @@
 
 @asynccontextmanager
 async def machines_die(local: SoakSetup, rng: random.Random, lasts_s: float) -> Undo:
-    """A few machines are gone."""
+    """Remove a few machines with their tasks."""
     for worker in _some_workers(local.world, rng, 0.15):
         if local.world.cloud.hosts.pop(worker.name, None) is not None:
             worker.terminate()
--- a/tests/standins/rules.py
+++ b/tests/standins/rules.py
@@ -81,14 +81,14 @@
 
     # -- answers
 
-    def check_phase(self, job_id: str, phase: str, began: float) -> None:
-        """Check the phase in an answer of any controller to a request sent at ``began``."""
+    def check_phase(self, job_id: str, phase: str, requested_at: float) -> None:
+        """Check the phase in an answer of any controller to a request sent at ``requested_at``."""
         if job_id not in self.specs:
             self.broken.append(f"invented {job_id}")
             return
         final, final_at = self.terminal_phases.get(job_id, ("", 0.0))
         self._check_cancellation(job_id, phase)
-        if final and phase != final and (final_at < began or phase in TERMINAL_PHASES):
+        if final and phase != final and (final_at < requested_at or phase in TERMINAL_PHASES):
             self.broken.append(f"went_back {job_id}: {final} to {phase}")
         if phase == "done" and not self.job_done(job_id):
             self.broken.append(f"not_done {job_id}")
@@ -112,9 +112,9 @@
         told_at = [self.cancelled[job_id] for job_id in job_ids if job_id in self.cancelled]
         return bool(told_at) and self.now() > min(told_at) + LIMITS["workers"]["cancel_s"]
 
-    def check_unknown_job(self, job_id: str, began: float) -> None:
-        """Check that a job whose request at ``began`` got 404 was not accepted before."""
-        if self.accepted.get(job_id, began) < began:
+    def check_unknown_job(self, job_id: str, requested_at: float) -> None:
+        """Check that a job whose request at ``requested_at`` got 404 was not accepted before."""
+        if self.accepted.get(job_id, requested_at) < requested_at:
             self.broken.append(f"forgotten {job_id}")
 
     # -- tasks on machines
--- a/tests/standins/service_rules.py
+++ b/tests/standins/service_rules.py
@@ -30,8 +30,8 @@
 
     def __init__(self, seed: int, max_machines: int, areas: dict[str, str]) -> None:
         super().__init__(seed, max_machines, areas)
-        self.trouble_until = 0.0  # end of the last injected fault
-        self.room_since: dict[str, float] = {}  # jobs that could start, and since when
+        self.faults_end_at = 0.0  # end of the last injected fault
+        self.startable_since: dict[str, float] = {}  # jobs that could start, by identifier
 
     def check_waiting_jobs(self) -> None:
         """Check that no startable job waits longer than MAX_WAIT_S after the faults."""
@@ -50,10 +50,10 @@
                 and cpus <= team_cpus_max(spec.team)
             )
             if not could_start:
-                self.room_since.pop(job_id, None)
-            elif self.now() - self.room_since.setdefault(job_id, self.now()) > MAX_WAIT_S:
+                self.startable_since.pop(job_id, None)
+            elif self.now() - self.startable_since.setdefault(job_id, self.now()) > MAX_WAIT_S:
                 self.broken.append(f"left_waiting {job_id}: room for {places} of its tasks")
-                self.room_since[job_id] = self.now() + REPORT_ONCE_DELAY_S
+                self.startable_since[job_id] = self.now() + REPORT_ONCE_DELAY_S
 
     def _allocated(self) -> Allocated:
         allocated = Allocated()
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -42,7 +42,7 @@
     async def submit(self, job: Submission) -> int:
         """Submit a job, with retries, and return the status of the definite answer."""
         self.specs[job.job_id] = job
-        began = self.now()
+        requested_at = self.now()
         try:
             status, answer = await self.ask_until_decided(
                 lambda controller: self._submit_to(controller, job)
@@ -53,7 +53,7 @@
             return 422
         self.last_phases.setdefault(job.job_id, "queued")
         self.accepted.setdefault(job.job_id, self.now())
-        self.check_phase(job.job_id, answer["phase"], began)
+        self.check_phase(job.job_id, answer["phase"], requested_at)
         return int(status)
 
     def _submit_to(self, controller: Controller, job: Submission) -> Coroutine[Any, Any, Any]:
@@ -63,24 +63,24 @@
     async def cancel(self, job_id: str) -> str:
         """Cancel a job, with retries, and return the phase in the definite answer."""
         self.cancel_requested.add(job_id)
-        began = self.now()
+        requested_at = self.now()
         answer = await self.ask_until_decided(lambda one: self.version_of(one).cancel(one, job_id))
-        self.check_phase(job_id, answer["phase"], began)
+        self.check_phase(job_id, answer["phase"], requested_at)
         return str(answer["phase"])
 
     async def poll(self, job_id: str) -> str | None:
         """Poll a job, with retries, and return its phase; None for 404."""
-        began = self.now()
+        requested_at = self.now()
         answer = await self.ask_until_decided(lambda one: self.version_of(one).poll(one, job_id))
-        if self.now() - max(began, self.trouble_until) > MAX_ANSWER_S:
+        if self.now() - max(requested_at, self.faults_end_at) > MAX_ANSWER_S:
             self.broken.append(f"forgotten {job_id}: not answered")
         if answer is None:
-            self.check_unknown_job(job_id, began)
+            self.check_unknown_job(job_id, requested_at)
             return None
-        self.check_phase(job_id, answer["phase"], began)
+        self.check_phase(job_id, answer["phase"], requested_at)
         return str(answer["phase"])
 
-    async def ask(self, name: str, job_id: str, what: str = "poll") -> str:
+    async def ask(self, name: str, job_id: str, action: str = "poll") -> str:
         """Send one request to one controller.
 
         Return the phase in its answer, ``none`` for 404, ``later`` for 503 and ``refused`` for an
@@ -89,11 +89,11 @@
         controller = self.controllers[name]
         if controller is None:
             return "later"
-        began = self.now()
-        if what == "cancel":
+        requested_at = self.now()
+        if action == "cancel":
             self.cancel_requested.add(job_id)
         try:
-            answer = await self._ask(controller, job_id, what)
+            answer = await self._send_request(controller, job_id, action)
         except (MalformedMessageError, InvalidJobError) as error:
             if job_id in self.accepted:
                 self.broken.append(f"forgotten {job_id}: a repeat is refused, {error}")
@@ -101,17 +101,19 @@
         except self.versions[name].undecided_errors:
             return "later"
         if answer is None:
-            self.check_unknown_job(job_id, began)
+            self.check_unknown_job(job_id, requested_at)
             return "none"
-        self.check_phase(job_id, answer["phase"], began)
+        self.check_phase(job_id, answer["phase"], requested_at)
         return str(answer["phase"])
 
-    async def _ask(self, controller: Controller, job_id: str, what: str) -> dict[str, Any] | None:
+    async def _send_request(
+        self, controller: Controller, job_id: str, action: str
+    ) -> dict[str, Any] | None:
         version = self.version_of(controller)
-        if what == "submit":
+        if action == "submit":
             _, status = await self._submit_to(controller, self.specs[job_id])
             return status  # type: ignore[no-any-return]
-        if what == "cancel":
+        if action == "cancel":
             return await version.cancel(controller, job_id)
         return await version.poll(controller, job_id)
 
--- a/tests/standins/world.py
+++ b/tests/standins/world.py
@@ -85,7 +85,7 @@
                 fencing_token = current_token
                 await self._deliver_kept_copies()
             self.check_cancelled_tasks()
-            if 0.0 < self.trouble_until < self.now():
+            if 0.0 < self.faults_end_at < self.now():
                 self.check_waiting_jobs()
 
     def _leader_fencing_token(self, default: int) -> int:
--- a/tests/test_cut_loopback.py
+++ b/tests/test_cut_loopback.py
@@ -109,7 +109,7 @@
         answer = await super().request(method, path, body)
         if path.startswith("/work"):
             job_id, phase = answer.body["uid"], answer.body["phase"]
-            self.answers.told(asked_at, self.now(), job_id, phase)
+            self.answers.record_answer(asked_at, self.now(), job_id, phase)
             if phase == "aborted":
                 self.cancelled.setdefault(job_id, self.now())
         return answer
@@ -136,9 +136,9 @@
 
     def snapshot(self) -> None:
         super().snapshot()
-        self.answers.present(self.now(), {task_id for _, task_id in self.on_machines()})
+        self.answers.check_present(self.now(), {task_id for _, task_id in self.on_machines()})
 
-    def found(self) -> list[str]:
+    def violations(self) -> list[str]:
         return self.broken + self.history.broken + self.answers.broken
 
 
@@ -207,7 +207,7 @@
     setup = CutSetup(3, ("north", "north", "south"), policy, CutZones)
     world = setup.world
     assert isinstance(world, CutZones)
-    await setup.make_proxies()
+    await setup.start_proxies()
     await world.listen()
     try:
         with setup as local:
@@ -244,5 +244,5 @@
     policy = tmp_path / "policy.toml"
     policy.write_text(POLICY)
     world = asyncio.run(day(policy, cut))
-    assert world.found() == []
+    assert world.violations() == []
     assert len(world.history.placements) >= sum(one.task_count for one in JOBS[1:])
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -401,7 +401,7 @@
 
 def test_a_mute_machine_whose_lease_is_over_gets_no_work() -> None:
     async def scene() -> set[str]:
-        world = CutWorld(5, most=4)
+        world = CutWorld(5, machines_per_zone=4)
         await begun(world)
         for worker in world.in_zone("south"):
             worker.mute = True
@@ -412,7 +412,7 @@
             assert leader is not None
             phases |= {m.phase for m in leader.term.ledger.machines.values() if m.zone == 1}
             await asyncio.sleep(0.2)
-        assert not world.found()
+        assert not world.violations()
         return phases
 
     assert run(scene) == {LOST}
@@ -439,7 +439,7 @@
 def test_a_third_of_the_machines_deaf_hold_a_takeover_for_about_a_lease() -> None:
     # 33 s and 46 s on the hunt sites, of leases of 15.25 s and 21 s.
     async def scene() -> tuple[float, list[str], int]:
-        world = CutWorld(2, most=4)
+        world = CutWorld(2, machines_per_zone=4)
         name = await begun(world)
         hosts = set(world.cloud.hosts)
         world.drops = {Direction(controller, "south") for controller in world.names}
@@ -453,7 +453,7 @@
             await asyncio.sleep(0.05)
         took = world.now() - began
         await asyncio.sleep(5.0)
-        return took, world.found(), len(hosts - set(world.cloud.hosts))
+        return took, world.violations(), len(hosts - set(world.cloud.hosts))
 
     took, broken, returned = run(scene)
     # A deaf worker asks the next controller after 5 s, and the leader asks that one every 2 s.
@@ -462,7 +462,7 @@
 
 def test_machines_that_were_deaf_for_two_leases_are_used_again() -> None:
     async def scene() -> tuple[set[str], set[str], list[str]]:
-        world = CutWorld(2, most=4)
+        world = CutWorld(2, machines_per_zone=4)
         name = await begun(world)
         south = {worker.name for worker in world.in_zone("south")}
         world.drops = {Direction(controller, "south") for controller in world.names}
@@ -472,7 +472,7 @@
         world.heal()
         await asyncio.sleep(12.0)
         used = {worker.name for worker, _ in world.on_machines()}
-        return south, used & south, world.found()
+        return south, used & south, world.violations()
 
     south, used, broken = run(scene)
     assert used == south and not broken
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -308,7 +308,7 @@
         await asyncio.sleep(12.0)
         assert await world.cancel("req-6") in ("aborted", "done")
         await trouble_task
-        world.trouble_until = world.now()
+        world.faults_end_at = world.now()
         await world.poll_until_terminal()
         assert await world.poll("req-999") is None
         assert await world.submit(JOBS[5]) == 200
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -46,7 +46,7 @@
     ],
 )
 def test_a_history(snapshots: list[tuple[float, set[Present]]], found: list[str]) -> None:
-    history = History(SPECS, {"red": 12.0, "blue": 64.0}, partial_most_s=10.0)
+    history = History(SPECS, {"red": 12.0, "blue": 64.0}, max_partial_s=10.0)
     for at, present in snapshots:
         history.observe(at, present)
     assert len(history.broken) == len(found)
@@ -72,16 +72,16 @@
     history = AnswerHistory(cancel_s=40.0)
     for at, what, phase in events:
         if what == TOLD:
-            history.told(at - 0.5, at, "req-1", phase)
+            history.record_answer(at - 0.5, at, "req-1", phase)
         elif what == RECORDED:
-            history.recorded(at, "req-1", phase)
+            history.record_outcome(at, "req-1", phase)
         else:
-            history.present(at, {"req-1/0"})
+            history.check_present(at, {"req-1/0"})
     assert len(history.broken) == bool(found) and all(found in one for one in history.broken)
 
 
 def test_placements_are_kept_in_their_order() -> None:
-    history = History(SPECS, {"red": 12.0, "blue": 64.0}, partial_most_s=10.0)
+    history = History(SPECS, {"red": 12.0, "blue": 64.0}, max_partial_s=10.0)
     history.observe(0.0, there(A1))
     history.observe(1.0, there(A1, G0, G1))
     assert history.placements == [
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -86,7 +86,7 @@
         world.state.recover()
         world.refused.clear()
         assert await asked in ("later", "aborted")
-        world.trouble_until = world.now()
+        world.faults_end_at = world.now()
         await world.poll_until_terminal()
         return world
 
@@ -613,7 +613,7 @@
 
         spawn(world, more())
         await trouble(world)
-        world.trouble_until = world.now()
+        world.faults_end_at = world.now()
         await world.poll_until_terminal()
         await asyncio.sleep(30.0)
         assert not world.on_machines()
@@ -641,7 +641,7 @@
         for n in range(480):
             spawn(world, one(n))
             await asyncio.sleep(0.25)
-        world.trouble_until = world.now()
+        world.faults_end_at = world.now()
         await world.poll_until_terminal()
         term = (await leader_of(world)).term
         assert term is not None and not term.ledger.jobs
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -537,7 +537,7 @@
 
     watching = asyncio.create_task(watch())
     await asyncio.gather(task, cancel(), lower())
-    world.trouble_until = world.now()
+    world.faults_end_at = world.now()
     await world.poll_until_terminal()
     watching.cancel()
     await asyncio.sleep(60.0)
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -42,7 +42,7 @@
 
 async def leader_back_before_it_knows_types(seed: int) -> CutWorld:
     """The leader ends and is back at once; the cloud's answers are late, some machines silent."""
-    world = CutWorld(seed, most=10)
+    world = CutWorld(seed, machines_per_zone=10)
     types_s = 0.2 + 0.15 * seed
     # Of thousands of machines a new leader has called few by then.
     world.extra_latency_s = lambda source, path: {"/flavors": types_s, "/do": 3.0}.get(path, 0.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -322,7 +322,7 @@
             )
         await asyncio.sleep(3.0)
         await world.cancel("req-500")
-        world.trouble_until = world.now()
+        world.faults_end_at = world.now()
         await world.poll_until_terminal()
         await asyncio.sleep(40.0)
         assert not world.on_machines()
--- a/tests/test_zone_days.py
+++ b/tests/test_zone_days.py
@@ -237,7 +237,7 @@
     await asyncio.sleep(22.0)
     assert any(zone == "south" for _, _, zone in world.history.placements)
     await trouble(world)
-    world.trouble_until = world.now()
+    world.faults_end_at = world.now()
     late = [array("req-7", task_count=8), gang("req-8", task_count=2)]
     for one in late:
         assert await world.submit(one) in (200, 201)
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -1,9 +1,9 @@
-"""Everything that crosses the wire or is stored, as bytes: one example of each kind.
+"""Examples of every kind of wire message and stored record, as bytes.
 
-    python3 tests/wire_examples.py        makes tests/fixtures/wire_examples.json anew
+    python3 tests/wire_examples.py        regenerates tests/fixtures/wire_examples.json
 
-The fixture was made by the version before names in the code were changed. A message or a record
-that encodes to other bytes than it did then is a change of the wire or of stored data.
+The fixture was generated before identifiers in the code were renamed. A message or record that
+encodes to other bytes than the fixture is a change of the wire format or of stored data.
 """
 
 from __future__ import annotations
@@ -79,8 +79,8 @@
 }
 
 
-class Recorder:
-    """Calls of one process: each is kept as the bytes that it would send."""
+class CallRecorder:
+    """Client of one process that records calls, with encoded bodies, instead of sending them."""
 
     def __init__(self) -> None:
         self.calls: list[list[Any]] = []
@@ -98,7 +98,7 @@
         query: dict[str, Any] | None = None,
         endpoint: str = "",
     ) -> Answer:
-        """Keep the call, and return an example of an answer to it."""
+        """Record the call, and return an example answer."""
         self.calls.append([method, path, encode(body).hex(), query or {}])
         if path.startswith("/keys/"):
             return Answer(404, {})
@@ -108,23 +108,23 @@
         return Answer(200, ANSWERS.get(path, {}))
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: there is no connection to close."""
 
 
 def request(body: Any = None, parameter: str = "") -> Request:
-    """Return a request as the handlers get it."""
+    """Return a request in the form that handlers receive."""
     payload = b"" if body is None else encode(body)
     return Request(parameter, payload, "10.0.0.1", None, None)
 
 
 async def reply_bytes(answer: Reply | Awaitable[Reply]) -> list[Any]:
-    """Return the status of a handler's answer, and its body in hexadecimal."""
+    """Return the status and the hexadecimal body of a handler's reply."""
     reply = answer if isinstance(answer, Reply) else await answer
     body = reply.body if isinstance(reply.body, bytes) else encode(reply.body)
     return [reply.status, body.hex()]
 
 
-def whole_submission() -> Any:
+def full_submission() -> Any:
     """Return a submission with a value in each field."""
     return spec(
         "req-7",
@@ -143,16 +143,16 @@
     )
 
 
-def plain_examples() -> dict[str, Any]:
-    """Messages and records that need no process."""
-    whole = whole_submission()
+def static_examples() -> dict[str, Any]:
+    """Return examples of messages and records that need no controller."""
+    full = full_submission()
     many = spec("req-8", depends_on=[f"req-{n}" for n in range(300)])
     types = msgspec.to_builtins(FLAVORS)
     layout = DoneTaskLayout(16.0, 2.0)
     zone = ZoneState(ZONE_POLICY, NOW - 20.0)
     zone.enter(ZonePhase.LOST, "why", NOW - 10.0)
     return {
-        "submission": encode(whole).hex(),
+        "submission": encode(full).hex(),
         "submission with defaults": encode(spec()).hex(),
         "heartbeat": encode(
             heartbeat("m1", 3, ("req-1/0", 5, "running"), ("req-1/1", 6, "exited", "done", True))
@@ -160,10 +160,10 @@
         "status": encode(JobStatus.with_progress("req-1", "running", 3, 4, ["req-0"])).hex(),
         "status of a queued job": encode(JobStatus.with_progress("req-1", "queued")).hex(),
         "stop": encode(StopCommand("req-1/0", 5, 2.5)).hex(),
-        "job": records.job_rows(whole, 4.0, 8),
+        "job": records.job_rows(full, 4.0, 8),
         "job with many dependencies": records.job_rows(many, 2.0, 8),
-        "outcome": records.outcome_value(whole, "done", WALL, 4.0),
-        "outcome with its names cut": records.outcome_value(whole, "aborted", WALL, 0.3),
+        "outcome": records.outcome_value(full, "done", WALL, 4.0),
+        "outcome with its names cut": records.outcome_value(full, "aborted", WALL, 0.3),
         "machine types": records.machine_type_rows(types, 4.0),
         "machine types in parts": records.machine_type_rows(types * 9, 1.0),
         "done tasks": [
@@ -189,8 +189,8 @@
 
 
 async def election_calls() -> list[list[Any]]:
-    """What a process sends to become the leader, and to ask for the leases of its zone."""
-    recorder = Recorder()
+    """Return the calls of a controller that campaigns for leadership and for its zone's leases."""
+    recorder = CallRecorder()
     controller = Controller(settings("n0", ("n1",)), random.Random(1), lambda: NOW, recorder.dial)
     await controller.election._campaign(None, None)
     controller.leader_view.member = "n1"
@@ -205,8 +205,8 @@
     return recorder.calls
 
 
-async def send_from(term: Term) -> None:
-    """What a leader sends to the state service, the cloud and the workers."""
+async def send_leader_calls(term: Term) -> None:
+    """Make the leader call the state service, the cloud and the workers."""
     await term.outcomes.write_batch([term.ledger.jobs["req-1"]])
     machine = term.ledger.machines["m1"]
     machine.reconciled, machine.endpoint = False, "10.0.0.2:9"
@@ -226,8 +226,8 @@
 
 
 async def leader_examples() -> dict[str, Any]:
-    """What a leader answers and sends, for a small fleet."""
-    recorder = Recorder()
+    """Return the replies and the calls of a leader with a small fleet."""
+    recorder = CallRecorder()
     policy = Policy(zone_recovery=ZONE_POLICY, partial_cuts=CUT_POLICY)
     controller = Controller(
         settings("n0", ("n1",)), random.Random(1), lambda: NOW, recorder.dial, policy
@@ -239,79 +239,79 @@
     ledger.loaded = ledger.ready = True
     controller.leader_view.term, controller.leader_view.member = term, "n0"
     clients, peers = ClientHandlers(controller), PeerHandlers(controller)
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for n in range(2):
         ledger.add_machine(f"m{n}", "small", "north", n == 1, NOW, registered=True)
-        found[f"first heartbeat of m{n}"] = await reply_bytes(
+        results[f"first heartbeat of m{n}"] = await reply_bytes(
             clients.heartbeat(request(heartbeat(f"m{n}", 1, spot=n == 1)))
         )
-    found["submission accepted"] = await reply_bytes(
+    results["submission accepted"] = await reply_bytes(
         clients.submit(request(given(spec("req-1", image="img", task_count=3))))
     )
-    found["submission with dependencies"] = await reply_bytes(
+    results["submission with dependencies"] = await reply_bytes(
         clients.submit(request(given(spec("req-3", depends_on=["req-1"]))))
     )
-    found["submission refused"] = await reply_bytes(
+    results["submission refused"] = await reply_bytes(
         clients.submit(request(given(spec("req-2", team="none"))))
     )
     scheduling_pass.schedule(ledger, random.Random(1), NOW)
-    found["starts"] = await reply_bytes(clients.heartbeat(request(heartbeat("m0", 2))))
+    results["starts"] = await reply_bytes(clients.heartbeat(request(heartbeat("m0", 2))))
     job = ledger.jobs["req-1"]
     binding = job.bindings[0]
     shown = ("req-1/0", binding.attempt, "running")
     name, other = binding.machine.name, ("req-9/1", 4, "running")
     spot = binding.machine.spot
-    found["a stop"] = await reply_bytes(
+    results["a stop"] = await reply_bytes(
         clients.heartbeat(request(heartbeat(name, 3, shown, other, spot=spot)))
     )
     exits = (("req-1/0", binding.attempt, "exited", "error"), ("req-9/1", 4, "exited", "halted"))
-    found["reaped"] = await reply_bytes(
+    results["reaped"] = await reply_bytes(
         clients.heartbeat(request(heartbeat(name, 4, *exits, spot=spot)))
     )
-    found["heartbeat refused"] = await reply_bytes(clients.heartbeat(request({"saltlick": "m1"})))
-    found["status"] = await reply_bytes(clients.poll(request(parameter="req-1")))
-    found["status of a job that waits"] = await reply_bytes(
+    results["heartbeat refused"] = await reply_bytes(clients.heartbeat(request({"saltlick": "m1"})))
+    results["status"] = await reply_bytes(clients.poll(request(parameter="req-1")))
+    results["status of a job that waits"] = await reply_bytes(
         clients.poll(request(parameter="req-3"))
     )
-    found["no such job"] = await reply_bytes(clients.poll(request(parameter="nonsense")))
-    found["overview"] = await reply_bytes(clients.overview(request()))
-    found["up"] = await reply_bytes(clients.up(request()))
-    found["peer"] = await reply_bytes(peers.redirected(request({"leads": True})))
-    found["peer poll"] = await reply_bytes(peers.poll(request({"uid": "req-1"})))
+    results["no such job"] = await reply_bytes(clients.poll(request(parameter="nonsense")))
+    results["overview"] = await reply_bytes(clients.overview(request()))
+    results["up"] = await reply_bytes(clients.up(request()))
+    results["peer"] = await reply_bytes(peers.redirected(request({"leads": True})))
+    results["peer poll"] = await reply_bytes(peers.poll(request({"uid": "req-1"})))
     recorder.calls.clear()
-    await send_from(term)
-    found["cancelled"] = await reply_bytes(clients.cancel(request(parameter="req-1")))
-    found["calls"] = recorder.calls
-    return found
+    await send_leader_calls(term)
+    results["cancelled"] = await reply_bytes(clients.cancel(request(parameter="req-1")))
+    results["calls"] = recorder.calls
+    return results
 
 
 async def follower_examples() -> dict[str, Any]:
-    """What a process that does not lead answers."""
-    recorder = Recorder()
+    """Return the replies of a controller that does not lead."""
+    recorder = CallRecorder()
     controller = Controller(settings("n1", ("n0",)), random.Random(1), lambda: NOW, recorder.dial)
     controller.state_store.last_response_at = NOW
     controller.leader_view.member = "n0"
     clients, peers = ClientHandlers(controller), PeerHandlers(controller)
-    found: dict[str, Any] = {}
-    found["redirect"] = await reply_bytes(clients.heartbeat(request(heartbeat("m1", 4))))
-    found["peer"] = await reply_bytes(peers.redirected(request({"leads": True})))
-    found["peer poll"] = await reply_bytes(peers.poll(request({"uid": "req-1"})))
-    found["not up"] = await reply_bytes(clients.up(request()))
+    results: dict[str, Any] = {}
+    results["redirect"] = await reply_bytes(clients.heartbeat(request(heartbeat("m1", 4))))
+    results["peer"] = await reply_bytes(peers.redirected(request({"leads": True})))
+    results["peer poll"] = await reply_bytes(peers.poll(request({"uid": "req-1"})))
+    results["not up"] = await reply_bytes(clients.up(request()))
     controller.leader_view.member = None
-    found["no leader"] = await reply_bytes(clients.heartbeat(request(heartbeat("m1", 5))))
-    found["overview"] = await reply_bytes(clients.overview(request()))
-    return found
+    results["no leader"] = await reply_bytes(clients.heartbeat(request(heartbeat("m1", 5))))
+    results["overview"] = await reply_bytes(clients.overview(request()))
+    return results
 
 
 def examples() -> dict[str, Any]:
-    """All examples, as plain JSON."""
+    """Return all examples as JSON-compatible data."""
     one = uuid.UUID(int=0x1234567890ABCDEF1234567890ABCDEF)
     with (
         mock.patch.object(uuid, "uuid4", lambda: one),
         mock.patch.object(time, "time", lambda: WALL),
     ):
         found = {
-            "plain": plain_examples(),
+            "plain": static_examples(),
             "election": asyncio.run(election_calls()),
             "leader": asyncio.run(leader_examples()),
             "follower": asyncio.run(follower_examples()),
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -1,4 +1,4 @@
-"""A stand-in world of which a zone can be lost, and that shows a checker what is on machines."""
+"""Simulated world in which a zone can fail, with a checker that samples the tasks on machines."""
 
 from __future__ import annotations
 
@@ -11,27 +11,29 @@
 SAMPLE_S = 0.05
 
 
-def partial_most_s() -> float:
-    """For how long a gang may be incomplete: its members are told at their next heartbeats, and
-    those
-    of an attempt that is over end at theirs, by themselves, or with their lease."""
+def max_partial_s() -> float:
+    """Return for how many seconds a gang may be incomplete.
+
+    Members get their commands with their next heartbeats; those of an ended attempt stop at their
+    next heartbeat, by themselves, or when their worker's lease expires.
+    """
     workers = LIMITS["workers"]
     return float(workers["lease_s"] + 3.0 * workers["report_s"] + 2.0)
 
 
 class ZoneWorld(World):
-    """Two zones with equally many machines at the most."""
+    """World with two zones of equal capacity."""
 
-    def watch_zones(self, most: int) -> None:
-        """Begin to show the checker what is on machines, twenty times a second."""
-        self.max_machines = 2 * most
-        self.max_machines_in_zone = {"north": most, "south": most}
+    def watch_zones(self, machines_per_zone: int) -> None:
+        """Set the capacity of the zones, and start to sample the tasks on machines."""
+        self.max_machines = 2 * machines_per_zone
+        self.max_machines_in_zone = {"north": machines_per_zone, "south": machines_per_zone}
         teams = {team["name"]: team["cpus_max"] for team in LIMITS["teams"]}
-        self.history = History(self.specs, teams, partial_most_s())
-        self.sampling = asyncio.create_task(self._sample_always())
+        self.history = History(self.specs, teams, max_partial_s())
+        self.sampling = asyncio.create_task(self._sample_periodically())
 
     def snapshot(self) -> None:
-        """Show the checker what is on machines now."""
+        """Pass the tasks that are on machines now to the checker."""
         present = {
             Present(worker.name, worker.zone, task_id, attempt)
             for worker in self.cloud.hosts.values()
@@ -41,22 +43,22 @@
         self.history.ended = self.done
         self.history.observe(self.now(), present)
 
-    async def _sample_always(self) -> None:
+    async def _sample_periodically(self) -> None:
         while True:
             self.snapshot()
             await asyncio.sleep(SAMPLE_S)
 
     def before_start(self, worker: Worker, task_id: str) -> None:
-        """A start is about to happen: what ended before it has ended."""
+        """Check a start, after a snapshot in which tasks that ended before it are gone."""
         self.snapshot()
         super().before_start(worker, task_id)
 
     def in_zone(self, zone: str) -> list[Worker]:
-        """The zone's machines."""
+        """Return the zone's machines."""
         return [worker for worker in self.cloud.hosts.values() if worker.zone == zone]
 
     def lose_machines(self, zone: str, dead: bool) -> None:
-        """The zone's machines lose power, or reach nobody; none can be provisioned there."""
+        """Remove or disconnect the zone's machines; none can be provisioned there."""
         self.max_machines_in_zone[zone] = 0
         for worker in self.in_zone(zone):
             if dead:
@@ -64,8 +66,8 @@
             else:
                 worker.cut = True
 
-    def return_machines(self, zone: str, most: int) -> None:
-        """The zone's machines reach everybody again, and can be provisioned."""
-        self.max_machines_in_zone[zone] = most
+    def return_machines(self, zone: str, max_machines: int) -> None:
+        """Reconnect the zone's machines, and allow ``max_machines`` there."""
+        self.max_machines_in_zone[zone] = max_machines
         for worker in self.in_zone(zone):
             worker.cut = False
