--- a/tools/measure_zones.py
+++ b/tools/measure_zones.py
@@ -45,7 +45,7 @@
     world = ZoneDay(seed, policy=policy)
     world.fetch_s = lambda worker: COLD_START_S if worker.zone == "south" and back else WARM_START_S
     back = False
-    world.most_in_zone["north"] = 0
+    world.max_machines_in_zone["north"] = 0
     await asyncio.sleep(2.0)
     small = {"machine_types": ["small"]}
     for job in (
@@ -58,7 +58,7 @@
     await asyncio.sleep(10.0)
     lost_at, lost_tasks = world.now(), len(world.on_machines())
     await world.lose("south", dead=True)
-    world.most_in_zone["north"] = 5
+    world.max_machines_in_zone["north"] = 5
     await asyncio.sleep(OUTAGE_S)
     back = True
     back_at = world.now()
