--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger on fake time: who holds what, and when it is certain that it is gone."""
+"""The ledger on fake time: allocations, and when a task is certainly no longer running."""
 
 import random
 
@@ -77,7 +77,7 @@
     sweep(led, over + 0.01)
     assert led.machines["m1"].phase == LOST
     assert not one.bindings and led.usage[one.team][0] == 0.0
-    # A late heartbeat of that incarnation is old news: it neither revives the machine nor its task.
+    # A late heartbeat of the expired incarnation revives neither the machine nor its task.
     assert handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", 1, "running")), over + 1.0) is None
     assert handle_heartbeat(led, heartbeat("m1", 4, incarnation=2), over + 2.0) == []
     assert led.machines["m1"].phase == UP
@@ -115,7 +115,8 @@
         led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         led.add_machine("m2", "small", "north", False, 0.0, registered=True)
         job(led)
-        # Still under the old token: commands of the old leader may yet be executed.
+        # A heartbeat with the old fencing token: the worker may still execute commands of the old
+        # leader.
         handle_heartbeat(led, heartbeat("m1", 1, fencing_token=6), 0.5)
         sweep(led, 0.6)
         assert not led.ready
@@ -128,7 +129,7 @@
         assert led.ready
 
     def test_a_job_accepted_since_may_start_beside_a_silent_machine(self) -> None:
-        # Seen on rough, moana-buoys: one hanging machine held up every start for a lease.
+        # One hanging machine must not delay every start for a whole lease after a failover.
         led = ledger()
         led.add_machine("m1", "small", "north", False, 0.0, registered=True)
         machine(led, "m2")
@@ -139,8 +140,8 @@
         )
         place(led, 1.0)
         assert new is not None and len(new.bindings) == 2
-        assert not old.bindings, "it may be on m1"
-        # red may use 24 CPUs, of which m1 may hold 8 and the new job holds 4
+        assert not old.bindings, "its tasks may be running on m1"
+        # The limit of red is 24 CPUs, of which m1 may hold 8 and the new job holds 4.
         machine(led, "m3", machine_type="big")
         place(led, 4.0)
         assert big is not None and len(big.bindings) == 2
@@ -192,7 +193,8 @@
         ("task_count", "adopted"),
         [
             ([("m1", "req-1/0", 5), ("m2", "req-1/1", 5)], 2),
-            ([("m1", "req-1/0", 5), ("m2", "req-1/1", 6)], 1),  # two attempts: one has to go
+            # Of two attempts one has to be stopped.
+            ([("m1", "req-1/0", 5), ("m2", "req-1/1", 6)], 1),
         ],
     )
     def test_gangs(self, task_count: list[tuple[str, str, int]], adopted: int) -> None:
@@ -203,7 +205,7 @@
         assert len(one.bindings) == adopted
 
     def test_a_gang_of_which_only_a_part_was_started_is_drawn_anew(self) -> None:
-        # Seen on a day of stand-ins with lost answers and quick restarts.
+        # Lost answers and quick restarts can leave a gang of which only some members were started.
         led = ledger()
         for name in ("m1", "m2"):
             led.add_machine(name, "small", "north", False, 0.0, registered=True)
@@ -221,7 +223,7 @@
         led = ledger()
         led.loaded = False
         assert handle_heartbeat(led, heartbeat("m1", 1, ("req-1/0", 3, "running")), 0.1) == []
-        assert not led.machines, "the roster says what was started anything"
+        assert not led.machines, "only the roster says which machines may hold tasks"
         led.loaded = True
         job(led, task_count=1)
         handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", 3, "running")), 1.0)
@@ -236,7 +238,9 @@
         machine(led, "m2")
         job(led, team="red", task_count=1)
         place(led)
-        assert not led.jobs["req-1"].bindings, "whose quota the stray uses is not known yet"
+        assert not led.jobs["req-1"].bindings, (
+            "the team whose quota the orphan task uses is not known yet"
+        )
         ended: Submission = spec(job_id="req-9", team="red", vcpus=23.0)
         led.orphans.identify_job(ended)
         place(led, 5.0)
@@ -371,7 +375,7 @@
 
 
 class TestCopies:
-    """Copies of heartbeats come late: seconds to well over a lease."""
+    """Duplicates of heartbeats that arrive seconds to well over a lease late."""
 
     @pytest.mark.parametrize("late", [2.0, 30.0])
     def test_a_copy_of_an_earlier_term_shows_nothing(self, late: float) -> None:
@@ -388,11 +392,11 @@
         machine(led, "m1")
         led.machine_gone(led.machines["m1"], 1.0)
         assert handle_heartbeat(led, heartbeat("m1", 1), 30.0) is None
-        # The next leader does not know that it was there.
+        # The next leader does not know that the machine existed.
         after = ledger(fencing_token=8)
         copy = heartbeat("m1", 1, ("req-1/0", 3, "running"), fencing_token=7)
         assert handle_heartbeat(after, copy, 40.0) == [] and not after.machines
-        # One that is up and was not known hears the token and heartbeats under it.
+        # A running machine that was unknown receives the new token and uses it from then on.
         assert (
             handle_heartbeat(after, heartbeat("m2", 1, fencing_token=0), 41.0) == []
             and not after.machines
@@ -409,15 +413,15 @@
         handle_heartbeat(led, heartbeat("m1", 5, ("req-1/0", attempt, "running")), 1.0)
         assert handle_heartbeat(led, heartbeat("m1", 2), 9.0) == []
         assert one.bindings[0].phase == "running" and led.machines["m1"].last_heartbeat_at == 1.0
-        # It may have been a heartbeat that a direct answer overtook: its answer renews the lease.
+        # The late heartbeat may be one that a direct answer overtook; its answer renews the lease.
         sweep(led, certainly_expired_at(1.0, led.limits.workers.lease_s) + 0.1)
         assert one.bindings
         sweep(led, certainly_expired_at(9.0, led.limits.workers.lease_s) + 0.1)
         assert not one.bindings
 
     def test_a_machine_of_which_only_old_reports_come_is_returned_with_its_tasks(self) -> None:
-        # A worker that was back at once and counts anew, or a dead one's copies: neither its
-        # tasks nor their jobs may wait for ever.
+        # Old sequence numbers come from a worker that restarted at once and counts from 1 again, or
+        # from duplicates of a dead worker's heartbeats. Its tasks must not stay allocated for ever.
         led = ready()
         machine(led, "m1")
         one = job(led, task_count=1)
@@ -507,8 +511,7 @@
 
 
 def test_an_exit_that_is_shown_again_is_reaped_once_that_is_safe() -> None:
-    # A heartbeat that shows what the last one did is not looked at, unless something is to come of
-    # it.
+    # A heartbeat with the same content as the last one is skipped, unless it causes a command.
     led = ready()
     machine(led, "m1")
     one = job(led, task_count=2)
@@ -575,9 +578,9 @@
 
 
 class TestOneWay:
-    """A machine's heartbeats arrive, but answers and commands don't reach it."""
+    """A machine whose heartbeats arrive but which receives no answers and no commands."""
 
-    def deaf(self) -> tuple:
+    def unresponsive_machine(self) -> tuple:
         led = ready()
         machine(led, "m1")
         one = job(led, task_count=1)
@@ -587,7 +590,7 @@
         return led, led.machines["m1"], one
 
     def test_starts_that_never_show_take_a_machine_out_of_the_filter(self) -> None:
-        led, found, one = self.deaf()
+        led, found, one = self.unresponsive_machine()
         assert found.unresponsive_since is not None and not one.bindings, (
             "the task may go elsewhere"
         )
@@ -598,7 +601,7 @@
         assert [b.machine.name for b in one.bindings.values()] == ["m2"]
 
     def test_one_that_heals_is_used_again_after_a_pause_that_grows(self) -> None:
-        led, found, one = self.deaf()
+        led, found, one = self.unresponsive_machine()
         machine_health.mark_responsive(led, found, 11.0)
         pause = found.trusted_again_at - 11.0
         assert pause > 0 and not found.responsive(11.0) and found.responsive(found.trusted_again_at)
@@ -607,7 +610,7 @@
         assert found.trusted_again_at - 41.0 == 2 * pause
 
     def test_one_that_does_not_is_replaced(self) -> None:
-        led, found, one = self.deaf()
+        led, found, one = self.unresponsive_machine()
         plan = fleet_plan.plan(led, 11.0, fleet_plan.CapacityBackoff(), {})
         assert sum(plan.to_provision.values()) == 1 and not plan.to_terminate
         late = found.unresponsive_since + led.limits.workers.lease_s + 1.0
@@ -615,7 +618,7 @@
 
     @pytest.mark.parametrize(("heard", "deaf"), [(9.0, True), (1.0, False)])
     def test_a_session_that_rises_though_it_was_answered(self, heard: float, deaf: bool) -> None:
-        # One that hung for its whole lease begins a new incarnation as well, and hears well.
+        # A worker that hung for its whole lease starts a new incarnation too, but its link works.
         led = ready()
         machine(led, "m1", heard)
         handle_heartbeat(led, heartbeat("m1", 1, incarnation=2), 13.0)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,7 +1,7 @@
-"""Two troubles at once, on fake time, against stand-ins that check the rules.
+"""Two faults at once, on fake time, against stand-ins that check the invariants.
 
-The first tests bring about one meeting each, as it was found; the table plays the others with
-several seeds. ``docs/design.md`` says what makes each of them safe.
+The first tests reproduce one combination each; ``test_a_meeting_keeps_the_rules`` runs the other
+combinations with several seeds. ``docs/design.md`` explains why each of them is safe.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 CANCEL_S = LIMITS["workers"]["cancel_s"]
 
 
-async def leader_of(world: World) -> Controller:
+async def loaded_leader(world: World) -> Controller:
     while (
         (leader := world.leader()) is None or leader.term is None or (not leader.term.ledger.loaded)
     ):
@@ -30,17 +30,20 @@
     return leader
 
 
-def others(world: World, leader: Controller) -> list[str]:
+def follower_names(world: World, leader: Controller) -> list[str]:
     return [name for name in world.names if name != leader.settings.member]
 
 
-async def running(world: World, job_id: str, many: int = 1) -> None:
+async def wait_until_running(world: World, job_id: str, many: int = 1) -> None:
     while sum(task_id.startswith(job_id + "/") for _, task_id in world.on_machines()) < many:
         await asyncio.sleep(0.1)
 
 
-def answers_lost(world: World, want: Callable[[dict[str, Any]], bool], delay_s: float) -> None:
-    """Transactions of which a change is wanted are carried out at once; their answers come late."""
+def delay_txn_answers(world: World, want: Callable[[dict[str, Any]], bool], delay_s: float) -> None:
+    """Delay the answers of the transactions that contain a matching change.
+
+    The transactions themselves are applied at once.
+    """
     inner = world.state.handle
 
     async def handle(method: str, path: str, query: Any, body: Any) -> Any:
@@ -54,26 +57,26 @@
 
 @pytest.mark.parametrize("refused_first", [True, False])
 def test_gap(refused_first: bool) -> None:
-    # The leader's write of a cancellation is carried out, but its answer is lost; another
-    # controller reads it and tells the user; then the state service is down for everybody for
-    # longer than cancel_s, while all peers promise the leader the lead and its workers go on
-    # reporting to it.
-    async def day() -> World:
+    # The leader's write of a cancellation is applied, but its answer is lost. Another controller
+    # reads the record and confirms the cancellation to the user. Then the state service is down for
+    # all controllers for longer than cancel_s, while all peers go on promising the leader its lease
+    # and its workers go on sending it heartbeats.
+    async def scenario() -> World:
         world = World(seed=5)
         await world.submit(spec("req-1", task_count=4, estimated_run_s=300.0))
         await world.submit(spec("req-2", task_count=1, depends_on=["req-1"]))
-        await running(world, "req-1", 4)
-        leader = await leader_of(world)
-        answers_lost(world, lambda change: "over/req-1" in change.values(), 60.0)
+        await wait_until_running(world, "req-1", 4)
+        leader = await loaded_leader(world)
+        delay_txn_answers(world, lambda change: "over/req-1" in change.values(), 60.0)
         asked = asyncio.create_task(world.ask(leader.settings.member, "req-1", "cancel"))
         await asyncio.sleep(0.1)
         if refused_first:
             world.refused.add(leader.settings.member)
-        other = others(world, leader)[0]
+        other = follower_names(world, leader)[0]
         controller = world.controllers[other]
         assert controller is not None
         found = await controller.job_reader.read("req-1")
-        assert found is not None and found.phase == "aborted", "another node confirms it"
+        assert found is not None and found.phase == "aborted", "another controller confirms it"
         world.hear("req-1", found.phase, world.now())
         await asyncio.sleep(0.5)
         world.state.down = True
@@ -90,7 +93,7 @@
         await world.until_over()
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == []
     assert world.told["req-1"] == "aborted"
 
@@ -98,30 +101,31 @@
 @pytest.mark.parametrize("phase", ["done", "aborted"])
 @pytest.mark.parametrize("delay_s", [0.3, 1.5, 30.0])
 def test_nothing_older_is_told_while_an_outcome_is_in_doubt(phase: str, delay_s: float) -> None:
-    # Seen on steady, prairie-ledger-lean: a controller read an outcome that the leader had sent,
-    # and told it, and the leader, whose answer was still on its way, called the job running.
-    async def day() -> World:
+    # A controller reads an outcome that the leader has written and reports it to a user. The leader
+    # has not received the answer to its write yet, and must not report the job as running.
+    async def scenario() -> World:
         world = World(seed=3)
         await world.submit(
             spec("req-1", task_count=2, estimated_run_s=6.0 if phase == "done" else 300.0)
         )
         await world.submit(spec("req-2", task_count=1, depends_on=["req-1"], estimated_run_s=3.0))
-        await running(world, "req-1", 2)
-        leader = await leader_of(world)
-        answers_lost(world, lambda change: "over/req-1" in change.values(), delay_s)
+        await wait_until_running(world, "req-1", 2)
+        leader = await loaded_leader(world)
+        delay_txn_answers(world, lambda change: "over/req-1" in change.values(), delay_s)
         if phase == "aborted":
             asked = asyncio.create_task(world.ask(leader.settings.member, "req-1", "cancel"))
         for _ in range(400):
-            for name in others(world, leader):
+            for name in follower_names(world, leader):
                 controller = world.controllers[name]
                 assert controller is not None
-                # As if the leader had not answered that controller
+                # The controller reads the record itself, as if the leader did not answer it.
                 for job_id in ("req-1", "req-2"):
                     began = world.now()
                     found = await controller.job_reader.read(job_id)
                     assert found is not None
                     world.hear(job_id, found.phase, began)
-            for job_id in ("req-2", "req-1"):  # what awaits it first: the leader has read neither
+            # The dependent job comes first: the leader has read neither outcome.
+            for job_id in ("req-2", "req-1"):
                 await world.ask(leader.settings.member, job_id)
                 await world.ask(leader.settings.member, job_id, "submit")
             await asyncio.sleep(0.05)
@@ -132,19 +136,19 @@
         await world.until_over()
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == []
     assert world.told["req-1"] == phase
 
 
 def test_a_leader_that_has_read_nothing_keeps_no_cancelled_task_alive() -> None:
-    # The leader confirms a cancellation and ends before it told anybody to stop; the next one takes
-    # the lead, and then the state service is down before it has read which jobs there are.
-    async def day() -> World:
+    # The leader confirms a cancellation and crashes before it sends a stop to any worker. The next
+    # leader takes over, and the state service goes down before that leader has loaded the jobs.
+    async def scenario() -> World:
         world = World(seed=2)
         await world.submit(spec("req-1", task_count=6, estimated_run_s=300.0))
-        await running(world, "req-1", 6)
-        leader = await leader_of(world)
+        await wait_until_running(world, "req-1", 6)
+        leader = await loaded_leader(world)
         leader.term.worker_calls.send_stops = lambda: None  # type: ignore[union-attr,method-assign]
         for worker in world.cloud.hosts.values():
             worker.cut = True
@@ -153,10 +157,11 @@
         world.boot(leader.settings.member)
         for worker in world.cloud.hosts.values():
             worker.cut = False
-        world.late = lambda source, path: 9.0 if path == "/keys" else 0.0  # lists, not single keys
+        # Only listing keys is slow, not reading a single key.
+        world.late = lambda source, path: 9.0 if path == "/keys" else 0.0
         while (new := world.leader()) is None:
             await asyncio.sleep(0.01)
-        await asyncio.sleep(2.0)  # the others know of it
+        await asyncio.sleep(2.0)  # the other controllers learn of the new leader
         world.state.down = True
         world.late = lambda source, path: 0.0
         assert new.term is not None and not new.term.ledger.loaded
@@ -166,7 +171,7 @@
         await world.until_over()
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == []
 
 
@@ -185,7 +190,7 @@
     lease_s: float,
     cancel_s: float,
 ) -> None:
-    """The arithmetic of the last resort, for all shapes of settings that we know."""
+    """Check the worst-case lease arithmetic for every known combination of the settings."""
     workers = LIMITS["workers"] | {
         "report_s": heartbeat_interval_s,
         "lease_s": lease_s,
@@ -193,25 +198,27 @@
     }
     led = Ledger(limits(workers=workers), 7, 100.0)
     ttl = leader_ttl(lease_s)
-    # A machine that hears nothing more: its lease, from the last heartbeat that was answered.
+    # A machine that receives nothing more: its lease runs from the last answered heartbeat.
     assert certainly_expired_at(0.0, lease_s) < cancel_s
-    # A leader that has read nothing: one lease before it began, what it answers, one lease after.
+    # A leader that has loaded nothing: one lease before its term, the time for which it answers
+    # heartbeats, and one lease after that.
     assert (
         lease_s + unloaded_grace_s(lease_s, cancel_s) + certainly_expired_at(0.0, lease_s)
         <= cancel_s
     )
     assert led.unloaded_grace_s == unloaded_grace_s(lease_s, cancel_s)
-    # A controller behind a cut: its last permission, and a lease after that; or it is given none.
+    # A controller behind a network partition: its last delegation and one lease after that, unless
+    # none is granted.
     led.zones.intern("north")
     allowed = led.leases.delegate_zone("north", 105.0)
     assert allowed == (cancel_s >= 2.0 * lease_s)
     assert not allowed or ttl + 1.0 + certainly_expired_at(0.0, lease_s) < cancel_s
 
 
-# -- the table ----------------------------------------------------------------------------
+# -- fault scenarios for test_a_meeting_keeps_the_rules ------------------------------------
 
 
-async def leader_ends(world: World, back_s: float = 3.0) -> None:
+async def restart_leader(world: World, back_s: float = 3.0) -> None:
     leader = world.leader()
     if leader is not None:
         await world.crash(leader.settings.member)
@@ -225,8 +232,11 @@
     task.add_done_callback(world.pending.discard)
 
 
-async def cancel_now(world: World, count: int, hang_s: float = 0.0) -> None:
-    """Users call off jobs that run, all within a fifth of a second; their machines may hang."""
+async def cancel_running_jobs(world: World, count: int, hang_s: float = 0.0) -> None:
+    """Cancel up to ``count`` running jobs within 0.2 s.
+
+    If ``hang_s`` is set, up to 8 machines of each job hang for that many seconds.
+    """
     job_ids = sorted(
         {task_id.rpartition("/")[0] for _, task_id in world.on_machines()} - world.asked
     )
@@ -235,19 +245,18 @@
             held = [w for w, task_id in world.on_machines() if task_id.startswith(job_id + "/")]
             for worker in held[:8]:
                 worker.hung = True
-                spawn(world, goes_on(worker, hang_s))
+                spawn(world, resume_after(worker, hang_s))
         spawn(world, world.cancel(job_id))
         await asyncio.sleep(0.2 / count)
 
 
-async def goes_on(worker: Any, after_s: float) -> None:
+async def resume_after(worker: Any, after_s: float) -> None:
     await asyncio.sleep(after_s)
     worker.hung = False
 
 
-async def close_looks(world: World, for_s: float) -> None:
-    """Users ask at all controllers, again and again within milliseconds, and repeat the
-    submission."""
+async def poll_rapidly(world: World, for_s: float) -> None:
+    """Poll and resubmit every job at all controllers, milliseconds apart, for ``for_s`` seconds."""
     end = world.now() + for_s
     seen: dict[str, str] = {}
     while world.now() < end:
@@ -265,7 +274,7 @@
 
 
 async def cancel_at_end(world: World, for_s: float, share: float = 0.5) -> None:
-    """Jobs are called off at the moment at which their last task ends."""
+    """Cancel a share of the jobs at the moment at which their last task ends."""
     inner = world.complete
 
     def complete(worker: Any, task_id: str, attempt: int) -> None:
@@ -281,8 +290,8 @@
     world.complete = inner  # type: ignore[method-assign]
 
 
-async def odd_requests(world: World, for_s: float) -> None:
-    """Repeats of unfinished jobs, cancels of done ones, ids that nobody submitted."""
+async def send_edge_case_requests(world: World, for_s: float) -> None:
+    """Resubmit unfinished jobs, cancel done ones and ask for ids that were never submitted."""
     end = world.now() + for_s
     while world.now() < end:
         name = world.rng.choice(world.names)
@@ -302,179 +311,178 @@
         await asyncio.sleep(1.0)
 
 
-async def unreachable_at_the_end(world: World) -> None:
-    """The leader ends while machines can't be reached, or don't hear the new leader's answer."""
+async def failover_with_unreachable_workers(world: World) -> None:
+    """Crash the leader while some machines are unreachable and others get no answers."""
     await asyncio.sleep(14.0)
     workers = [w for w in world.cloud.hosts.values() if w.tasks]
     for n, worker in enumerate(workers):
         worker.deaf, worker.cut = n % 3 == 0, n % 3 == 1
-    await cancel_now(world, 1)
-    await leader_ends(world)
+    await cancel_running_jobs(world, 1)
+    await restart_leader(world)
     await asyncio.sleep(world.rng.uniform(2.0, 20.0))
     for worker in workers:
         worker.deaf = worker.cut = False
 
 
-async def refused_then_outage(world: World) -> None:
-    """Jobs are cancelled just as the leader is refused alone; then all are, beyond cancel_s."""
+async def leader_refused_then_outage(world: World) -> None:
+    """Cancel jobs while the state service refuses the leader, then all for over cancel_s."""
     await asyncio.sleep(14.0)
-    leader = await leader_of(world)
+    leader = await loaded_leader(world)
     world.refused.add(leader.settings.member)
-    await cancel_now(world, 2)
+    await cancel_running_jobs(world, 2)
     await asyncio.sleep(world.rng.uniform(0.5, 2.0))
     world.state.down = True
     await asyncio.sleep(CANCEL_S + 8.0)
     world.refused.clear()
     world.state.back()
     await asyncio.sleep(2.0)
-    await cancel_now(world, 1)
+    await cancel_running_jobs(world, 1)
 
 
-async def mute(world: World) -> None:
-    """Machines can't open connections, while direct commands reach them; jobs are cancelled."""
+async def workers_cannot_connect(world: World) -> None:
+    """Cancel jobs while machines can't open connections but direct commands reach them."""
     await asyncio.sleep(14.0)
     workers = [w for w in world.cloud.hosts.values() if w.tasks][::2]
     for worker in workers:
         worker.mute = True
     await asyncio.sleep(1.0)
-    await cancel_now(world, 2)
+    await cancel_running_jobs(world, 2)
     await asyncio.sleep(world.rng.uniform(3.0, 20.0))
-    await leader_ends(world)
+    await restart_leader(world)
     await asyncio.sleep(4.0)
     for worker in workers:
         worker.mute = False
 
 
-async def late_writes(world: World) -> None:
-    """Transactions get no answer, and are carried out after newer ones; leaders change."""
+async def transactions_applied_late(world: World) -> None:
+    """Leave transactions unanswered and apply them after newer ones; the leader changes."""
     await asyncio.sleep(10.0)
     world.late_writes = 0.3
     await cancel_at_end(world, 12.0)
-    await leader_ends(world, 0.2)
+    await restart_leader(world, 0.2)
     await asyncio.sleep(10.0)
-    await cancel_now(world, 1)
+    await cancel_running_jobs(world, 1)
     await asyncio.sleep(10.0)
     world.late_writes = 0.0
 
 
-async def answers_only_lost(world: World) -> None:
-    """Transactions are carried out at once, only their answers are lost; users look closely."""
+async def transaction_answers_lost(world: World) -> None:
+    """Apply transactions at once but lose their answers, while users poll rapidly."""
     await asyncio.sleep(8.0)
     world.late_writes, world.writes_at_once = 0.3, True
-    spawn(world, close_looks(world, 30.0))
+    spawn(world, poll_rapidly(world, 30.0))
     await cancel_at_end(world, 10.0)
-    await cancel_now(world, 2)
+    await cancel_running_jobs(world, 2)
     await asyncio.sleep(4.0)
-    await leader_ends(world, 0.2)
+    await restart_leader(world, 0.2)
     await asyncio.sleep(10.0)
     world.late_writes, world.writes_at_once = 0.0, False
 
 
-async def hands_over(world: World) -> None:
-    """Jobs are cancelled in the seconds in which one controller's work changes hands."""
+async def cancel_during_failover(world: World) -> None:
+    """Cancel jobs in the seconds around each failover."""
     await asyncio.sleep(12.0)
     for _ in range(3):
-        spawn(world, cancel_now(world, 1))
+        spawn(world, cancel_running_jobs(world, 1))
         await asyncio.sleep(world.rng.uniform(0.0, 0.3))
-        spawn(world, leader_ends(world, world.rng.choice((0.1, 2.0))))
+        spawn(world, restart_leader(world, world.rng.choice((0.1, 2.0))))
         await asyncio.sleep(world.rng.uniform(0.0, 4.0))
-        await cancel_now(world, 1)
+        await cancel_running_jobs(world, 1)
         await asyncio.sleep(8.0)
 
 
-async def old_reports(world: World) -> None:
-    """Copies reach every controller just as a new leader begins; others come seconds to a lease
-    late."""
+async def duplicate_heartbeats(world: World) -> None:
+    """Deliver copies of heartbeats as a new leader begins, and older ones up to a lease late."""
     world.keep_copies, world.copies = True, 0.3
     await asyncio.sleep(12.0)
     for back_s in (0.1, 3.0, 6.0):
-        await cancel_now(world, 1)
-        await leader_ends(world, back_s)
+        await cancel_running_jobs(world, 1)
+        await restart_leader(world, back_s)
         await asyncio.sleep(9.0)
     world.keep_copies, world.copies = False, 0.0
 
 
-async def up_at_once(world: World) -> None:
-    """New machines are up in a second and get work at once, while writes lag; the leader ends."""
+async def fast_boot_slow_writes(world: World) -> None:
+    """Boot machines in 1 s so that they get work at once, with slow writes and failovers."""
     world.boot_s = 1.0
     world.late = lambda source, path: 1.5 if path == "/txn" else 0.0
     for _ in range(3):
         for worker in list(world.cloud.hosts.values())[::3]:
             world.cloud.hosts.pop(worker.name).end()
         await asyncio.sleep(world.rng.uniform(2.0, 6.0))
-        await leader_ends(world, 0.3)
+        await restart_leader(world, 0.3)
         await asyncio.sleep(6.0)
     world.late = lambda source, path: 0.0
 
 
-async def cut_off_leader(world: World) -> None:
-    """The leader loses state service and peers, not workers and users; others cancel."""
+async def leader_partitioned_from_peers(world: World) -> None:
+    """Cut the leader off the state service and its peers, but not off workers and users."""
     await asyncio.sleep(14.0)
-    leader = await leader_of(world)
-    name, apart = leader.settings.member, others(world, leader)
+    leader = await loaded_leader(world)
+    name, apart = leader.settings.member, follower_names(world, leader)
     world.cuts |= {(name, "state"), *((name, o) for o in apart), *((o, name) for o in apart)}
     for _ in range(30):
         await world.ask(name, "req-1")
         await asyncio.sleep(0.3)
-    await cancel_now(world, 2)
+    await cancel_running_jobs(world, 2)
     await asyncio.sleep(CANCEL_S)
     world.cuts.clear()
 
 
-async def slow_state(world: World) -> None:
-    """The state service answers slowly, then refuses the leader, then everybody."""
+async def slow_state_service(world: World) -> None:
+    """Make the state service slow, then refuse the leader, then all controllers."""
     world.late = lambda source, path: world.rng.uniform(0.1, 0.9) if path != "/changes" else 0.0
-    spawn(world, close_looks(world, 30.0))
+    spawn(world, poll_rapidly(world, 30.0))
     await asyncio.sleep(12.0)
-    await cancel_now(world, 1)
+    await cancel_running_jobs(world, 1)
     await asyncio.sleep(3.0)
     world.late = lambda source, path: 0.0
-    await refused_then_outage(world)
+    await leader_refused_then_outage(world)
 
 
-async def ten_changes(world: World) -> None:
-    """Leaders change ten times, also inside an outage."""
+async def ten_failovers(world: World) -> None:
+    """Change the leader ten times, two of them during an outage of the state service."""
     for n in range(10):
         await asyncio.sleep(world.rng.uniform(2.0, 6.0))
         world.state.down = n in (4, 5)
         if n == 6:
             world.state.back()
-        await leader_ends(world, world.rng.choice((0.1, 0.5, 3.0)))
+        await restart_leader(world, world.rng.choice((0.1, 0.5, 3.0)))
         if n % 3 == 0:
-            await cancel_now(world, 1)
+            await cancel_running_jobs(world, 1)
     world.state.back()
 
 
-async def at_the_limit(world: World) -> None:
-    """A team at its limit, cancelled jobs on machines that hang or are cut, a change of leader."""
+async def team_at_quota(world: World) -> None:
+    """Fill a team's quota; cancel jobs on hanging or cut-off machines; change the leader."""
     for n in range(4):
         await world.submit(
             spec(f"req-{n + 30}", team="red", task_count=6, vcpus=4.0, estimated_run_s=20.0)
         )
     await asyncio.sleep(12.0)
-    await cancel_now(world, 3, hang_s=world.rng.choice((6.0, 18.0)))
+    await cancel_running_jobs(world, 3, hang_s=world.rng.choice((6.0, 18.0)))
     for worker in [w for w in world.cloud.hosts.values() if w.tasks][::3]:
         worker.cut = True
-    await leader_ends(world)
+    await restart_leader(world)
     await asyncio.sleep(14.0)
     for worker in world.cloud.hosts.values():
         worker.cut = False
 
 
-async def held_up(world: World) -> None:
-    """Commands and their answers are held up for seconds, and the machine then goes on."""
+async def delayed_commands(world: World) -> None:
+    """Delay commands and their answers by seconds, on machines that hang and then resume."""
     world.late = lambda source, path: world.rng.choice((0.0, 3.0, 9.0)) if path == "/do" else 0.0
     await asyncio.sleep(14.0)
-    await cancel_now(world, 2, hang_s=5.0)
-    await leader_ends(world)
+    await cancel_running_jobs(world, 2, hang_s=5.0)
+    await restart_leader(world)
     await asyncio.sleep(12.0)
     world.late = lambda source, path: 0.0
 
 
-async def all_away(world: World) -> None:
-    """All controllers are away, for longer than a lease or a moment, after a cancellation."""
+async def all_controllers_restart(world: World) -> None:
+    """Stop all controllers after a cancellation, for a moment or for longer than a lease."""
     await asyncio.sleep(14.0)
-    await cancel_now(world, 2)
+    await cancel_running_jobs(world, 2)
     for name in world.names:
         await world.crash(name)
     await asyncio.sleep(world.rng.choice((0.3, LIMITS["workers"]["lease_s"] + 5.0)))
@@ -484,7 +492,7 @@
 
 
 async def zone_loses_machines(world: World) -> None:
-    """Jobs bound to one zone, arrays too, lose machines again and again; the leader ends."""
+    """Remove machines of jobs that must stay in one zone, arrays too, and change the leader."""
     for n in range(4):
         await world.submit(
             spec(
@@ -500,12 +508,12 @@
         for worker in [w for w in world.cloud.hosts.values() if w.tasks][::2]:
             world.cloud.hosts.pop(worker.name).end()
         await asyncio.sleep(world.rng.uniform(0.5, 6.0))
-        await leader_ends(world, back_s)
+        await restart_leader(world, back_s)
         await asyncio.sleep(8.0)
 
 
-async def more_than_room(world: World) -> None:
-    """More work than room, urgent and not, over slow links; the leader ends; some is called off."""
+async def demand_exceeds_capacity(world: World) -> None:
+    """Submit more than fits, of all urgencies, over slow links; cancel some; change the leader."""
     world.most = 4
     world.late = lambda source, path: 0.0 if path == "/changes" else world.rng.uniform(0.1, 0.8)
     for n in range(12):
@@ -519,15 +527,15 @@
                 urgency=("urgent", "idle", "normal")[n % 3],
             )
         )
-    await cancel_now(world, 2)
-    await leader_ends(world)
+    await cancel_running_jobs(world, 2)
+    await restart_leader(world)
     await asyncio.sleep(20.0)
     world.late = lambda source, path: 0.0
     world.most = 12
 
 
-async def far_apart(world: World) -> None:
-    """Jobs of two or three tasks end far apart, across changes of leader."""
+async def tasks_end_far_apart(world: World) -> None:
+    """Let the tasks of small jobs end far apart, across changes of the leader."""
     inner = world.run_s
 
     def run_s(task_id: str) -> float:
@@ -538,7 +546,7 @@
         await world.submit(spec(f"req-{n + 60}", task_count=2 + n % 2, estimated_run_s=5.0))
     for back_s in (0.2, 4.0, 0.2):
         await asyncio.sleep(world.rng.uniform(6.0, 10.0))
-        await leader_ends(world, back_s)
+        await restart_leader(world, back_s)
 
 
 JOBS = [
@@ -554,41 +562,41 @@
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [
-        unreachable_at_the_end,
-        refused_then_outage,
-        mute,
-        late_writes,
-        answers_only_lost,
-        hands_over,
-        old_reports,
-        up_at_once,
-        cut_off_leader,
-        slow_state,
-        ten_changes,
-        at_the_limit,
-        held_up,
-        all_away,
+        failover_with_unreachable_workers,
+        leader_refused_then_outage,
+        workers_cannot_connect,
+        transactions_applied_late,
+        transaction_answers_lost,
+        cancel_during_failover,
+        duplicate_heartbeats,
+        fast_boot_slow_writes,
+        leader_partitioned_from_peers,
+        slow_state_service,
+        ten_failovers,
+        team_at_quota,
+        delayed_commands,
+        all_controllers_restart,
         zone_loses_machines,
-        more_than_room,
-        far_apart,
+        demand_exceeds_capacity,
+        tasks_end_far_apart,
     ],
-    ids=lambda trouble: trouble.__name__,
+    ids=lambda fault: fault.__name__,
 )
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_meeting_keeps_the_rules(
-    trouble: Callable[[World], Coroutine[Any, Any, None]],
+    fault: Callable[[World], Coroutine[Any, Any, None]],
     seed: int,
 ) -> None:
-    async def day() -> World:
+    async def scenario() -> World:
         world = World(seed=seed)
         for job in JOBS:
             assert await world.submit(job) in (200, 201)
-        spawn(world, odd_requests(world, 40.0))
+        spawn(world, send_edge_case_requests(world, 40.0))
 
-        # Small jobs go on coming: two or three tasks, and some of a single one.
-        async def more() -> None:
+        # A steady arrival of jobs with one to three tasks.
+        async def submit_small_jobs() -> None:
             for n in range(30):
                 await world.submit(
                     spec(
@@ -600,8 +608,8 @@
                 )
                 await asyncio.sleep(1.0)
 
-        spawn(world, more())
-        await trouble(world)
+        spawn(world, submit_small_jobs())
+        await fault(world)
         world.trouble_until = world.now()
         await world.until_over()
         await asyncio.sleep(30.0)
@@ -610,15 +618,15 @@
         assert world.unserved() == []
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == []
 
 
 def test_one_task_jobs_four_a_second_a_quarter_cancelled() -> None:
-    # Two minutes of them: what is written stays within the rate, nothing is left or grows.
-    async def day() -> World:
+    # Two minutes of load: the writes stay within the rate limit, and no record is left behind.
+    async def scenario() -> World:
         world = World(seed=4, most=40)
-        await leader_of(world)
+        await loaded_leader(world)
 
         async def one(n: int) -> None:
             job_id = f"req-{n}"
@@ -632,19 +640,19 @@
             await asyncio.sleep(0.25)
         world.trouble_until = world.now()
         await world.until_over()
-        term = (await leader_of(world)).term
+        term = (await loaded_leader(world)).term
         assert term is not None and not term.ledger.jobs
         assert not term.outcomes.pending_writes and not term.outcomes.indeterminate
         assert not [key for key in world.state.keys if key.startswith("job/")]
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == [] and len(world.final) == 480
     assert world.state.refused == []
 
 
 def test_the_checker_sees_who_is_not_served() -> None:
-    async def day() -> list[list[str]]:
+    async def scenario() -> list[list[str]]:
         world = World(seed=1)
         for n, team in enumerate(("blue", "blue", "red", "red")):
             one = spec(f"req-{n}", team=team, task_count=n + 1, job_class="bc"[n // 2])
@@ -655,17 +663,17 @@
         found.append(world.unserved())
         del world.begun["req-2"]
         found.append(world.unserved())
-        world.asked |= {"req-2", "req-3"}  # whoever was called off counts for nothing
+        world.asked |= {"req-2", "req-3"}  # cancelled jobs don't count as unserved
         found.append(world.unserved())
         return found
 
-    assert run(day) == [[], ["largest of c"], ["class c", "team red", "largest of c"], []]
+    assert run(scenario) == [[], ["largest of c"], ["class c", "team red", "largest of c"], []]
 
 
 def test_a_job_written_late_is_not_taken_in_again_once_it_is_over() -> None:
-    async def day() -> World:
+    async def scenario() -> World:
         world = World(seed=1)
-        leader = await leader_of(world)
+        leader = await loaded_leader(world)
         await world.submit(spec("req-1", task_count=1, estimated_run_s=200.0))
         assert await world.cancel("req-1") == "aborted"
         assert leader.term is not None
@@ -675,4 +683,4 @@
         assert "req-1" not in leader.term.ledger.jobs
         return world
 
-    assert run(day).broken == []
+    assert run(scenario).broken == []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The ordinary path, zones, quotas and preemption."""
+"""Placement, zones, quotas, preemption, capacity reservation and the fleet plan."""
 
 import random
 
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "fits"),
+    ("modify", "fits"),
     [
         (lambda m: None, True),
         (lambda m: setattr(m, "registered", False), False),
@@ -60,18 +60,16 @@
         (lambda m: setattr(m, "reclaim_at", 50.0), False),
         (lambda m: setattr(m, "quarantine_reason", "x"), False),
         (lambda m: setattr(m, "terminating", True), False),
-        (
-            lambda m: setattr(m, "last_heartbeat_at", -7.0),
-            False,
-        ),  # three heartbeat intervals are 6 s
+        # Three heartbeat intervals are 6 s.
+        (lambda m: setattr(m, "last_heartbeat_at", -7.0), False),
         (lambda m: setattr(m, "last_heartbeat_at", -5.0), True),
         (lambda m: (setattr(m, "reserved_for", "req-8"), setattr(m, "reserved_until", 9.0)), False),
         (lambda m: (setattr(m, "reserved_for", "req-8"), setattr(m, "reserved_until", -1.0)), True),
     ],
 )
-def test_only_machines_that_are_certain_are_used(spoil, fits: bool) -> None:
+def test_only_machines_that_are_certain_are_used(modify, fits: bool) -> None:
     led = ready()
-    spoil(machine(led, "m1"))
+    modify(machine(led, "m1"))
     one = job(led, task_count=1)
     place(led)
     assert bool(one.bindings) == fits
@@ -123,7 +121,7 @@
     led.events.room_freed = lambda m, now: scheduling_pass.backfill(led, m, random.Random(1), now)
     led.add_machine("m1", "small", "north", False, 2.5, registered=True)
     assert verbs(handle_heartbeat(led, heartbeat("m1", 1), 2.5)) == [("start", "req-1/0")]
-    assert one.bindings and one.pause == 0.0, "room that came ends the pause"
+    assert one.bindings and one.pause == 0.0, "freed capacity ends the pause"
 
 
 def test_quota_counts_tasks_on_silent_machines_and_on_their_way_out() -> None:
@@ -188,13 +186,13 @@
         ({"urgency": "urgent"}, {"urgency": "idle"}, True),
         ({"urgency": "urgent"}, {"urgency": "urgent"}, False),
         ({"urgency": "idle"}, {"urgency": "normal"}, False),
-        # within a guarantee, against a team beyond its own: any urgency
+        # A team within its guarantee preempts work of any urgency of a team beyond its own.
         (
             {"urgency": "idle", "team": "red"},
             {"urgency": "prod", "vcpus": 4.0, "task_count": 8},
             True,
         ),
-        # against a team within its own guarantee: none
+        # It preempts none of a team that is within its own guarantee.
         (
             {"urgency": "idle", "team": "red"},
             {"urgency": "prod", "vcpus": 4.0, "task_count": 4},
@@ -231,7 +229,7 @@
 def test_work_makes_way_for_a_guarantee_only_where_hiring_has_not_helped(
     shape: str, preempted: bool, waited: float, stopped: bool
 ) -> None:
-    # Seen on troubles and rough, prairie-ledger: 2,400 stops a day, gangs every few seconds.
+    # Preemption without this delay caused 2,400 stops a day, and stopped gangs every few seconds.
     led = ready()
     for n in range(4):
         machine(led, f"m{n}")
@@ -283,7 +281,7 @@
     place(led)
     late = job(led, job_id="req-2", urgency="urgent", task_count=1, vcpus=8.0, at=3.0)
     preemption.preempt(led, place(led, 1.0), 1.0)
-    # the stops are told and the tasks leave; an idle task must not slip in
+    # The tasks are stopped and exit; no task of urgency idle may take the freed capacity.
     handle_heartbeat(
         led,
         heartbeat(
@@ -303,8 +301,11 @@
 
 
 class TestSilentMachines:
-    """Seen on loss, prairie-ledger-fleet: 41 of 600 machines die at once, and nearly every gang of
-    24 had one of them, for which all others waited until its lease was over."""
+    """Gangs with a member on a machine that has gone silent.
+
+    When 41 of 600 machines die at once, nearly every gang of 24 has a member on one of them. All
+    other members would wait until the lease of that machine has expired.
+    """
 
     def gang(self, led: Ledger, machines: int = 4, **changes) -> Job:
         for n in range(machines):
@@ -324,9 +325,8 @@
         one = self.gang(led, 3)
         for found in led.machines.values():
             found.last_heartbeat_at = 4.0
-        led.machines[
-            "m1"
-        ].last_heartbeat_at = heard  # a period is 2 s, a quarter more, and a second
+        # A heartbeat is overdue after 1.25 intervals of 2 s and another second.
+        led.machines["m1"].last_heartbeat_at = heard
         place(led, 4.0)
         assert len(one.bindings) == placed
 
@@ -336,7 +336,7 @@
         place(led)
         used = [one.bindings[n].machine for n in range(3)]
         spare = next(m for m in led.machines.values() if not m.bindings)
-        for n in (0, 1):  # the starts of these are told; the third machine has died
+        for n in (0, 1):  # these receive their starts; the third machine has died
             orders = handle_heartbeat(led, heartbeat(used[n].name, 2), 1.0)
             assert verbs(orders) == [("start", f"req-1/{n}")]
         for found in (used[0], spare):
@@ -344,7 +344,7 @@
         attempt = one.attempt
         placement.reschedule_unsent(led, random.Random(1), 4.0)
         assert one.bindings[2].machine is spare and one.bindings[2].attempt == attempt
-        assert one.bindings[1].machine is used[1], "its start was told: it may be there"
+        assert one.bindings[1].machine is used[1], "its start was sent, so it may be running there"
         assert not one.failed and not used[2].bindings and used[2].allocated.cpus == 0.0
         assert led.usage[one.team][0] == 24.0 and sum(led.bound_by_priority) == 3
         assert verbs(handle_heartbeat(led, heartbeat(spare.name, 4), 5.0)) == [("start", "req-1/2")]
@@ -394,8 +394,8 @@
 
 
 class TestKeepingRoom:
-    def crowd(self, led: Ledger, machines: int = 2) -> None:
-        """Every machine half full of small tasks, a gang of two whole ones waiting."""
+    def fill_half(self, led: Ledger, machines: int = 2) -> None:
+        """Fill half of every machine with small tasks."""
         for n in range(machines):
             machine(led, f"m{n}")
             small = job(led, job_id=f"req-{n + 10}", task_count=2, estimated_run_s=10.0 * (n + 1))
@@ -403,15 +403,16 @@
                 led.allocations.bind(small, index, led.machines[f"m{n}"], 5, 0.0)
 
     def test_a_starved_gang_gets_machines_that_others_then_leave_alone(self) -> None:
-        # Seen on rough, moana-buoys: a third of the large tasks started in time.
+        # Without a reservation small tasks take each freed CPU, and only a third of the large tasks
+        # start in time.
         led = ready()
-        self.crowd(led, 3)
+        self.fill_half(led, 3)
         gang = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=8.0)
         gangs.reserve_machines(led, place(led), 0.0)
         late = job(led, job_id="req-2", task_count=8, at=2000.0)
         place(led)
         kept = [m.name for m in led.machines.values() if m.reserved_for == "req-1"]
-        assert kept == ["m0", "m1"], "those that are free first"
+        assert kept == ["m0", "m1"], "those that become free first"
         before = dict(late.bindings)
         led.events.room_freed = lambda m, now: scheduling_pass.backfill(
             led, m, random.Random(1), now
@@ -432,9 +433,9 @@
     def test_room_is_kept_early_only_while_nobody_else_waits(
         self, crowded: bool, kept: bool
     ) -> None:
-        # Seen on rough, moana-buoys: 11 gangs waited beside 200 free CPUs, all scattered.
+        # Without a reservation, 11 gangs waited while 200 CPUs were free but spread over machines.
         led = ready(objectives=[{"kind": "wait", "class": "b", "within_s": 100.0, "share": 0.9}])
-        self.crowd(led)
+        self.fill_half(led)
         gang = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=8.0, at=0.0)
         if crowded:
             job(led, job_id="req-2", task_count=1)
@@ -443,7 +444,7 @@
 
     def test_room_is_kept_only_once_half_of_the_wait_is_gone(self) -> None:
         led = ready(objectives=[{"kind": "wait", "class": "b", "within_s": 100.0, "share": 0.9}])
-        self.crowd(led)
+        self.fill_half(led)
         gang = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=8.0, at=0.0)
         job(led, job_id="req-2", task_count=1)
         gangs.reserve_machines(led, [gang], 0.0)
@@ -461,7 +462,7 @@
 
     def test_all_or_none(self) -> None:
         led = ready()
-        self.crowd(led, 1)
+        self.fill_half(led, 1)
         gang = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=8.0)
         gangs.reserve_machines(led, [gang], 0.0)
         assert not any(m.reserved_for for m in led.machines.values())
@@ -488,10 +489,11 @@
     @pytest.mark.parametrize(
         ("up", "booting", "task_count", "lasted", "to_provision"),
         [
-            (2, 0, 8, 11.0, 4),  # 60 s of work in two places: a boot is 20 s, so six are wanted
-            (2, 0, 8, 9.0, 0),  # it has not lasted for half of a boot
+            # 60 s of work for two machines: a boot takes 20 s, so six are wanted.
+            (2, 0, 8, 11.0, 4),
+            (2, 0, 8, 9.0, 0),  # the queue has not lasted for half of a boot
             (2, 0, 2, 11.0, 0),  # 15 s of work
-            (2, 1, 16, 11.0, 0),  # a third of the fleet is on its way
+            (2, 1, 16, 11.0, 0),  # a third of the fleet is booting
         ],
     )
     def test_a_line_that_stays_longer_than_a_boot_shares_fewer_places(
@@ -502,9 +504,9 @@
         lasted: float,
         to_provision: int,
     ) -> None:
-        # Seen on loss, moana-buoys-fleet: 12,000 tasks waited beside 1,700 CPUs not provisioned.
-        # Hiring for any long line, or for one that is due, cost the small deployment what it gained
-        # here.
+        # Without this rule 12,000 tasks waited while 1,700 CPUs were not provisioned. Provisioning
+        # for every long queue, or for every queue that is due, costs a small deployment as much as
+        # it gains for a large one.
         led = ready()
         for n in range(up):
             machine(led, f"m{n}")
@@ -531,7 +533,7 @@
         assert self.plan(led, 60.0, capacity_backoff).to_provision
 
     @pytest.mark.parametrize(
-        ("spoil", "now", "back"),
+        ("modify", "now", "back"),
         [
             (lambda led: machine(led, "m1"), 30.0, False),
             (lambda led: setattr(machine(led, "m1"), "quarantine_reason", "sick"), 1.0, True),
@@ -540,13 +542,13 @@
             (lambda led: led.add_machine("m1", "small", "north", False, 0.0), 61.0, True),
         ],
     )
-    def test_returns(self, spoil, now: float, back: bool) -> None:
+    def test_returns(self, modify, now: float, back: bool) -> None:
         led = ready()
-        spoil(led)
+        modify(led)
         assert bool(self.plan(led, now).to_terminate) == back
 
     def test_a_new_leader_does_not_return_machines_that_it_has_not_heard_from_yet(self) -> None:
-        # Seen on day rough: 15 running machines returned as never having come up.
+        # A new leader terminated 15 running machines, taking them for machines that never booted.
         led = ready(now=500.0)
         led.add_machine("m1", "small", "north", False, 500.0, registered=True).provisioned_at = 0.0
         led.add_machine("m2", "small", "north", False, 500.0).provisioned_at = 0.0
@@ -561,7 +563,7 @@
     def test_many_machines_lost_at_once_are_waited_for(
         self, lost: int, up: int, now: float, returned: int
     ) -> None:
-        # Seen on our day zones-apart: half of the fleet returned and booted again in a cut.
+        # In a network partition between zones, half of the fleet was terminated and booted again.
         led = ready()
         for n in range(lost + up):
             machine(led, f"m{n}")
@@ -600,7 +602,7 @@
         assert [m.name for m in led.machines.values() if m.cordoned] == ["m0", "m1"]
         handle_heartbeat(led, heartbeat("m0", 2, ("req-1/0", 9, "exited", "done")), 23.0)
         assert [m.name for m in self.plan(led, 24.0).to_terminate] == ["m0"]
-        # what comes in is counted: more work takes the cordon back
+        # New work counts as demand and removes the cordon.
         job(led, job_id="req-2", task_count=7, estimated_run_s=100.0)
         self.plan(led, 25.0)
         assert not led.machines["m1"].cordoned
@@ -639,9 +641,9 @@
 
 
 class TestQuotaForGangs:
-    """A team's limit frees bit by bit, and small tasks take each bit before a gang can start."""
+    """Quota that is freed in small amounts, which small tasks take before a gang can start."""
 
-    def world(self, age: float) -> tuple[Ledger, Job, Job]:
+    def contended_quota(self, age: float) -> tuple[Ledger, Job, Job]:
         led = ready()
         for n in range(4):
             machine(led, f"m{n}", now=age)
@@ -665,17 +667,17 @@
         small_gang: int,
         small_tasks: int,
     ) -> None:
-        # Seen on prairie-ledger-grown: gangs of 24 began after up to ten minutes; on busy,
-        # prairie-ledger-fleet, a third of them within four when it was kept from 120 s on.
-        led, gang, small = self.world(age)
+        # Without the reservation gangs of 24 started after up to ten minutes. With one that begins
+        # at 120 s, only a third of them started within four minutes.
+        led, gang, small = self.contended_quota(age)
         other = job(led, job_id="req-4", team="red", shape="gang", task_count=2, vcpus=2.0, at=age)
         place(led, age)
         assert not gang.bindings
         assert len(other.bindings) == small_gang and len(small.bindings) == small_tasks
 
     def test_after_one_gang_it_is_kept_for_none_for_as_long(self) -> None:
-        # Seen on steady, prairie-ledger-grown: four gangs of 24 in a row kept everybody waiting.
-        led, gang, small = self.world(190.0)
+        # Four gangs of 24 in a row with reserved quota kept all other jobs of the team waiting.
+        led, gang, small = self.contended_quota(190.0)
         place(led, 190.0)
         assert not small.bindings
         led.team_limits[gang.team] = (40.0, 0.0)
@@ -692,14 +694,17 @@
         assert again.reserved_at == 211.0
 
     def test_it_is_not_kept_for_ever(self) -> None:
-        led, gang, small = self.world(10.0)
+        led, gang, small = self.contended_quota(10.0)
         assert queue_order.reserves_quota(gang, 2 * queue_order.BEGIN_WITHIN_S - 1.0)
         assert not queue_order.reserves_quota(gang, 3 * queue_order.BEGIN_WITHIN_S + 1.0)
 
 
 class TestOutlivedEstimates:
-    """Seen on busy, prairie-ledger-fleet: gangs of 12 and 24 waited for 100 s, while the fleet was
-    given back, for room on machines whose tasks should have ended long ago."""
+    """Tasks that run for longer than their estimate.
+
+    Gangs of 12 and 24 waited for 100 s, while the fleet was scaled in, for capacity on machines
+    whose tasks were long past their estimated end.
+    """
 
     @pytest.mark.parametrize(
         ("run_s", "age_s", "left"),
@@ -743,7 +748,7 @@
         other = job(led, job_id="req-9", urgency="idle", task_count=8, at=1.0)
         place(led)
         one = job(led, shape="gang", task_count=2, vcpus=8.0, at=2.0)
-        for name in led.machines:  # by an earlier pass, which found nothing to push aside
+        for name in led.machines:  # reserved by an earlier pass, which found no task to preempt
             led.capacity_index.reserve(led.machines[name], one.job_id, 9.0)
         preemption.preempt(led, place(led, 1.0), 1.0)
         assert all(b.stop_grace_s is not None for b in other.bindings.values())
@@ -753,7 +758,7 @@
 
 
 class TestScarceTypes:
-    def crowd(self) -> tuple[Ledger, Job]:
+    def scarce_machines(self) -> tuple[Ledger, Job]:
         led = ready()
         whole = job(led, job_id="req-1", shape="gang", task_count=2, vcpus=30.0, ram_gb=100.0)
         for n in range(2):
@@ -762,19 +767,19 @@
         return led, whole
 
     def test_small_tasks_go_elsewhere_first(self) -> None:
-        # Seen on every day of moana-buoys-grown: small tasks lay scattered over the only type
-        # that fits a gang's members, which then waited until whole machines had drained.
-        led, whole = self.crowd()
+        # Small tasks that are spread over the only machine type that fits a gang's members make the
+        # gang wait until whole machines have drained.
+        led, whole = self.scarce_machines()
         led.end_job(whole, "aborted", 1.0)
         small = job(led, job_id="req-2", task_count=8, vcpus=2.0)
         place(led)
         assert {b.machine.name for b in small.bindings.values()} == {"small0", "small1"}
         more = job(led, job_id="req-3", task_count=4, vcpus=2.0)
         place(led)
-        assert len(more.bindings) == 4, "nobody who needs them waits"
+        assert len(more.bindings) == 4, "no job that needs the scarce type is waiting"
 
     def test_small_tasks_stay_away_while_a_gang_waits_unless_time_presses(self) -> None:
-        led, whole = self.crowd()
+        led, whole = self.scarce_machines()
         led.machines["big0"].quarantine_reason = "x"
         small = job(led, job_id="req-2", task_count=10, vcpus=2.0, deadline_s=60.0, at=0.0)
         place(led, 1.0)
@@ -787,7 +792,7 @@
         assert len(small.bindings) == 10
 
     def test_they_are_hired_last_for_who_can_do_without(self) -> None:
-        led, _ = self.crowd()
+        led, _ = self.scarce_machines()
         small = job(led, job_id="req-2", task_count=8, vcpus=2.0, spot=True)
         kinds = provision_limits.provisionable_kinds(
             led, small, provision_limits.offered_kinds(led), fleet_plan.CapacityBackoff(), 0.0
@@ -796,22 +801,22 @@
         assert machine_types.index("big") == machine_types.count("small")
 
 
-def _kept(led: Ledger, one: Job, now: float) -> None:
+def _reserve_for_other(led: Ledger, one: Job, now: float) -> None:
     led.capacity_index.reserve(led.machines["m1"], "req-8", now + 5.0)
 
 
-def _failed_there(led: Ledger, one: Job, now: float) -> None:
+def _exclude_after_error(led: Ledger, one: Job, now: float) -> None:
     one.error_machines.add("m1")
 
 
-def _scarce(led: Ledger, one: Job, now: float) -> None:
-    # Of a class that fits on nothing else; the machine has no room for it.
+def _demand_scarce_type(led: Ledger, one: Job, now: float) -> None:
+    # A job that fits on no other machine type, and for which the machine has no free capacity.
     if "req-8" not in led.jobs:
         job(led, now, job_id="req-8", task_count=1, vcpus=32.0, machine_types=["big"])
 
 
-def _quota(led: Ledger, one: Job, now: float) -> None:
-    # A gang that its team's limit can't hold as long as the other runs.
+def _demand_team_quota(led: Ledger, one: Job, now: float) -> None:
+    # A gang that exceeds its team's limit as long as the other job runs.
     if "req-8" not in led.jobs:
         job(
             led,
@@ -827,12 +832,17 @@
 
 @pytest.mark.parametrize(
     ("hold", "team"),
-    [(_kept, "blue"), (_failed_there, "blue"), (_scarce, "blue"), (_quota, "red")],
+    [
+        (_reserve_for_other, "blue"),
+        (_exclude_after_error, "blue"),
+        (_demand_scarce_type, "blue"),
+        (_demand_team_quota, "red"),
+    ],
     ids=["kept", "failed", "scarce", "quota"],
 )
 def test_no_hold_keeps_a_job_waiting_for_90_s_beside_room(hold, team: str) -> None:
-    # The users: once the troubles are over, no job waits for 90 s while a machine that fits has
-    # room and its team is under its limit.
+    # Requirement: outside of faults, no job waits for 90 s while a suitable machine has free
+    # capacity and its team is under its limit.
     led = ready(objectives=[{"kind": "finished", "class": "b", "within_s": 1000.0, "share": 0.9}])
     found = machine(led, "m1", machine_type="big")
     runs = job(led, job_id="req-7", team=team, task_count=1, vcpus=4.0)
@@ -849,7 +859,7 @@
 
 
 def test_what_is_held_back_for_want_of_room_waits() -> None:
-    # The bound is for room that stands empty, not for a line in front of a full fleet.
+    # The bound applies to unused capacity, not to a queue for a full fleet.
     led = ready()
     found = machine(led, "m1")
     runs = job(led, job_id="req-7", task_count=1, vcpus=7.0)
