--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Small days from end to end, on fake time, against stand-ins that check the rules."""
+"""End-to-end runs on fake time, each with a fault, against stand-ins that check the invariants."""
 
 import asyncio
 from itertools import pairwise
@@ -46,7 +46,7 @@
 
 
 async def quick_restart(world: World) -> None:
-    """The leader is back within a fraction of a second, again and again."""
+    """Restart the leader within a fraction of a second, four times."""
     for _ in range(4):
         await asyncio.sleep(9.0)
         for name, controller in list(world.controllers.items()):
@@ -82,7 +82,7 @@
 
 
 async def refused_alone(world: World) -> None:
-    """Only the leader loses the state service: somebody else has to lead."""
+    """Cut only the leader off the state service: another controller has to lead."""
     await asyncio.sleep(15.0)
     leader = world.leader()
     assert leader is not None
@@ -95,7 +95,7 @@
 
 
 async def cut_from_workers(world: World) -> None:
-    """Only the workers lose the leader: another controller has to lead before their leases end."""
+    """Cut the leader off its workers: another one has to lead before their leases expire."""
     await asyncio.sleep(15.0)
     leader = world.leader()
     assert leader is not None
@@ -108,7 +108,7 @@
 
 
 async def hang(world: World) -> None:
-    """Machines hang and go on, some after their lease."""
+    """Hang machines and resume them, some after their lease has expired."""
     await asyncio.sleep(14.0)
     workers = [w for w in world.cloud.hosts.values() if w.tasks][:3]
     for worker in workers:
@@ -120,7 +120,7 @@
 
 
 async def one_way(world: World) -> None:
-    """Machines whose heartbeats arrive, but whom answers and commands don't reach; some heal."""
+    """Drop answers and commands to machines whose heartbeats arrive; some of them recover."""
     await asyncio.sleep(8.0)
     workers = [w for w in world.cloud.hosts.values() if w.up or w.tasks][:3]
     for worker in workers:
@@ -134,8 +134,10 @@
 
 
 async def late_copies(world: World) -> None:
-    """Copies of heartbeats, seconds to well over a lease late, across incarnations, returns,
-    leaders."""
+    """Deliver duplicate heartbeats seconds to over a lease late.
+
+    They overlap new incarnations, terminations of machines and changes of the leader.
+    """
     world.copies = 0.5
     await asyncio.sleep(14.0)
     for worker in [w for w in world.cloud.hosts.values() if w.tasks][:2]:
@@ -149,7 +151,10 @@
 
 
 async def cut_off(world: World) -> None:
-    """The leader, and later a follower, lose the state service and the others, not the workers."""
+    """Cut the leader, and later a follower, off the state service and its peers.
+
+    Their links to the workers stay up.
+    """
     for lead in (True, False):
         await asyncio.sleep(12.0)
         controller = next(
@@ -169,7 +174,7 @@
 
 
 async def back_at_once(world: World) -> None:
-    """Processes end and are back at once, while a leader is elected and promises are given."""
+    """Restart processes at once while a leader is elected and votes are withheld for it."""
     await asyncio.sleep(15.0)
     for _ in range(3):
         leader = world.leader()
@@ -192,7 +197,7 @@
 
 
 async def lost_and_late(world: World) -> None:
-    """Answers are lost, and transactions, provisions and direct calls are carried out late."""
+    """Lose answers, and execute transactions, provisioning and direct commands late."""
     world.loss = 0.1
     world.late = lambda source, path: (
         world.rng.choice((0.0, 0.0, 0.0, 8.0)) if path in ("/txn", "/hosts", "/do") else 0.0
@@ -203,7 +208,7 @@
 
 
 async def cloud_outage(world: World) -> None:
-    """Nodes that start meanwhile know the machine types from the state service."""
+    """Restart controllers while the cloud is down: they load machine types from the store."""
     await asyncio.sleep(6.0)
     world.cloud.down = True
     for name in world.names:
@@ -219,7 +224,7 @@
 
 
 async def frozen(world: World) -> None:
-    """The leader stands still for longer than its lease while its clocks run on, twice."""
+    """Pause the leader for longer than its lease while its clocks run on, twice."""
     for pause in (14.0, 30.0):
         await asyncio.sleep(12.0)
         leader = world.leader()
@@ -227,7 +232,7 @@
         name = leader.settings.member
         world.frozen.add(name)
         await asyncio.sleep(pause)
-        assert leader.leading() is None, "its lease has ended whatever it thinks"
+        assert leader.leading() is None, "its lease has expired, whatever its own state"
         world.frozen.clear()
         await asyncio.sleep(0.0)
         assert leader.leading() is None
@@ -236,7 +241,7 @@
 
 
 async def many_cut(world: World) -> None:
-    """Half of the machines are cut off, the leader ends, and all that was held comes at once."""
+    """Cut off half of the machines, restart the leader, and reconnect them all at once."""
     await asyncio.sleep(16.0)
     for back in (9.0, 22.0):
         gone = list(world.cloud.hosts.values())[::2]
@@ -255,7 +260,7 @@
 
 
 async def zones_apart(world: World) -> None:
-    """The zones are apart again and again, while leaders and keepers come and go."""
+    """Partition the zones repeatedly, while leaders and zone lease delegates change."""
     world.areas["n1"] = "south"
     await world.crash("n1")
     world.boot("n1")
@@ -273,7 +278,7 @@
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [
         quiet,
         leader_crash,
@@ -294,20 +299,20 @@
         many_cut,
         zones_apart,
     ],
-    ids=lambda trouble: trouble.__name__,
+    ids=lambda fault: fault.__name__,
 )
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_day_keeps_the_rules_and_ends(trouble, seed: int) -> None:
-    async def day() -> World:
+def test_a_day_keeps_the_rules_and_ends(fault, seed: int) -> None:
+    async def scenario() -> World:
         world = World(seed=seed)
-        trouble_task = asyncio.create_task(trouble(world))
+        fault_task = asyncio.create_task(fault(world))
         for job in JOBS:
             assert await world.submit(job) in (200, 201)
             await asyncio.sleep(1.0)
         assert await world.submit(JOBS[0]) == 200, "a repeat is answered as known"
         await asyncio.sleep(12.0)
         assert await world.cancel("req-6") in ("aborted", "done")
-        await trouble_task
+        await fault_task
         world.trouble_until = world.now()
         await world.until_over()
         assert await world.poll("req-999") is None
@@ -316,15 +321,16 @@
         assert not world.on_machines()
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == []
     assert world.starts >= 28
 
 
 @pytest.mark.parametrize("ticks", range(6))
 def test_a_term_ends_whenever_it_is_told_to(ticks: int) -> None:
-    # The cause of the next test's case: cancelled just as its event was set, a loop went on.
-    async def day() -> bool:
+    # A loop that was cancelled in the moment in which its event was set swallowed the cancellation
+    # and went on.
+    async def scenario() -> bool:
         world = World(seed=5, controllers=1)
         await asyncio.sleep(5.0)
         leader = world.leader()
@@ -343,13 +349,13 @@
             await asyncio.sleep(0.05 + 0.01 * _)
         return True
 
-    assert run(day)
+    assert run(scenario)
 
 
 def test_a_node_that_lost_the_lead_can_lead_again() -> None:
-    # Seen on our day held-cuts: a loop of the ended term swallowed its cancellation, so that the
-    # controller never stood again, and after three such terms nobody did.
-    async def day() -> list[str]:
+    # If a loop of an ended term swallows its cancellation, its controller never campaigns again,
+    # and after three such terms no controller does.
+    async def scenario() -> list[str]:
         world = World(seed=5)
         for n in range(12):
             await world.submit(spec(f"req-{n}", task_count=8, estimated_run_s=5.0))
@@ -362,12 +368,12 @@
             world.cuts = {(led[-1], "state")}
         return led
 
-    led = run(day)
+    led = run(scenario)
     assert len(set(led)) >= 2 and all(one != other for one, other in pairwise(led))
 
 
 def test_tasks_survive_an_outage_of_the_state_service_longer_than_their_lease() -> None:
-    async def day() -> World:
+    async def scenario() -> World:
         world = World()
         await world.submit(spec("req-1", task_count=2, estimated_run_s=60.0))
         await asyncio.sleep(15.0)
@@ -379,14 +385,14 @@
         await world.until_over()
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == [] and world.starts == 2
 
 
 def test_the_largest_begin_within_four_minutes_of_a_lasting_overload() -> None:
-    # Work that goes behind because it is large has to come up some time: an array as large as
-    # the fleet and a gang of whole machines, among small jobs that never end.
-    async def day() -> World:
+    # Jobs that are ordered last because of their size must start within a bounded time: an array as
+    # large as the fleet and a gang of whole machines, in a steady stream of small jobs.
+    async def scenario() -> World:
         world = World(seed=3, most=3)
         await world.submit(
             spec("req-1", task_count=60, vcpus=4.0, estimated_run_s=20.0, deadline_s=40.0)
@@ -401,16 +407,16 @@
             await asyncio.sleep(2.0)
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == []
     born = 1000.0
     assert world.begun["req-1"] - born < 240.0 and world.begun["req-2"] - born < 240.0
 
 
 def test_tasks_survive_a_cut_between_zones_longer_than_their_lease() -> None:
-    # Seen on prairie-ledger-grown: in each cut between the zones half of the machines lost all
-    # that they ran, though a controller behind the cut could answer them.
-    async def day(cancel: bool) -> tuple[World, int]:
+    # In each partition between the zones, half of the machines lost all their tasks, though a
+    # controller on their side could answer their heartbeats.
+    async def scenario(cancel: bool) -> tuple[World, int]:
         world = World(areas={"n2": "south"})
         while (leader := world.leader()) is None:
             await asyncio.sleep(0.1)
@@ -442,17 +448,19 @@
         await world.until_over()
         return world, left
 
-    world, left = run(lambda: day(False))
-    # The first that comes is sent back to the leader once, too long for a lease of six reports.
+    world, left = run(lambda: scenario(False))
+    # The first worker to arrive is redirected to the leader once, which takes too long for a lease
+    # of six heartbeat intervals.
     assert world.broken == [] and left >= 5 and world.starts <= 7
-    # What is cancelled meanwhile is gone in time: its leases are not kept any longer.
-    world, left = run(lambda: day(True))
+    # Tasks cancelled meanwhile are stopped in time, because their leases are no longer renewed.
+    world, left = run(lambda: scenario(True))
     assert world.broken == [] and left <= 3
 
 
 def test_a_node_that_the_state_service_refuses_alone_passes_submissions_on() -> None:
-    # Seen on apart, prairie-ledger-grown: a third of the submissions of 45 s were late.
-    async def day() -> World:
+    # While the state service refused only one controller, a third of the submissions within 45 s
+    # were late.
+    async def scenario() -> World:
         world = World()
         await asyncio.sleep(5.0)
         controller = next(
@@ -473,17 +481,17 @@
         assert controller.up()
         world.state.down = True
         await asyncio.sleep(8.0)
-        assert controller.up(), "in an outage for all it serves what it can"
+        assert controller.up(), "in an outage for all controllers it serves what it can"
         world.state.back()
         await world.until_over()
         return world
 
-    assert run(day).broken == []
+    assert run(scenario).broken == []
 
 
 def test_every_page_is_written_on_condition_of_its_stamp() -> None:
-    # One that was given up on and is carried out late must not put an older page over a newer.
-    async def day() -> tuple[World, list[str]]:
+    # A transaction that timed out and is applied late must not replace a page by an older one.
+    async def scenario() -> tuple[World, list[str]]:
         world = World()
         bare: list[str] = []
         inner = world.state.transaction
@@ -504,13 +512,13 @@
         await world.until_over()
         return world, bare
 
-    world, bare = run(day)
+    world, bare = run(scenario)
     assert world.broken == [] and bare == []
     assert any(change.get("set", "").startswith("roster/") for change in world.state.log)
 
 
 def test_a_new_leader_counts_no_lease_from_before_what_the_last_may_have_allowed() -> None:
-    async def day() -> tuple[float, float]:
+    async def scenario() -> tuple[float, float]:
         world = World()
         await asyncio.sleep(5.0)
         leader = world.leader()
@@ -521,5 +529,5 @@
             await asyncio.sleep(0.05)
         return leader.term.ledger.leases.counted_from - world.now(), leader.term.clock.ttl
 
-    ahead, ttl = run(day)
+    ahead, ttl = run(scenario)
     assert ttl - 0.1 < ahead < ttl + 0.2
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,7 +1,7 @@
-"""The version in production and this one, side by side: records, pages, and whole days.
+"""Compatibility with the version in production: records, pages and rolling upgrades.
 
-What the production version writes is kept in ``fixtures/production.json``; its own code comes from
-the repository's history (``production.py``), without which these tests fail and say so.
+``fixtures/production.json`` holds what the production version writes. Its code comes from the
+repository's history (``production.py``), without which these tests fail and say so.
 """
 
 from __future__ import annotations
@@ -56,7 +56,8 @@
     assert old.records.job_from(value).pieces == 900
     over = records.outcome_value(one, "aborted", 1234.5, kept_kb)
     assert old.records.over_from(over)[0] == "aborted" and "awaits" not in over["spec"]
-    # As a leader of production loads it: the number of a stretch times its size, and ranges.
+    # Decode as a leader of the production version does: segment number times segment size, plus the
+    # ranges.
     layout = DoneTaskLayout(OLD["value_kb"], kept_kb)
     size = old.records.part_size(OLD["value_kb"])
     found: list[int] = []
@@ -74,7 +75,7 @@
 
 @pytest.mark.parametrize("other_kb", [1.0, 4.0, 64.0])
 def test_a_stretch_keeps_its_meaning_when_the_size_of_values_changes(other_kb: float) -> None:
-    # Read by another size, an item made other tasks done: not_done.
+    # Read with another segment size, an item would mark other tasks as done.
     written, read = DoneTaskLayout(16.0, 2.0), DoneTaskLayout(other_kb, other_kb)
     for base in written.item_starts(900):
         tasks = [n for n in range(base, min(written.end_of(base), 900)) if n in DONE]
@@ -84,14 +85,14 @@
 
 
 class Service:
-    """Values as the state service keeps them, refusing what is larger than is permitted."""
+    """Values of the state service, with a limit on their size."""
 
     def __init__(self, pages: dict[str, Any], kb: float) -> None:
         self.rows = dict(pages)
         self.kb = kb
 
     def write(self, pages: Pages, most: int) -> bool:
-        """One transaction; False when there is nothing left to write."""
+        """Write one transaction. Return False when there is nothing left to write."""
         batch = pages.batch(most, 56.0)
         for page, (_, content) in batch.items():
             assert len(json.dumps(content)) <= self.kb * 1024
@@ -112,28 +113,29 @@
 
 @pytest.mark.parametrize("most", [1, 2, 4])
 def test_a_page_larger_than_permitted_is_split_and_loses_nothing_on_the_way(most: int) -> None:
-    # It can be read, but never be written again: one item that changed was refused for ever.
+    # Such a page can be read but not written again: a changed item would be refused for ever.
     service = Service(OLD["roster"], 2.0)
     pages = Pages(records.MACHINE_REGISTRY, 2.0)
     for key, page in OLD["roster"].items():
         pages.load(key, page, 5)
-    assert not pages.dirty, "what does not change is left as it is"
+    assert not pages.dirty, "unchanged pages are not rewritten"
     before = service.items()
     pages.drop("host-000007")
     pages.set("host-000999", ["small", "south", False, "10.9.9.9:9"])
     writes = 0
     while service.write(pages, most):
         writes += 1
-        assert before.keys() - {"host-000007"} <= service.items().keys(), "none is ever missing"
+        assert before.keys() - {"host-000007"} <= service.items().keys(), "no item is ever missing"
     after = service.items()
     assert after.keys() == before.keys() - {"host-000007"} | {"host-000999"}
-    assert all(len(found) == 1 for found in after.values()), "and none stands twice at the end"
+    assert all(len(found) == 1 for found in after.values()), "no item is on two pages at the end"
     assert writes * most < 60
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_pages_survive_writers_of_both_versions_that_end_anywhere(seed: int) -> None:
-    # Each loads what the last left, changes a few items and ends after a few transactions.
+    # Each writer loads what the last one left, changes a few items and stops after a few
+    # transactions.
     rng = random.Random(seed)
     old = production.production()
     rows: dict[str, Any] = dict(OLD["roster"])
@@ -162,8 +164,8 @@
                 expected |= fresh  # all of it was written
                 break
         rows = service.rows
-        # A machine counts as registered once its page was written, which these writers never
-        # heard; dropped ones may come back, as machines that are found to be gone.
+        # A machine counts as registered once its page is written, and these writers get no answer.
+        # Dropped machines may reappear, and are then found to be gone.
         assert expected.keys() <= service.items().keys(), turn
 
 
@@ -173,7 +175,9 @@
     )
     assert [key for key, _ in records.machine_type_rows(types[:3], 2.0)] == ["flavors"]
     rows = dict(records.machine_type_rows(types, 2.0))
-    assert len(rows) > 2 and "flavors" not in rows, "a part of them would refuse jobs for others"
+    assert len(rows) > 2 and "flavors" not in rows, (
+        "a partial list would refuse jobs that need the other types"
+    )
     assert all(len(json.dumps(value)) <= 2048 for value in rows.values())
     assert records.machine_types_from(rows) == {"builds": types}
     for key in rows:
@@ -187,7 +191,7 @@
     with pytest.raises(records.RecordTooLargeError):
         records.job_rows(spec("req-1", job_class=long, image=long), 2.0, 4)
     assert records.job_rows(spec("req-1", job_class="b" * 200, image="k" * 200), 2.0, 4)
-    # Accepted while values were larger: its outcome still has to be kept.
+    # A job accepted while larger values were permitted: its outcome must still be stored.
     over = records.outcome_value(spec("req-1", job_class=long, image=long), "done", 5.0, 2.0)
     assert records.fits(over, 2.0) and records.outcome_from(over)[1].team == "blue"
     job_ids = [f"req-{n:06d}" for n in range(4000)]
@@ -197,24 +201,24 @@
     assert 2 <= len(rows) <= 4 and all(records.fits(value, 2.0) for _, value in rows)
 
 
-# -- whole days ---------------------------------------------------------------------------
+# -- rolling upgrades ---------------------------------------------------------------------
 
 
-async def renew(world: World, name: str, down_s: float = 1.0) -> None:
+async def upgrade(world: World, name: str, down_s: float = 1.0) -> None:
     await world.crash(name)
     await asyncio.sleep(down_s)
     world.version = production.THIS
     world.boot(name)
 
 
-async def one_by_one(world: World) -> None:
+async def upgrade_in_order(world: World) -> None:
     for name in world.names:
         await asyncio.sleep(7.0)
-        await renew(world, name)
+        await upgrade(world, name)
 
 
-async def backwards_with_crashes(world: World) -> None:
-    """Leadership passes either way several times, and a process that dies early comes back old."""
+async def upgrade_in_reverse_with_crashes(world: World) -> None:
+    """Upgrade in reverse order with crashes; crashed processes keep their version."""
     old = world.version
     for name in reversed(world.names):
         await asyncio.sleep(5.0)
@@ -229,12 +233,12 @@
                 world.boot(dead)
             await asyncio.sleep(4.0)
         world.version = old
-        await renew(world, name, 0.2)
+        await upgrade(world, name, 0.2)
 
 
-async def all_end_in_the_middle(world: World) -> None:
+async def crash_all_during_upgrade(world: World) -> None:
     await asyncio.sleep(9.0)
-    await renew(world, "n1")
+    await upgrade(world, "n1")
     await asyncio.sleep(6.0)
     versions = dict(world.versions)
     for name in world.names:
@@ -245,58 +249,58 @@
         world.boot(name)
     await asyncio.sleep(8.0)
     for name in ("n0", "n2"):
-        await renew(world, name)
+        await upgrade(world, name)
         await asyncio.sleep(5.0)
 
 
-async def outage_in_the_roll(world: World) -> None:
-    roll = asyncio.create_task(one_by_one(world))
+async def state_outage_during_upgrade(world: World) -> None:
+    upgrade_plan = asyncio.create_task(upgrade_in_order(world))
     await test_days.state_outage(world)
-    await roll
+    await upgrade_plan
 
 
-async def cut_in_the_roll(world: World) -> None:
-    """Zones apart, with an old controller and a new one on either side."""
+async def partition_during_upgrade(world: World) -> None:
+    """Partition the zones during the upgrade, with an old or a new controller on each side."""
     world.areas["n1"] = "south"
     await asyncio.sleep(4.0)
-    await renew(world, "n1")
+    await upgrade(world, "n1")
     await asyncio.sleep(6.0)
     world.apart = True
     await asyncio.sleep(9.0)
-    await renew(world, "n0")
+    await upgrade(world, "n0")
     await asyncio.sleep(9.0)
     world.apart = False
-    await renew(world, "n2")
+    await upgrade(world, "n2")
 
 
-async def late_writes_of_the_old(world: World) -> None:
-    """Transactions, heartbeats and direct calls of the old version arrive after its end."""
+async def late_writes_of_old_version(world: World) -> None:
+    """Deliver transactions, heartbeats and commands of the old version after its end."""
     world.copies = 0.3
     world.late = lambda source, path: (
         world.rng.choice((0.0, 0.0, 0.0, 9.0)) if path in ("/txn", "/do") else 0.0
     )
-    await one_by_one(world)
+    await upgrade_in_order(world)
     await asyncio.sleep(6.0)
     world.late = lambda source, path: 0.0
     world.copies = 0.0
 
 
-ROLLS = [
-    one_by_one,
-    backwards_with_crashes,
-    all_end_in_the_middle,
-    outage_in_the_roll,
-    cut_in_the_roll,
-    late_writes_of_the_old,
+UPGRADES = [
+    upgrade_in_order,
+    upgrade_in_reverse_with_crashes,
+    crash_all_during_upgrade,
+    state_outage_during_upgrade,
+    partition_during_upgrade,
+    late_writes_of_old_version,
 ]
 
 
-@pytest.mark.parametrize("roll", ROLLS, ids=lambda roll: roll.__name__)
+@pytest.mark.parametrize("upgrade_plan", UPGRADES, ids=lambda upgrade_plan: upgrade_plan.__name__)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_both_versions_serve_side_by_side(roll: Any, seed: int) -> None:
-    async def day() -> World:
+def test_both_versions_serve_side_by_side(upgrade_plan: Any, seed: int) -> None:
+    async def scenario() -> World:
         world = World(seed=seed, version=production.production(), next=test_pipelines.NEXT)
-        rolling = asyncio.create_task(roll(world))
+        upgrading = asyncio.create_task(upgrade_plan(world))
         for n, one in enumerate(test_days.JOBS):
             assert await world.submit(one) in (200, 201)
             await world.submit(
@@ -304,13 +308,13 @@
             )
             await asyncio.sleep(2.0)
         assert await world.cancel("req-6") in ("aborted", "done")
-        while not rolling.done():
+        while not upgrading.done():
             await asyncio.sleep(2.0)
             for job_id in list(world.told):
                 await world.poll(job_id)
-        await rolling
+        await upgrading
         assert {version.package for version in world.versions.values()} == {"salthead"}
-        # Only now is anything new asked, and the limits come without notice.
+        # New features are used only after the upgrade, and the lower limits apply without notice.
         world.state.limits |= test_pipelines.NEXT
         for one in test_pipelines.STAGES:
             await world.submit(
@@ -328,14 +332,15 @@
         assert not world.on_machines()
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == [] and world.state.refused == []
     assert world.told["req-400"] == "done" and world.told["req-800"] == "aborted"
 
 
 def test_no_write_is_larger_than_what_will_be_permitted() -> None:
-    # Every kind of key, from the first write on; the service refuses and counts what is larger.
-    async def day() -> World:
+    # Every kind of key is checked from the first write on: the service refuses and counts values
+    # that are too large.
+    async def scenario() -> World:
         world = World(
             seed=2, areas={"n1": "south"}, most=60, value_kb=16.0, next=test_pipelines.NEXT
         )
@@ -343,7 +348,7 @@
         machine_types = {
             f"type-{n}": msgspec.structs.replace(FLAVORS[0], name=f"type-{n}") for n in range(30)
         }
-        for key, page in OLD["roster"].items():  # machines that are gone, on pages of the old size
+        for key, page in OLD["roster"].items():  # terminated machines, on pages of the old size
             gone = {name.replace("host-", "host-9"): item for name, item in page.items()}
             world.state.keys[key] = (gone, 1, None)
         world.state.keys["done/000000"] = (OLD["parts"]["done/000000"], 1, None)
@@ -371,7 +376,7 @@
         await world.until_over(900.0)
         return world
 
-    world = run(day)
+    world = run(scenario)
     assert world.broken == [] and world.state.refused == []
     written = {(c.get("set") or c["drop"]).split("/")[0] for c in world.state.log}
     assert {"job", "over", "done", "roster", "lead", "token", "flavors", "keep"} <= written
--- a/tests/test_zone_days.py
+++ b/tests/test_zone_days.py
@@ -1,6 +1,6 @@
-"""A zone of workers, with a controller in it, is lost and brought back: days on fake time.
+"""Loss and recovery of a zone with workers and a controller, on fake time.
 
-What is on machines is taken twenty times a second, as the workers see it, and before each start.
+The running tasks are recorded from the workers twenty times a second and before each start.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ZoneDay(ZoneWorld):
-    """Three controllers, of which one stands in the south."""
+    """A world with three controllers, one of them in the south."""
 
     def __init__(self, seed: int, policy: Policy = POLICY, most: int = 10, **more: Any) -> None:
         super().__init__(seed=seed, areas={"n2": "south"}, policy=policy, **more)
@@ -33,7 +33,7 @@
         self.phases: list[tuple[float, str]] = []  # of the south, as leaders saw it
 
     def snapshot(self) -> None:
-        """As for the checker; and what the leader thinks of the south."""
+        """Record the running tasks and each change of the leader's zone phase of the south."""
         super().snapshot()
         phase = self.south()
         if phase and (not self.phases or self.phases[-1][1] != phase):
@@ -45,24 +45,24 @@
         return loop.recovery if loop is not None else None
 
     def south(self) -> str:
-        """What the leader thinks of the south."""
+        """Return the leader's zone phase of the south, or an empty string without a leader."""
         found = self.recovery()
         return "" if found is None else str(found.states[1].phase)
 
     async def lose(self, zone: str, dead: bool) -> None:
-        """The zone's machines lose power, or reach nobody; its controller ends with them."""
+        """Kill or cut off the machines of a zone, and crash its controller."""
         self.lose_machines(zone, dead)
         if zone == "south":
             await self.crash("n2")
 
     def bring_back(self, zone: str, most: int = 10) -> None:
-        """The zone's machines are there again, and can be provisioned."""
+        """Bring the machines of a zone back and make new ones available, with its controller."""
         self.return_machines(zone, most)
         if zone == "south" and self.controllers["n2"] is None:
             self.boot("n2")
 
     async def until(self, phase: ZonePhase, most_s: float = 120.0) -> None:
-        """Until the leader thinks so of the south, or that a suspicion has come true."""
+        """Wait until the south is in a phase; SUSPECTED is also met by LOST."""
         end = self.now() + most_s
         wanted = {phase, ZonePhase.LOST} if phase is ZonePhase.SUSPECTED else {phase}
         while self.now() < end:
@@ -114,7 +114,7 @@
 
 
 async def flapping(world: ZoneDay) -> None:
-    """Back, and gone again, twice within minutes."""
+    """Return the zone and lose it again, twice within minutes."""
     for pause in (6.0, 14.0):
         await world.lose("south", dead=False)
         await asyncio.sleep(16.0)
@@ -139,7 +139,7 @@
 
 
 async def leader_changes(world: ZoneDay) -> None:
-    """A leader ends in each phase, once that is written; the next one goes on from there."""
+    """Crash a leader in each phase once the phase is durable; the next leader continues it."""
     await world.lose("south", dead=False)
     for phase in (ZonePhase.SUSPECTED, ZonePhase.LOST, ZonePhase.RECOVERING):
         if phase is ZonePhase.RECOVERING:
@@ -155,7 +155,7 @@
 
 
 async def leader_ends_at_once(world: ZoneDay) -> None:
-    """A leader ends just as it sees a change, before that is written."""
+    """Crash the leader when it detects a change of phase, before the change is durable."""
     await world.lose("south", dead=False)
     await world.until(ZonePhase.LOST)
     leader = world.leader()
@@ -177,7 +177,7 @@
 
 
 async def one_way(world: ZoneDay) -> None:
-    """Heartbeats of the zone arrive, and answers don't; then the same the other way round."""
+    """Drop answers to the zone's heartbeats, then its heartbeats but not the commands to it."""
     for name in ("deaf", "mute"):
         for worker in world.in_zone("south"):
             setattr(worker, name, True)
@@ -209,13 +209,13 @@
 
 
 async def cold(world: ZoneDay) -> None:
-    """What returns is slow to start anything."""
+    """Make all machines of the returning zone slow to start tasks."""
     world.fetch_s = lambda worker: 9.0 if worker.zone == "south" else 0.5
     await cut(world)
 
 
-Trouble = Callable[[ZoneDay], Awaitable[None]]
-RETRYABLE_ERRORS: list[Trouble] = [
+Fault = Callable[[ZoneDay], Awaitable[None]]
+FAULTS: list[Fault] = [
     dead,
     cut,
     flapping,
@@ -230,13 +230,13 @@
 ]
 
 
-async def day(world: ZoneDay, trouble: Trouble) -> ZoneDay:
+async def run_with_fault(world: ZoneDay, fault: Fault) -> ZoneDay:
     await asyncio.sleep(2.0)
     for one in JOBS:
         assert await world.submit(one) in (200, 201)
     await asyncio.sleep(22.0)
     assert any(zone == "south" for _, _, zone in world.history.placements)
-    await trouble(world)
+    await fault(world)
     world.trouble_until = world.now()
     late = [array("req-7", task_count=8), gang("req-8", task_count=2)]
     for one in late:
@@ -247,20 +247,20 @@
     return world
 
 
-@pytest.mark.parametrize("trouble", RETRYABLE_ERRORS, ids=lambda trouble: trouble.__name__)
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_zone_is_lost_and_returns(trouble: Trouble, seed: int) -> None:
-    async def whole_day() -> ZoneDay:
-        return await day(ZoneDay(seed), trouble)
+def test_a_zone_is_lost_and_returns(fault: Fault, seed: int) -> None:
+    async def scenario() -> ZoneDay:
+        return await run_with_fault(ZoneDay(seed), fault)
 
-    world = run(whole_day)
+    world = run(scenario)
     assert world.broken == [] and world.history.broken == []
     assert len(world.history.placements) >= 40
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_mix_with_the_version_in_production(seed: int) -> None:
-    """The state of zones is lost on a leader of that version, and nothing else is."""
+    """A leader of the production version loses the state of zones, and nothing else."""
 
     async def mixed() -> ZoneDay:
         world = ZoneDay(seed, version=production.production())
@@ -268,7 +268,7 @@
         for name in ("n0", "n1"):
             await world.crash(name)
             world.boot(name)
-        return await day(world, rolled)
+        return await run_with_fault(world, rolled)
 
     async def rolled(world: ZoneDay) -> None:
         await world.lose("south", dead=False)
@@ -287,7 +287,7 @@
 
 
 def test_a_gang_larger_than_what_is_left_waits_for_the_zone() -> None:
-    async def scene() -> tuple[ZoneDay, bool]:
+    async def scenario() -> tuple[ZoneDay, bool]:
         world = ZoneDay(3, most=6)
         await asyncio.sleep(2.0)
         large = gang("req-1", task_count=8, vcpus=6.0, single_zone=False)
@@ -300,20 +300,20 @@
         await world.until_over()
         return world, waits
 
-    world, waits = run(scene)
+    world, waits = run(scenario)
     assert waits and world.broken == [] and world.history.broken == []
 
 
 @pytest.mark.parametrize("policy", [NO_POLICY, POLICY], ids=["off", "on"])
 def test_guarantees_come_first_then_gangs_then_arrays(policy: Policy) -> None:
-    """The order of placements after a loss, with little room elsewhere and the array the oldest."""
+    """After a loss, with little capacity elsewhere and the array as the oldest job."""
     jobs = [
         array("req-1", urgency="normal", task_count=40, vcpus=1.0, machine_types=["small"]),
         gang("req-2", task_count=3, vcpus=7.0),
         spec("req-3", team="red", vcpus=4.0, estimated_run_s=90.0, machine_types=["small"]),
     ]
 
-    async def scene() -> dict[str, list[float]]:
+    async def scenario() -> dict[str, list[float]]:
         world = ZoneDay(1, policy=policy)
         world.most_in_zone["north"] = 0
         await asyncio.sleep(2.0)
@@ -338,13 +338,13 @@
             for one in jobs
         }
 
-    times = run(scene)
+    times = run(scenario)
     guaranteed, whole_gang, some_array = times["req-3"], times["req-2"], times["req-1"]
     assert len(guaranteed) == 2 and max(guaranteed) <= min(some_array) + 0.1
     if policy is POLICY:
         assert len(whole_gang) == 3 and max(guaranteed) <= min(whole_gang) + 0.1
         assert max(whole_gang) - min(whole_gang) <= 2.0 * LIMITS["workers"]["report_s"]
-        # What is not needed for the gang goes to the array at once.
+        # Capacity that the gang does not need goes to the array at once.
         assert len(some_array) == 8 + 3
     else:
         assert not whole_gang, "the array takes each machine as it comes up"
@@ -352,9 +352,9 @@
 
 @pytest.mark.parametrize("policy", [NO_POLICY, POLICY], ids=["off", "on"])
 def test_a_return_is_gradual_only_where_the_policy_says_so(policy: Policy) -> None:
-    """Of the starts in the first seconds after the zone is back, how many are there."""
+    """Count the starts in a zone in the first seconds after its return."""
 
-    async def scene() -> int:
+    async def scenario() -> int:
         world = ZoneDay(2, policy=policy, most=4)
         await asyncio.sleep(2.0)
         await world.submit(
@@ -369,18 +369,18 @@
         assert world.broken == [] and world.history.broken == []
         return sum(zone == "south" for at, _, zone in world.history.placements if at >= back)
 
-    started = run(scene)
+    started = run(scenario)
     assert (0 < started <= 8) if policy is POLICY else (started >= 12)
 
 
 def test_metrics_of_zones_end_with_the_term() -> None:
-    async def scene() -> tuple[bytes, bytes]:
+    async def scenario() -> tuple[bytes, bytes]:
         world = ZoneDay(1, controllers=1)
         await asyncio.sleep(12.0)
         leads = metrics.exposition()
         await world.crash("n0")
         return leads, metrics.exposition()
 
-    leads, ended = run(scene)
+    leads, ended = run(scenario)
     assert b'salthead_zone{state="available",zone="south"} 1.0' in leads
     assert b"salthead_zone{" not in ended
