--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -1,4 +1,4 @@
-"""A day on fake time, with small bounds: whatever a controller holds stays within them."""
+"""A long run on fake time with small caches: the tables of a controller stay bounded."""
 
 from __future__ import annotations
 
@@ -18,12 +18,14 @@
 PERIODS = 3
 PERIOD_S = 400.0
 JOB_EVERY_S = 20.0
-CACHE = 12  # what the caches of final states are cut to here, so that they fill within the day
+CACHE_SIZE = (
+    12  # entries; the caches of final states are limited to this so that they fill within the run
+)
 TABLES = (dict, OrderedDict, list, set, deque)
 
 
 def table_sizes(controller: Any) -> dict[str, int]:
-    """How much is in each table of a controller, its term, and what the term is made of."""
+    """Return the size of each table of a controller, its term and the parts of the term."""
     parts = {
         "controller": controller,
         "zone lease": controller.zone_lease_delegate.lease,
@@ -70,7 +72,7 @@
 
 
 async def submit_for(world: World, seconds: float, first: int) -> int:
-    """Small jobs in a row, some that depend on others, some cancelled; the last number."""
+    """Submit small jobs, some dependent and some cancelled, and return the last number."""
     until, number = world.now() + seconds, first
     while world.now() < until:
         number += 1
@@ -87,13 +89,13 @@
 def test_jobs_leave_no_more_behind_than_the_caches_hold(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(job_cache, "MAX_REMEMBERED_OUTCOMES", CACHE)
-    monkeypatch.setattr(DependencyGraph, "MAX_REMEMBERED_DONE", CACHE)
-    monkeypatch.setattr(job_table, "MIN_REMEMBERED_JOBS", CACHE)
-    monkeypatch.setattr(machine_registry, "MIN_REMEMBERED_MACHINES", CACHE)
-    monkeypatch.setattr(redirects, "MIN_REMEMBERED_REDIRECTS", CACHE)
+    monkeypatch.setattr(job_cache, "MAX_REMEMBERED_OUTCOMES", CACHE_SIZE)
+    monkeypatch.setattr(DependencyGraph, "MAX_REMEMBERED_DONE", CACHE_SIZE)
+    monkeypatch.setattr(job_table, "MIN_REMEMBERED_JOBS", CACHE_SIZE)
+    monkeypatch.setattr(machine_registry, "MIN_REMEMBERED_MACHINES", CACHE_SIZE)
+    monkeypatch.setattr(redirects, "MIN_REMEMBERED_REDIRECTS", CACHE_SIZE)
 
-    async def day() -> tuple[World, list[dict[str, int]]]:
+    async def scenario() -> tuple[World, list[dict[str, int]]]:
         world = World(seed=3)
         number, found = 0, []
         for _ in range(PERIODS):
@@ -108,10 +110,10 @@
             )
         return world, found
 
-    world, periods = run(day)
+    world, periods = run(scenario)
     assert world.broken == [] and len(world.final) >= PERIODS * 15
     for table, size in periods[-1].items():
-        assert size <= CACHE or size <= periods[0].get(table, 0), (
+        assert size <= CACHE_SIZE or size <= periods[0].get(table, 0), (
             table,
             [h.get(table) for h in periods],
         )
--- a/tests/test_zone_loopback.py
+++ b/tests/test_zone_loopback.py
@@ -1,7 +1,7 @@
-"""A zone of loopback workers, with a controller of ours in it, killed and brought back.
+"""Loss and recovery of a zone of loopback workers with a controller in it.
 
-Real controllers as processes of their own, over HTTP; the workers, the cloud and the state service
-are stand-ins in this process. Nothing is left running: what was started is killed at the end.
+The controllers are separate processes that speak HTTP. The workers, the cloud and the state service
+are stand-ins in this process. All processes are killed at the end.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from test_zones import ENTRIES
 from zone_world import ZoneWorld
 
-# As fast as the stand-in workers report; a lease is as many reports as elsewhere.
+# Intervals of the stand-in workers; a lease is as many heartbeat intervals as elsewhere.
 FAST = {"report_s": 0.6, "lease_s": 4.0, "gang_wait_s": 15.0, "gang_peer_s": 2.0, "cancel_s": 20.0}
 POLICY = ENTRIES | {"return_after_s": 1.0, "step_s": 1.5, "probe_after_s": 3.0}
 MACHINES = 4  # in each zone
-WITHIN_S = 60.0  # for whatever is waited for
+TIMEOUT_S = 60.0
 
 JOBS = [
     spec("req-1", urgency="idle", task_count=60, vcpus=1.0, estimated_run_s=6.0),
@@ -34,7 +34,7 @@
 
 
 class LocalZones(ZoneWorld, LocalWorld):
-    """A local set-up's stand-ins, of which a zone can be lost."""
+    """The stand-ins of a local set-up, with zones that can be lost."""
 
     def __init__(self, addresses: list[str]) -> None:
         LocalWorld.__init__(self, addresses)
@@ -42,8 +42,8 @@
         self.watch_zones(MACHINES)
 
     async def request(self, method: str, path: str, body: Any = None) -> Answer:
-        """Ask the controllers in turn until one decides."""
-        end = self.now() + WITHIN_S
+        """Send a request to the controllers in turn until one answers 200 or 201."""
+        end = self.now() + TIMEOUT_S
         while self.now() < end:
             for caller in self.callers:
                 try:
@@ -53,11 +53,11 @@
                 if answer.status in (200, 201):
                     return answer
             await asyncio.sleep(0.3)
-        raise AssertionError(f"{method} {path}: nobody decides")
+        raise AssertionError(f"{method} {path}: no controller answered 200 or 201")
 
     async def until_zone(self, *states: str) -> None:
-        """Until the leader says so of the south."""
-        end = self.now() + WITHIN_S
+        """Wait until the overview shows the south in one of the states."""
+        end = self.now() + TIMEOUT_S
         while self.now() < end:
             zones = (await self.request("GET", "/overview")).body["zones"]
             if any(zone["name"] == "south" and zone["state"] in states for zone in zones):
@@ -66,8 +66,8 @@
         raise AssertionError(f"the south was never {states}: {zones}")
 
     async def until_done(self, jobs: list[Submission]) -> None:
-        """Until users are told so of all jobs."""
-        end = self.now() + WITHIN_S
+        """Wait until all jobs are reported as done."""
+        end = self.now() + TIMEOUT_S
         left = {one.job_id for one in jobs}
         while left and self.now() < end:
             for job_id in sorted(left):
@@ -84,7 +84,7 @@
     entries = [f"{k} = {str(v).lower()}" for k, v in POLICY.items()]
     policy.write_text("\n".join(["[zone_recovery]", *entries]) + "\n")
 
-    async def day() -> tuple[LocalZones, float]:
+    async def scenario() -> tuple[LocalZones, float]:
         areas = ("north", "north", "south")
         with LocalSetup(3, areas, policy, LocalZones) as local:
             world = local.world
@@ -102,8 +102,7 @@
             await asyncio.sleep(2.0)
             world.return_machines("south", MACHINES)
             local.start(2)
-            # Machines are provisioned in a lost zone, to see whether it is back, where work asks
-            # for it.
+            # A lost zone is probed with new machines only while work needs the zone.
             late = spec("req-5", task_count=60, vcpus=1.0, estimated_run_s=4.0, zone="south")
             await world.request("POST", "/work", given(late))
             await world.until_zone("recovering", "available")
@@ -113,13 +112,13 @@
             assert all(process.poll() is None for process in processes), "no controller has ended"
             return world, lost_at
 
-    async def whole_day() -> tuple[LocalZones, float]:
+    async def scenario_with_cleanup() -> tuple[LocalZones, float]:
         try:
-            return await day()
+            return await scenario()
         finally:
             await end_other_tasks()
 
-    world, lost_at = asyncio.run(whole_day())
+    world, lost_at = asyncio.run(scenario_with_cleanup())
     order = [row for row in world.history.placements if row[0] >= lost_at]
     assert world.broken == [] and world.history.broken == []
     assert {zone for _, _, zone in order} == {"north", "south"}
