--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -158,7 +158,7 @@
             silent = ledger.failover.unreconciled_machines()
             if ledger.shared_silence is not None:
                 # Machines behind a partition of their zone are likely healthy.
-                silent = [m for m in silent if not ledger.shared_silence.behind_cut(m)]
+                silent = [m for m in silent if not ledger.shared_silence.is_partitioned(m)]
             if len(silent) <= tolerated:
                 self.silent_to_terminate = {machine.name for machine in silent}
 
@@ -233,9 +233,9 @@
         return False
     links = machine.links
     return (
-        shared_silence.behind_cut(machine)
+        shared_silence.is_partitioned(machine)
         or links.last_received_at >= now - lease_s
-        or links.commands_at >= max(links.command_failed_at, now - lease_s)
+        or links.command_confirmed_at >= max(links.command_failed_at, now - lease_s)
     )
 
 
--- a/src/salthead/cluster/silence_hooks.py
+++ b/src/salthead/cluster/silence_hooks.py
@@ -29,5 +29,5 @@
     def sweep(self, now: float) -> None:
         """Detect the current partitions."""
 
-    def behind_cut(self, machine: Machine) -> bool:
+    def is_partitioned(self, machine: Machine) -> bool:
         """Return whether the last sweep found the machine silent together with others."""
--- a/src/salthead/controller/connectivity.py
+++ b/src/salthead/controller/connectivity.py
@@ -94,7 +94,7 @@
         latest = islice(reversed(self.heartbeats.values()), MAX_REPORTED_HEARTBEATS)
         return ConnectivityReport(count, silence_s, [received.heartbeat for received in latest])
 
-    def refused_alone(self) -> bool:
+    def refused_by_state_service(self) -> bool:
         """Return whether the state service answers a peer but not this controller.
 
         This controller can then accept no jobs.
--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -125,7 +125,7 @@
         return (
             bool(self.machine_types)
             and not self.connectivity.cut_off()
-            and not self.connectivity.refused_alone()
+            and not self.connectivity.refused_by_state_service()
         )
 
     async def lead(self, elected: ElectedTerm) -> None:
@@ -140,7 +140,7 @@
         )
         clock = leader_lease.LeaseClock(elected.ttl)
         term = Term(self, elected.fencing_token, elected.revision, elected.lease_id, clock)
-        term.clock.renewed(elected.lease_sent_at)
+        term.clock.record_renewal(elected.lease_sent_at)
         self.leader_view.term = term
         metrics.LEADING.set(1)
         metrics.FENCING_TOKEN.set(elected.fencing_token)
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -209,7 +209,7 @@
         The state service may refuse this controller alone. Writes are conditional on the job's id,
         so that it is accepted only once even if several controllers try.
         """
-        if self.connectivity.refused_alone():
+        if self.connectivity.refused_by_state_service():
             for peer in self.context.peers.values():
                 if (result := await self._forward_to(peer, job)) is not None:
                     return result
--- a/src/salthead/failure_detection/blocked_actions.py
+++ b/src/salthead/failure_detection/blocked_actions.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.rows: dict[tuple[Action, int], BlockedAction] = {}
 
-    def note(self, action: Action, missing_preconditions: int, now: float) -> None:
+    def record(self, action: Action, missing_preconditions: int, now: float) -> None:
         """Count an action that was blocked; the missing preconditions are given as bits."""
         row = self.rows.setdefault((action, missing_preconditions), BlockedAction(first_at=now))
         row.count += 1
--- a/src/salthead/failure_detection/link_diagnosis.py
+++ b/src/salthead/failure_detection/link_diagnosis.py
@@ -49,7 +49,8 @@
         responses_arrive = machine.unresponsive_since is None and not links.unaccepted_answers
         return LinkState.BOTH_WAYS if responses_arrive else LinkState.HEARTBEATS_ONLY
     commands_arrive = (
-        links.commands_at > links.command_failed_at and now - links.commands_at <= fresh_s
+        links.command_confirmed_at > links.command_failed_at
+        and now - links.command_confirmed_at <= fresh_s
     )
     return LinkState.COMMANDS_ONLY if commands_arrive else LinkState.SILENT
 
@@ -67,7 +68,7 @@
         counts[group][state] += 1
         if state is not LinkState.BOTH_WAYS:
             confirmed_at = max(
-                machine.last_heartbeat_at, machine.links.answers_at, machine.provisioned_at
+                machine.last_heartbeat_at, machine.links.answer_confirmed_at, machine.provisioned_at
             )
             failing_s[group] = max(failing_s[group], now - confirmed_at)
     return [
--- a/src/salthead/failure_detection/links.py
+++ b/src/salthead/failure_detection/links.py
@@ -16,14 +16,17 @@
 class WorkerLinks:
     """Evidence for the link to one worker; times are seconds of this controller's monotonic clock.
 
-    ``answers_at`` and ``commands_at`` are the times when the confirmed message was sent. The time
-    when a heartbeat was sent is known only to its worker, so ``last_received_at`` is its arrival.
+    ``answer_confirmed_at`` and ``command_confirmed_at`` are the times when the confirmed message
+    was sent. The time when a heartbeat was sent is known only to its worker, so
+    ``last_received_at`` is its arrival.
     """
 
     # Arrival of the latest heartbeat that was newer than every acknowledged one.
     last_received_at: float = -math.inf
-    answers_at: float = -math.inf  # sending of the latest answer that was certainly accepted
-    commands_at: float = -math.inf  # sending of the latest direct call that was answered
+    answer_confirmed_at: float = (
+        -math.inf
+    )  # sending of the latest answer that was certainly accepted
+    command_confirmed_at: float = -math.inf  # sending of the latest direct call that was answered
     command_failed_at: float = -math.inf  # sending of the latest direct call that was not
     unaccepted_answers: int = 0  # consecutive answers that were certainly not accepted
     # The newest heartbeat that was acknowledged under this term's token, and when.
@@ -61,11 +64,11 @@
             and incarnation == self.acknowledged_incarnation
             and sequence == self.acknowledged_sequence + 1
         ):
-            self.answers_at = self.acknowledged_at
+            self.answer_confirmed_at = self.acknowledged_at
             self.unaccepted_answers = 0
         return False
 
-    def turned_away(
+    def redirected_heartbeat_received(
         self, incarnation: int, sequence: int, shows_fencing_token: bool, now: float
     ) -> bool:
         """Record a heartbeat that another controller received; return whether an answer was lost.
@@ -96,7 +99,7 @@
 
     def command_answered(self, sent_at: float) -> None:
         """Record that the direct call sent at ``sent_at`` was answered."""
-        self.commands_at = max(self.commands_at, sent_at)
+        self.command_confirmed_at = max(self.command_confirmed_at, sent_at)
         self.unaccepted_answers = 0
 
     def command_failed(self, sent_at: float) -> None:
@@ -105,4 +108,4 @@
 
     def unreachable(self) -> bool:
         """Return whether, by the latest evidence, neither answers nor direct calls arrive."""
-        return self.unaccepted_answers > 0 and self.command_failed_at > self.commands_at
+        return self.unaccepted_answers > 0 and self.command_failed_at > self.command_confirmed_at
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -63,7 +63,7 @@
         )
         self.swept_at = now
         self.partitioned = BitMap()  # silent machines of partitioned groups, by the last sweep
-        self.cut_since: dict[str, float] = {}  # start times of partitions, by group
+        self.partitioned_since: dict[str, float] = {}  # start times of partitions, by group
         # Zones without recent heartbeats while other zones have some.
         self.silent_zones: set[int] = set()
 
@@ -101,14 +101,14 @@
                 self.partitioned |= group.silent
                 partitioned_groups.add(group.name)
         self._update_silent_zones()
-        for name in partitioned_groups - self.cut_since.keys():
+        for name in partitioned_groups - self.partitioned_since.keys():
             event(log, "cut_suspected", group=name)
-            self.cut_since[name] = now
-        for name in self.cut_since.keys() - partitioned_groups:
+            self.partitioned_since[name] = now
+        for name in self.partitioned_since.keys() - partitioned_groups:
             event(log, "cut_over", group=name)
-            del self.cut_since[name]
+            del self.partitioned_since[name]
 
-    def behind_cut(self, machine: Machine) -> bool:
+    def is_partitioned(self, machine: Machine) -> bool:
         """Return whether the last sweep attributed the machine's silence to a partition."""
         return machine.index in self.partitioned
 
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -58,7 +58,7 @@
         # heartbeats at 570 machines.
         links = machine.links
         if heartbeat.sequence == links.acknowledged_sequence + 1 and ledger.other_controllers:
-            links.answers_at = links.acknowledged_at
+            links.answer_confirmed_at = links.acknowledged_at
             links.unaccepted_answers = 0
         links.acknowledged_incarnation = heartbeat.incarnation
         links.acknowledged_sequence = machine.sequence = heartbeat.sequence
@@ -86,7 +86,7 @@
     held = _acknowledgement_preconditions(ledger, machine, heartbeat, current or direct, now)
     missing = missing_preconditions(Action.ACKNOWLEDGE_HEARTBEAT, held)
     if missing:
-        ledger.blocked_actions.note(Action.ACKNOWLEDGE_HEARTBEAT, missing, now)
+        ledger.blocked_actions.record(Action.ACKNOWLEDGE_HEARTBEAT, missing, now)
         return None
     if machine is None:
         if not current or not ledger.loaded:
@@ -172,7 +172,7 @@
     machine = ledger.machines.get(worker)
     if machine is None:
         return
-    lost = machine.links.turned_away(*heartbeat_id, shows_fencing_token, now)
+    lost = machine.links.redirected_heartbeat_received(*heartbeat_id, shows_fencing_token, now)
     if lost and not shows_fencing_token and not machine.reconciled:
         machine.acknowledged_at = -math.inf
 
--- a/src/salthead/leader/context.py
+++ b/src/salthead/leader/context.py
@@ -45,7 +45,7 @@
         """
         missing = missing_preconditions(action, self.ledger.confirmed_preconditions() | confirmed)
         if missing:
-            self.ledger.blocked_actions.note(action, missing, self.now())
+            self.ledger.blocked_actions.record(action, missing, self.now())
         return not missing
 
     async def transaction(
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -11,7 +11,7 @@
 from salthead.failure_detection.preconditions import Action, Precondition
 from salthead.leader.context import TermContext
 from salthead.leader.peer_calls import ask_connectivity, ask_to_withhold_vote
-from salthead.leases.leader_lease import stickiness_s
+from salthead.leases.leader_lease import vote_withheld_duration_s
 from salthead.state_store.client import RETRYABLE_ERRORS, LeaseExpiredError
 from salthead.transport.client import HttpClient
 
@@ -55,7 +55,7 @@
             sent = self.context.now()
             try:
                 await self.context.state_store.renew_lease(self.context.lease_id, timeout=ttl / 4)
-                self.context.lease_clock.renewed(sent)
+                self.context.lease_clock.record_renewal(sent)
                 self.renewal_failed = False
                 await asyncio.sleep(ttl / 5)
             except LeaseExpiredError:
@@ -82,7 +82,7 @@
     async def stickiness_loop(self) -> None:
         """Ask all peers to promise not to campaign, as long as renewals of the lease fail."""
         peers = self.peers
-        interval_s = stickiness_s(self.context.lease_clock.ttl) / 5
+        interval_s = vote_withheld_duration_s(self.context.lease_clock.ttl) / 5
         while True:
             await asyncio.sleep(interval_s)
             if not peers or len(peers) + 1 < self.context.limits.initial_size:
@@ -97,7 +97,7 @@
                     for peer in peers.values()
                 )
             )
-            withheld_by_all = all(promises) and self.context.lease_clock.votes_withheld_by_all(
+            withheld_by_all = all(promises) and self.context.lease_clock.extend_by_withheld_votes(
                 sent, self.context.now()
             )
             if withheld_by_all != self.votes_withheld:
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -133,7 +133,7 @@
             blocked_actions=self._blocked_action_rows(now),
             cuts=[
                 CutRow(name, round(now - since, 1))
-                for name, since in self.silence.cut_since.items()
+                for name, since in self.silence.partitioned_since.items()
             ],
         )
 
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -225,7 +225,7 @@
                 if (error := task.exception()) is not None:
                     error_event(log, "term_failed", error, fencing_token=self.fencing_token)
         finally:
-            self.clock.drop()
+            self.clock.invalidate()
             for task in [*tasks, *self.background.tasks]:
                 task.cancel()
             await asyncio.gather(*tasks, *self.background.tasks, return_exceptions=True)
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from salthead.leader.context import TermContext
-from salthead.leases.zone_leases import counted_until
+from salthead.leases.zone_leases import delegation_end_for_leader
 from salthead.state_store import records
 from salthead.state_store.client import (
     RETRYABLE_ERRORS,
@@ -66,7 +66,7 @@
             # Counting requests without a grant delayed each failover by a third of a lease.
             members &= {key.removeprefix(records.DELEGATIONS) for key in grants}
         if members:
-            context.ledger.leases.counted_from = counted_until(
+            context.ledger.leases.counted_from = delegation_end_for_leader(
                 context.now(), context.lease_clock.ttl
             )
 
@@ -100,7 +100,7 @@
             return  # A delegated zone would delay the failover for as long as the partition lasts.
         # The ledger counts the delegation before it is written, so that its assumed end is never
         # too early, whatever the result of the write.
-        until = counted_until(context.now(), context.lease_clock.ttl)
+        until = delegation_end_for_leader(context.now(), context.lease_clock.ttl)
         if context.ledger.leases.delegate_zone(str(request.get("area")), until):
             delegation = {"token": context.fencing_token, "nonce": request.get("nonce")}
             await context.transaction(
--- a/src/salthead/leases/leader_lease.py
+++ b/src/salthead/leases/leader_lease.py
@@ -48,7 +48,7 @@
     return cancel_s - certainly_expired_at(0.0, lease_s) * 2.0
 
 
-def stickiness_s(ttl: float) -> float:
+def vote_withheld_duration_s(ttl: float) -> float:
     """Return for how long a peer withholds its vote on one request, in seconds.
 
     The leader repeats the request several times within this period.
@@ -69,11 +69,11 @@
         self.lease_valid_until = -math.inf
         self.votes_withheld_until = -math.inf
 
-    def renewed(self, sent: float) -> None:
+    def record_renewal(self, sent: float) -> None:
         """Extend the lease after a renewal by a request sent at ``sent``."""
         self.lease_valid_until = max(self.lease_valid_until, valid_until(sent, self.ttl))
 
-    def votes_withheld_by_all(self, sent: float, now: float) -> bool:
+    def extend_by_withheld_votes(self, sent: float, now: float) -> bool:
         """Extend the term by the votes that all peers withhold on a request sent at ``sent``.
 
         Return False, and extend nothing, if the leader may not act any more at ``now``.
@@ -81,7 +81,7 @@
         if not self.valid(now):
             return False
         self.votes_withheld_until = max(
-            self.votes_withheld_until, valid_until(sent, stickiness_s(self.ttl))
+            self.votes_withheld_until, valid_until(sent, vote_withheld_duration_s(self.ttl))
         )
         return True
 
@@ -89,7 +89,7 @@
         """Return whether the leader may act, on its lease or on its peers' withheld votes."""
         return now < self.lease_valid_until or now < self.votes_withheld_until
 
-    def drop(self) -> None:
+    def invalidate(self) -> None:
         """Give up the lease and the withheld votes at once."""
         self.lease_valid_until = self.votes_withheld_until = -math.inf
 
@@ -102,7 +102,7 @@
     """
 
     def __init__(self, ttl: float, started: float) -> None:
-        self.duration_s = stickiness_s(ttl) * (1.0 + MAX_CLOCK_DRIFT) + 0.1
+        self.duration_s = vote_withheld_duration_s(ttl) * (1.0 + MAX_CLOCK_DRIFT) + 0.1
         # An earlier process of this member may have withheld its vote just before it ended.
         self.earlier_withheld_until = started + self.duration_s
         self.withheld_until = -math.inf
--- a/src/salthead/leases/zone_leases.py
+++ b/src/salthead/leases/zone_leases.py
@@ -17,7 +17,7 @@
 from salthead.leases.redirects import RedirectHistory
 
 
-def counted_until(seen: float, ttl: float) -> float:
+def delegation_end_for_leader(seen: float, ttl: float) -> float:
     """Return the end of a delegation whose request the leader saw at ``seen``, as it counts it.
 
     The delegate counts from before it wrote the request and stops early; this bound errs late.
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -93,11 +93,11 @@
     led = ready(initial_size=3)
     links = machine(led, "m1").links
     handle_heartbeat(led, heartbeat("m1", 2), 2.0)
-    assert links.answers_at == 0.0, "the one before this report"
+    assert links.answer_confirmed_at == 0.0, "the one before this report"
     handle_heartbeat(led, heartbeat("m1", 4), 4.0)  # it was at another controller in between
-    assert links.answers_at == 0.0
+    assert links.answer_confirmed_at == 0.0
     handle_heartbeat(led, heartbeat("m1", 5), 5.0)
-    assert links.answers_at == 4.0
+    assert links.answer_confirmed_at == 4.0
 
 
 @pytest.mark.parametrize(
@@ -162,7 +162,7 @@
     heard: float, calls: tuple[float, float], unresponsive: bool, expected: LinkState
 ) -> None:
     found = machine(ready(), "m1", heard)
-    found.links.commands_at, found.links.command_failed_at = calls
+    found.links.command_confirmed_at, found.links.command_failed_at = calls
     found.unresponsive_since = 5.0 if unresponsive else None
     assert link_state(found, 10.0, 6.0) is expected
 
@@ -246,7 +246,7 @@
     for name in ("m0", "m1"):
         led.machine_gone(led.machines[name], 14.0)
     silence.sweep(14.0)
-    assert silence.behind_cut(led.machines["m2"])
+    assert silence.is_partitioned(led.machines["m2"])
 
 
 def test_leases_that_end_one_by_one_are_one_cut() -> None:
@@ -391,7 +391,7 @@
         term, before = leader.term, len(world.cloud.hired)
         kind = next(iter(term.ledger.machines.values())).kind
         world.most = world.most_in_zone["north"] = 99
-        term.clock.drop()
+        term.clock.invalidate()
         await term.autoscaler.provision(kind, 1)
         return before, len(world.cloud.hired)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,8 +7,8 @@
     LeaseClock,
     certainly_expired_at,
     leader_ttl,
-    stickiness_s,
     valid_until,
+    vote_withheld_duration_s,
 )
 
 
@@ -36,10 +36,10 @@
 def test_renewals_never_shorten_and_a_drop_ends() -> None:
     clock = LeaseClock(4.0)
     assert not clock.valid(0.0)
-    clock.renewed(10.0)
-    clock.renewed(9.0)  # a late answer to an earlier renewal
+    clock.record_renewal(10.0)
+    clock.record_renewal(9.0)  # a late answer to an earlier renewal
     assert clock.valid(13.5) and not clock.valid(14.0)
-    clock.drop()
+    clock.invalidate()
     assert not clock.valid(10.1)
 
 
@@ -48,26 +48,26 @@
 
     def test_promises_carry_on_from_the_lease_without_a_gap(self) -> None:
         clock = LeaseClock(5.0)
-        clock.renewed(0.0)
-        assert clock.votes_withheld_by_all(4.0, 4.1)
+        clock.record_renewal(0.0)
+        assert clock.extend_by_withheld_votes(4.0, 4.1)
         assert clock.valid(6.5) and not clock.valid(7.0)
-        assert clock.votes_withheld_by_all(6.0, 6.2) and clock.valid(8.5)
+        assert clock.extend_by_withheld_votes(6.0, 6.2) and clock.valid(8.5)
 
     def test_after_a_gap_only_the_lease_counts(self) -> None:
         clock = LeaseClock(5.0)
-        clock.renewed(0.0)
-        assert not clock.votes_withheld_by_all(5.5, 5.6), "a peer may have stood in between"
+        clock.record_renewal(0.0)
+        assert not clock.extend_by_withheld_votes(5.5, 5.6), "a peer may have stood in between"
         assert not clock.valid(5.7)
-        clock.renewed(6.0)
+        clock.record_renewal(6.0)
         assert clock.valid(6.1)
 
     @pytest.mark.parametrize("drift", [-0.0005, 0.0, 0.0005])
     @pytest.mark.parametrize("ttl", [1.0, 3.7, 7.0, 20.0])
     def test_the_leader_stops_before_a_peer_may_stand(self, ttl: float, drift: float) -> None:
         clock, peer = LeaseClock(ttl), LeaderStickiness(ttl, -1e9)
-        clock.renewed(0.0)
+        clock.record_renewal(0.0)
         peer.withhold_vote(0.0)  # received no earlier than it was sent
-        clock.votes_withheld_by_all(0.0, 0.0)
+        clock.extend_by_withheld_votes(0.0, 0.0)
         assert peer.withheld_until * (1 + drift) > clock.votes_withheld_until
 
     @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
             (100.5, False, False, False),  # an earlier process may have votes_withheld_until
             (100.5, True, False, True),  # the leader was that process itself
             (100.5, False, True, True),  # there was never a leader
-            (100.0 + stickiness_s(5.0) + 0.2, False, False, True),
+            (100.0 + vote_withheld_duration_s(5.0) + 0.2, False, False, True),
         ],
     )
     def test_a_process_that_started_may_have_forgotten_a_promise(
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -234,7 +234,7 @@
     )
     controller.machine_types.update({found.name: found for found in FLAVORS})
     term = Term(controller, FENCING_TOKEN, REVISION, LEASE, LeaseClock(1e9))
-    term.clock.renewed(NOW)
+    term.clock.record_renewal(NOW)
     ledger = term.ledger
     ledger.loaded = ledger.ready = True
     controller.leader_view.term, controller.leader_view.member = term, "n0"
--- a/tools/profile_costs.py
+++ b/tools/profile_costs.py
@@ -180,7 +180,7 @@
         self.follower = self._controller("n1", "n0", self.endpoints[1])
         self.follower.leader_view.member = "n0"
         self.term = Term(self.leader, FENCING_TOKEN, 1, 1, LeaseClock(LEASE_S))
-        self.term.clock.renewed(self.leader.now())
+        self.term.clock.record_renewal(self.leader.now())
         self.ledger = self.term.ledger
         fill_ledger(self.ledger, machines, self.leader.now())
         self.leader.leader_view.term, self.leader.leader_view.member = self.term, "n0"
