--- a/src/salthead/controller/job_reader.py
+++ b/src/salthead/controller/job_reader.py
@@ -50,7 +50,7 @@
             row = await self.context.state_store.get(records.dependencies_key(spec.job_id, number))
             if row is None:
                 raise UnansweredError("job record: a part is missing")
-            depends_on += records.dependencies_from(row.value)
+            depends_on += records.decode_dependencies(row.value)
         return msgspec.structs.replace(spec, depends_on=depends_on or None)
 
     async def depends_on_cancelled(
@@ -140,7 +140,7 @@
                 return outcome.phase
             raise InvalidJobError(f"awaits: {job_id} was never accepted")
         if job_id not in self.job_cache.dependencies:
-            self.job_cache.remember_accepted(await self.whole(records.job_from(row.value)))
+            self.job_cache.remember_accepted(await self.whole(records.decode_job(row.value)))
         return None
 
     async def ended(self, job_id: str) -> TerminalOutcome | None:
@@ -148,7 +148,7 @@
         row = await self.context.state_store.get(records.outcome_key(job_id))
         if row is None:
             return None
-        phase, spec = records.outcome_from(row.value)
+        phase, spec = records.decode_outcome(row.value)
         self.job_cache.remember_outcome(job_id, phase, spec.task_count, records.ended_at(row.value))
         return self.job_cache.terminal_outcomes[job_id]
 
@@ -158,7 +158,7 @@
         if row is None:
             outcome = await self.ended(job_id)
             return None if outcome is None else outcome.status(job_id)
-        spec = await self.whole(records.job_from(row.value))
+        spec = await self.whole(records.decode_job(row.value))
         self.job_cache.remember_accepted(spec)
         try:
             cancelled = spec.depends_on is not None and await self.depends_on_cancelled(
--- a/src/salthead/controller/machine_types.py
+++ b/src/salthead/controller/machine_types.py
@@ -50,7 +50,7 @@
 
     async def _read_stored(self) -> list[MachineType]:
         rows, _ = await self.context.state_store.list_prefix(records.MACHINE_TYPE_PARTS)
-        stored = records.machine_types_from({key: row.value for key, row in rows.items()})
+        stored = records.join_machine_types({key: row.value for key, row in rows.items()})
         if stored is None:
             row = await self.context.state_store.get(records.MACHINE_TYPES)
             stored = None if row is None else row.value
--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -9,7 +9,7 @@
 from salthead import metrics
 from salthead.controller.controller import Controller
 from salthead.controller.handlers import ClientHandlers, PeerHandlers
-from salthead.protocol.messages import MAX_BODY
+from salthead.protocol.messages import MAX_BODY_BYTES
 from salthead.scheduling.eligibility import FRESH_HEARTBEAT_INTERVALS
 from salthead.settings import split_endpoint
 from salthead.transport.connections import Connections
@@ -45,7 +45,7 @@
     host, port = split_endpoint(endpoint)
     # The buffer holds a body and what follows it. With all buffers full, as many connections as the
     # platform allows still fit into the memory that it gives.
-    server = LimitedServer(router, max_body_size=MAX_BODY, max_buffer_size=2 * MAX_BODY)
+    server = LimitedServer(router, max_body_size=MAX_BODY_BYTES, max_buffer_size=2 * MAX_BODY_BYTES)
     # Tornado's own time-outs start and cancel two timers per request; a periodic check of all
     # connections does as well.
     server.conn_params.header_timeout = None
--- a/src/salthead/leader/done_task_pages.py
+++ b/src/salthead/leader/done_task_pages.py
@@ -66,20 +66,20 @@
     def put(self, job: Job, changed: Iterable[int]) -> None:
         """Update the items on the pages that hold the changed tasks."""
         layout = self.layout
-        starts: dict[int, None] = dict.fromkeys(layout.start_of(index) for index in changed)
-        written_first: list[str] = []
+        starts: dict[int, None] = dict.fromkeys(layout.item_start(index) for index in changed)
+        prerequisites: list[str] = []
         for start in sorted(starts, reverse=True):
             # The first item of a segment, whose name every version reads, is written after the
             # others: the stored one may still contain all of their tasks.
-            end = min(layout.end_of(start), job.spec.task_count)
+            end = min(layout.item_end(start), job.spec.task_count)
             name = layout.item_name(job.job_id, start)
             first = start % layout.segment_size == 0
             self.pages.set(
                 name,
                 layout.encode(start, (n for n in range(start, end) if job.done[n])),
-                written_first if first else (),
+                prerequisites if first else (),
             )
-            written_first = [] if first else [*written_first, name]
+            prerequisites = [] if first else [*prerequisites, name]
 
     def remove(self, job: Job) -> None:
         """Remove the items of a job that is over from the pages."""
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -13,7 +13,7 @@
 from salthead.protocol import wire_names
 from salthead.protocol.messages import MalformedMessageError, Submission
 from salthead.state_store import records
-from salthead.state_store.client import RETRYABLE_ERRORS, CompactedError, logged_change
+from salthead.state_store.client import RETRYABLE_ERRORS, CompactedError, decode_logged_change
 from salthead.transport.client import UnansweredError
 
 DEPENDENCY_CHECK_INTERVAL_S = 0.2
@@ -82,7 +82,7 @@
         ``continuations`` has the continuation values by key, or is None if they were not read.
         """
         try:
-            spec = records.job_from(value)
+            spec = records.decode_job(value)
             if spec.more:
                 if continuations is None:
                     self.incomplete[spec.job_id] = None
@@ -90,7 +90,7 @@
                 spec.depends_on = (spec.depends_on or []) + [
                     job_id
                     for n in range(spec.more)
-                    for job_id in records.dependencies_from(
+                    for job_id in records.decode_dependencies(
                         continuations.get(records.dependencies_key(spec.job_id, n))
                     )
                 ]
@@ -128,7 +128,7 @@
                     records.JOBS, self.known_epoch, WATCH_TIMEOUT_S
                 )
                 for entry in entries:
-                    change = logged_change(entry)
+                    change = decode_logged_change(entry)
                     if change.key is not None:
                         self.apply_row(change.key, change.value, change.revision)
             except CompactedError:
@@ -174,7 +174,7 @@
         if row is None:
             raise UnansweredError(f"no record of {job_id}")
         if job_id not in self.ledger.jobs:
-            spec = await self.job_lookup.whole(records.job_from(row.value))
+            spec = await self.job_lookup.whole(records.decode_job(row.value))
             self.incomplete.pop(job_id, None)
             self.ledger.add_job(
                 spec, self.now(), accepted_this_term=row.revision > self.context.revision
--- a/src/salthead/leader/orphan_jobs.py
+++ b/src/salthead/leader/orphan_jobs.py
@@ -23,7 +23,7 @@
                 try:
                     row = await self.context.state_store.get(records.outcome_key(job_id))
                     if row is not None:
-                        self.ledger.orphans.identify_job(records.outcome_from(row.value)[1])
+                        self.ledger.orphans.identify_job(records.decode_outcome(row.value)[1])
                 except RETRYABLE_ERRORS as error:
                     self.context.log_throttled("stray task", error)
             await self.context.sleep_with_jitter(CHECK_INTERVAL_S)
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -18,8 +18,8 @@
     CompactedError,
     ConflictError,
     VersionedValue,
+    decode_logged_change,
     delete,
-    logged_change,
     put,
 )
 
@@ -79,7 +79,7 @@
                     records.DELEGATION_REQUESTS, since, WATCH_TIMEOUT_S
                 )
                 for entry in entries:
-                    change = logged_change(entry)
+                    change = decode_logged_change(entry)
                     value = change.value
                     if type(value) is not dict or value.get("token") != self.context.fencing_token:
                         continue
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -16,7 +16,7 @@
 from salthead.protocol import wire_names
 
 T = TypeVar("T")
-MAX_BODY = 64 * 1024  # bytes
+MAX_BODY_BYTES = 64 * 1024
 # No job with an id of another form is ever accepted, so such an id needs no lookup.
 JOB_ID = re.compile(r"req-[0-9]{1,40}\Z")
 
--- a/src/salthead/protocol/validation.py
+++ b/src/salthead/protocol/validation.py
@@ -7,7 +7,7 @@
 
 from salthead.protocol.messages import (
     JOB_ID,
-    MAX_BODY,
+    MAX_BODY_BYTES,
     Heartbeat,
     MalformedMessageError,
     Submission,
@@ -63,7 +63,7 @@
 
     ``forwarded``: another controller sent it and has checked that no required field is missing.
     """
-    if len(body) > MAX_BODY:
+    if len(body) > MAX_BODY_BYTES:
         raise MalformedMessageError("body over 64 KiB")
     fields = decode_map(body)
     if not forwarded:
--- a/src/salthead/state_store/client.py
+++ b/src/salthead/state_store/client.py
@@ -112,7 +112,7 @@
     revision: int = msgspec.field(name="stamp", default=0)
 
 
-def logged_change(entry: Any) -> LoggedChange:
+def decode_logged_change(entry: Any) -> LoggedChange:
     """Decode an entry of the change log; raises MalformedMessageError if it is malformed."""
     return shape(entry, LoggedChange)
 
@@ -254,8 +254,8 @@
     async def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Any], int]:
         """Return the changes of keys with a prefix since an epoch, and the epoch that they reach.
 
-        The entries are not decoded yet; ``logged_change`` decodes one. Raises CompactedError if
-        the change log no longer holds that epoch.
+        The entries are not decoded yet; ``decode_logged_change`` decodes one. Raises CompactedError
+        if the change log no longer holds that epoch.
         """
         answer = await self.watches.call(
             "GET",
--- a/src/salthead/state_store/done_tasks.py
+++ b/src/salthead/state_store/done_tasks.py
@@ -57,12 +57,12 @@
             )
         ]
 
-    def start_of(self, index: int) -> int:
+    def item_start(self, index: int) -> int:
         """Return the first task of the item that a task belongs to."""
         segment = index // self.segment_size * self.segment_size
         return segment + (index - segment) // self.item_size * self.item_size
 
-    def end_of(self, start: int) -> int:
+    def item_end(self, start: int) -> int:
         """Return the task after the last one of the item that begins at ``start``."""
         segment = start // self.segment_size * self.segment_size
         return min(start + self.item_size, segment + self.segment_size)
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -53,7 +53,7 @@
         self.revisions: dict[int, int] = {}
         # By page that items have left: the pages that they moved to, which are written in the same
         # transaction or earlier.
-        self.written_first: dict[int, set[int]] = {}
+        self.prerequisites: dict[int, set[int]] = {}
         self.duplicates: set[str] = set()  # names that were loaded from more than one page
 
     @staticmethod
@@ -112,7 +112,7 @@
         """Mark a page dirty, to be written no earlier than the page that its item moves to."""
         self.dirty.pop(page, None)
         self.dirty[page] = None
-        self.written_first.setdefault(page, set()).add(other)
+        self.prerequisites.setdefault(page, set()).add(other)
 
     def _page_for(self, size: int) -> int:
         page = next((n for n in self.pages if self.sizes[n] + size <= self.max_bytes), -1)
@@ -174,14 +174,14 @@
                 # Pages wait for each other in a cycle. To break it, one is written first, and the
                 # items that move between them are on no stored page until the next write.
                 page = next(iter(self.dirty))
-                self.written_first.pop(page, None)
+                self.prerequisites.pop(page, None)
                 progress = True
         return batch
 
     def _must_wait(self, page: int, batch: Iterable[int]) -> bool:
         """Return whether a page that must be written first is dirty and not in the batch."""
         return any(
-            other in self.dirty and other not in batch for other in self.written_first.get(page, ())
+            other in self.dirty and other not in batch for other in self.prerequisites.get(page, ())
         )
 
     def key(self, page: int) -> str:
@@ -192,11 +192,11 @@
         """Mark the pages of a batch as written; those that have changed since stay dirty."""
         for page, (change_count, items) in batch.items():
             self.revisions[page] = revision if items else 0
-            for others in self.written_first.values():
+            for others in self.prerequisites.values():
                 others.discard(page)
             if self.change_counts[page] == change_count:
                 self.dirty.pop(page, None)
-                self.written_first.pop(page, None)
+                self.prerequisites.pop(page, None)
                 if not items:
                     self.pages.pop(page, None)
                     self.sizes.pop(page, None)
--- a/src/salthead/state_store/records.py
+++ b/src/salthead/state_store/records.py
@@ -56,7 +56,7 @@
     return value
 
 
-def job_from(value: Any) -> Submission:
+def decode_job(value: Any) -> Submission:
     """Decode a job's record; raises MalformedMessageError if it is malformed."""
     return shape(value, Submission)
 
@@ -75,7 +75,7 @@
     return f"{DEPENDENCIES}{job_id}/{n}"
 
 
-def dependencies_from(value: Any) -> list[str]:
+def decode_dependencies(value: Any) -> list[str]:
     """Decode a continued list of dependencies; raises MalformedMessageError if malformed."""
     job_ids = value.get("awaits") if type(value) is dict else None
     if type(job_ids) is not list or not all(type(job_id) is str for job_id in job_ids):
@@ -136,11 +136,11 @@
     return value
 
 
-def outcome_from(value: Any) -> tuple[str, Submission]:
+def decode_outcome(value: Any) -> tuple[str, Submission]:
     """Decode an outcome into phase and job; raises MalformedMessageError if it is malformed."""
     if type(value) is not dict or value.get("phase") not in ("done", "aborted"):
         raise MalformedMessageError("record of an ended job")
-    return value["phase"], job_from(value.get("spec"))
+    return value["phase"], decode_job(value.get("spec"))
 
 
 def ended_at(value: Any) -> float | None:
@@ -171,7 +171,7 @@
     ]
 
 
-def machine_types_from(rows: dict[str, Any]) -> dict[str, Any] | None:
+def join_machine_types(rows: dict[str, Any]) -> dict[str, Any] | None:
     """Join machine types that are split over several values; None if a value is missing.
 
     Raises MalformedMessageError if a value holds no list.
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -7,7 +7,7 @@
 import pytest
 
 from salthead.protocol.messages import (
-    MAX_BODY,
+    MAX_BODY_BYTES,
     Heartbeat,
     ListedMachine,
     MachineList,
@@ -116,7 +116,7 @@
         cbor2.dumps([1]),
         cbor2.dumps({1: 2}),
         cbor2.dumps("x"),
-        cbor2.dumps(GOOD | {"kit": "k" * MAX_BODY}),
+        cbor2.dumps(GOOD | {"kit": "k" * MAX_BODY_BYTES}),
     ],
 )
 def test_what_is_not_a_small_map_is_malformed(body: bytes) -> None:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -29,10 +29,10 @@
 @pytest.mark.parametrize("value", [None, 5, [], {"phase": "queued"}, {"phase": "done"}])
 def test_a_malformed_outcome_is_refused(value: object) -> None:
     with pytest.raises(MalformedMessageError):
-        records.outcome_from(value)
+        records.decode_outcome(value)
 
 
 def test_a_record_reads_back() -> None:
     one = spec(machine_types=["small"], deadline_s=5.0)
     stored = cbor2.loads(cbor2.dumps(records.outcome_value(one, "done")))
-    assert records.outcome_from(stored) == ("done", one)
+    assert records.decode_outcome(stored) == ("done", one)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -33,9 +33,9 @@
 
 
 def test_what_production_wrote_is_read() -> None:
-    one = records.job_from(OLD["job"])
+    one = records.decode_job(OLD["job"])
     assert (one.job_id, one.task_count, one.depends_on, one.more) == ("req-000041", 900, None, 0)
-    phase, ended = records.outcome_from(OLD["over"])
+    phase, ended = records.decode_outcome(OLD["over"])
     assert (phase, ended.team, records.ended_at(OLD["over"])) == ("done", "blue", None)
     assert shape(OLD["flavors"], MachineTypes).machine_types[0].name == "small"
     layout = DoneTaskLayout(OLD["value_kb"], 2.0)
@@ -61,7 +61,7 @@
     size = old.records.part_size(OLD["value_kb"])
     found: list[int] = []
     for base in layout.item_starts(900):
-        end = min(layout.end_of(base), 900)
+        end = min(layout.item_end(base), 900)
         item = layout.encode(base, (n for n in range(base, end) if n in DONE))
         assert len(json.dumps(item)) <= kept_kb * 1024
         job_id, part = old.records.part_from(layout.item_name("req-000041", base))
@@ -77,7 +77,7 @@
     # Read by another size, an item made other tasks done: not_done.
     written, read = DoneTaskLayout(16.0, 2.0), DoneTaskLayout(other_kb, other_kb)
     for base in written.item_starts(900):
-        tasks = [n for n in range(base, min(written.end_of(base), 900)) if n in DONE]
+        tasks = [n for n in range(base, min(written.item_end(base), 900)) if n in DONE]
         item = written.encode(base, tasks)
         assert read.decode(written.item_name("req-1", base), item) == ("req-1", tasks)
         assert read.has_own_size(item) == (read.segment_size == written.segment_size)
@@ -175,9 +175,9 @@
     rows = dict(records.machine_type_rows(types, 2.0))
     assert len(rows) > 2 and "flavors" not in rows, "a part of them would refuse jobs for others"
     assert all(len(json.dumps(value)) <= 2048 for value in rows.values())
-    assert records.machine_types_from(rows) == {"builds": types}
+    assert records.join_machine_types(rows) == {"builds": types}
     for key in rows:
-        assert records.machine_types_from({k: v for k, v in rows.items() if k != key}) is None
+        assert records.join_machine_types({k: v for k, v in rows.items() if k != key}) is None
     with pytest.raises(records.RecordTooLargeError):
         records.machine_type_rows([types[0] | {"paddocks": ["z" * 3000]}], 2.0)
 
@@ -189,7 +189,7 @@
     assert records.job_rows(spec("req-1", job_class="b" * 200, image="k" * 200), 2.0, 4)
     # Accepted while values were larger: its outcome still has to be kept.
     over = records.outcome_value(spec("req-1", job_class=long, image=long), "done", 5.0, 2.0)
-    assert records.fits(over, 2.0) and records.outcome_from(over)[1].team == "blue"
+    assert records.fits(over, 2.0) and records.decode_outcome(over)[1].team == "blue"
     job_ids = [f"req-{n:06d}" for n in range(4000)]
     with pytest.raises(records.RecordTooLargeError, match="4000 jobs need"):
         records.job_rows(spec("req-1", depends_on=job_ids), 2.0, 4)
@@ -352,7 +352,7 @@
             1,
             None,
         )
-        world.specs["req-000041"] = records.job_from(world.state.keys["job/req-000041"][0])
+        world.specs["req-000041"] = records.decode_job(world.state.keys["job/req-000041"][0])
         world.told["req-000041"] = "queued"
         world.done |= {f"req-000041/{n}" for n in DONE}
         await asyncio.sleep(3.0)
