--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -200,7 +200,7 @@
         status = self.controller.job_status.from_term(term, job_id)
         if status is not None:
             return Reply(HTTPStatus.OK, status)
-        return _job_reply(job_id, self.controller.job_reader.read)
+        return _job_reply(job_id, self.controller.job_reader.read_status)
 
     @staticmethod
     def _cancel(term: Term, job_id: str) -> Awaitable[Reply]:
--- a/src/salthead/controller/job_reader.py
+++ b/src/salthead/controller/job_reader.py
@@ -40,7 +40,7 @@
         self.leader_view = leader_view
         self.job_cache = job_cache
 
-    async def whole(self, spec: Submission) -> Submission:
+    async def read_dependencies(self, spec: Submission) -> Submission:
         """Return a job with all its dependencies, including those stored under further keys.
 
         Raises UnansweredError if one of these keys is missing.
@@ -130,20 +130,22 @@
         never accepted.
         """
         if row is None:
-            if (outcome := await self.ended(job_id)) is not None:
+            if (outcome := await self.read_outcome(job_id)) is not None:
                 return outcome.phase
             if job_id in self.job_cache.dependencies:
                 return None
             row = await self.context.state_store.get(records.job_key(job_id))
         if row is None:  # it has ended since the first read, or was never accepted
-            if (outcome := await self.ended(job_id)) is not None:
+            if (outcome := await self.read_outcome(job_id)) is not None:
                 return outcome.phase
             raise InvalidJobError(f"awaits: {job_id} was never accepted")
         if job_id not in self.job_cache.dependencies:
-            self.job_cache.remember_accepted(await self.whole(records.decode_job(row.value)))
+            self.job_cache.remember_accepted(
+                await self.read_dependencies(records.decode_job(row.value))
+            )
         return None
 
-    async def ended(self, job_id: str) -> TerminalOutcome | None:
+    async def read_outcome(self, job_id: str) -> TerminalOutcome | None:
         """Read and cache the outcome of a job; None if it has none."""
         row = await self.context.state_store.get(records.outcome_key(job_id))
         if row is None:
@@ -152,13 +154,13 @@
         self.job_cache.remember_outcome(job_id, phase, spec.task_count, records.ended_at(row.value))
         return self.job_cache.terminal_outcomes[job_id]
 
-    async def read(self, job_id: str) -> JobStatus | None:
+    async def read_status(self, job_id: str) -> JobStatus | None:
         """Return a job's status by a consistent read; None if the job was never accepted."""
         row = await self.context.state_store.get(records.job_key(job_id))
         if row is None:
-            outcome = await self.ended(job_id)
+            outcome = await self.read_outcome(job_id)
             return None if outcome is None else outcome.status(job_id)
-        spec = await self.whole(records.decode_job(row.value))
+        spec = await self.read_dependencies(records.decode_job(row.value))
         self.job_cache.remember_accepted(spec)
         try:
             cancelled = spec.depends_on is not None and await self.depends_on_cancelled(
--- a/src/salthead/controller/job_status.py
+++ b/src/salthead/controller/job_status.py
@@ -69,7 +69,7 @@
 
     async def as_leader(self, term: Term, job_id: str) -> JobStatus | None:
         """Return a job's status at the leader; None if the job was never accepted."""
-        return self.from_term(term, job_id) or await self.job_reader.read(job_id)
+        return self.from_term(term, job_id) or await self.job_reader.read_status(job_id)
 
     async def poll(self, job_id: str) -> JobStatus | None:
         """Return a job's status; None if the job was never accepted."""
@@ -78,7 +78,7 @@
             status = await self.leader_calls.job_status(
                 wire_names.PEER_STATUS_PATH, job_id, STATUS_TIMEOUT_S
             )
-        return status if status is not None else await self.job_reader.read(job_id)
+        return status if status is not None else await self.job_reader.read_status(job_id)
 
     async def cancel(self, job_id: str) -> JobStatus | None:
         """Cancel a job and return its status; None if the job was never accepted.
@@ -98,7 +98,7 @@
         if status is not None:
             return status
         # Without the leader, only a job that has ended or was never accepted has a certain answer.
-        status = await self.job_reader.read(job_id)
+        status = await self.job_reader.read_status(job_id)
         if status is None or status.is_terminal:
             return status
         raise UnavailableError("no leader")
--- a/src/salthead/controller/machine_types.py
+++ b/src/salthead/controller/machine_types.py
@@ -65,4 +65,4 @@
         term = self.leader_view.term
         if term is not None:
             term.ledger.set_machine_types(machine_types)
-            term.wake()
+            term.request_scheduling_pass()
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -87,7 +87,7 @@
             rows, dependency_cancelled = await self._build_records(job)
         except InvalidJobError:
             # A retry of an accepted job must not be refused, even if its checks fail by now.
-            if (status := await self.job_reader.read(job.job_id)) is not None:
+            if (status := await self.job_reader.read_status(job.job_id)) is not None:
                 return SubmissionResult(status, created=False)
             raise
         try:
@@ -100,7 +100,7 @@
                 raise
             return await self._forward(job)
         except ConflictError:
-            status = await self.job_reader.read(job.job_id)
+            status = await self.job_reader.read_status(job.job_id)
             if status is None:
                 raise UnavailableError("in doubt") from None
             return SubmissionResult(status, created=False)
--- a/src/salthead/leader/cancellation.py
+++ b/src/salthead/leader/cancellation.py
@@ -37,7 +37,7 @@
         """
         job = self.ledger.jobs.get(job_id) if self.ledger.loaded else None
         if job is None:
-            status = await self.job_lookup.read(job_id)
+            status = await self.job_lookup.read_status(job_id)
             if status is None or status.is_terminal:
                 return status
             job = await self._load_job(job_id)
--- a/src/salthead/leader/controller_interface.py
+++ b/src/salthead/leader/controller_interface.py
@@ -20,13 +20,13 @@
 class JobLookup(Protocol):
     """Consistent reads of jobs in the state service."""
 
-    async def ended(self, job_id: str) -> TerminalOutcome | None:
+    async def read_outcome(self, job_id: str) -> TerminalOutcome | None:
         """Return the outcome of a job, or None if it has none."""
 
-    async def whole(self, spec: Submission) -> Submission:
+    async def read_dependencies(self, spec: Submission) -> Submission:
         """Return a job with the dependencies that are stored in continuation values."""
 
-    async def read(self, job_id: str) -> JobStatus | None:
+    async def read_status(self, job_id: str) -> JobStatus | None:
         """Return the status of a job, or None if it was never accepted."""
 
 
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -164,7 +164,7 @@
         unresolved = self.ledger.dependency_graph.unresolved
         outcome = self.terminal_outcomes.get(job_id)
         if outcome is None or (outcome[0] == wire_names.DONE and outcome[2] is None):
-            outcome = await self.job_lookup.ended(job_id)
+            outcome = await self.job_lookup.read_outcome(job_id)
         if outcome is not None:
             self.incomplete.pop(job_id, None)
             if job_id in unresolved:
@@ -174,7 +174,7 @@
         if row is None:
             raise UnansweredError(f"no record of {job_id}")
         if job_id not in self.ledger.jobs:
-            spec = await self.job_lookup.whole(records.decode_job(row.value))
+            spec = await self.job_lookup.read_dependencies(records.decode_job(row.value))
             self.incomplete.pop(job_id, None)
             self.ledger.add_job(
                 spec, self.now(), accepted_this_term=row.revision > self.context.revision
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -202,7 +202,7 @@
         """
         durable_count = 0
         for job in jobs:
-            outcome = await self.job_lookup.ended(job.job_id)
+            outcome = await self.job_lookup.read_outcome(job.job_id)
             if outcome is not None:
                 durable_count += 1
                 self.mark_durable(job, outcome[0], outcome[2])
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -140,7 +140,7 @@
         """Build the components that read and write the records in the state service."""
         context, job_reader = self.context, controller.job_reader
         self.done_tasks = DoneTaskPages(context)
-        self.machine_registry = MachineRegistry(context, self.wake)
+        self.machine_registry = MachineRegistry(context, self.request_scheduling_pass)
         self.save_loop = SaveLoop(context, self.done_tasks)
         self.job_records = JobRecords(
             context,
@@ -179,14 +179,14 @@
             self.background,
             self.fleet_metrics,
             self.plan_requested,
-            self.wake,
+            self.request_scheduling_pass,
         )
 
     def _connect_ledger(self) -> None:
         """Register the callbacks through which the ledger notifies the loops of changes."""
         self.ledger.leader_lease_valid = self.context.valid
         events = self.ledger.events
-        events.changed = self.wake
+        events.changed = self.request_scheduling_pass
         events.completed = self.outcomes.request_write
         events.aborts_pending = self.outcomes.write_requested.set
         events.room_freed = self.scheduling_loop.backfill
@@ -195,7 +195,7 @@
         """Return whether this term may act now."""
         return self.context.valid()
 
-    def wake(self) -> None:
+    def request_scheduling_pass(self) -> None:
         """Request a scheduling pass, after a change that scheduling depends on."""
         self.scheduling_loop.pass_requested.set()
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -72,7 +72,7 @@
         other = others(world, leader)[0]
         controller = world.controllers[other]
         assert controller is not None
-        found = await controller.job_reader.read("req-1")
+        found = await controller.job_reader.read_status("req-1")
         assert found is not None and found.phase == "aborted", "another node confirms it"
         world.hear("req-1", found.phase, world.now())
         await asyncio.sleep(0.5)
@@ -118,7 +118,7 @@
                 # As if the leader had not answered that controller
                 for job_id in ("req-1", "req-2"):
                     began = world.now()
-                    found = await controller.job_reader.read(job_id)
+                    found = await controller.job_reader.read_status(job_id)
                     assert found is not None
                     world.hear(job_id, found.phase, began)
             for job_id in ("req-2", "req-1"):  # what awaits it first: the leader has read neither
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -381,7 +381,7 @@
             return await inner(*args)
 
         world.state.handle = handle  # type: ignore[method-assign]
-        found = await controller.job_reader.read(asked)
+        found = await controller.job_reader.read_status(asked)
         return found, count
 
     found, reads = run(day)
