--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from salthead.cluster.estimates import left_s
+from salthead.cluster.estimates import remaining_run_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import BOOTING, UP, Machine
 from salthead.cluster.resources import EPSILON, MachineKind, Resources
@@ -161,7 +161,9 @@
         if binding.stop_grace_s is not None:
             remaining_s = 0.0
         elif job is not None and binding.started > 0.0:
-            remaining_s = left_s(run_s_by_job.get(job.job_id, math.inf), now - binding.started)
+            remaining_s = remaining_run_s(
+                run_s_by_job.get(job.job_id, math.inf), now - binding.started
+            )
         if remaining_s <= soon_s:
             supply.cpus += binding.request.cpus
             supply.wait_cpu_s += remaining_s * binding.request.cpus
--- a/src/salthead/autoscaling/provision_limits.py
+++ b/src/salthead/autoscaling/provision_limits.py
@@ -62,7 +62,7 @@
         if tasks < 1:
             continue
         if capacity_backoff.allows(kind, now) and max_provision(ledger, kind.zone) > 0:
-            scarce = kind.machine_type in ledger.scarce and not job.constrained
+            scarce = kind.machine_type in ledger.scarce_types and not job.constrained
             candidates.append((scarce, hourly_price(ledger, kind) / tasks, kind))
     candidates.sort()
     return [kind for _, _, kind in candidates]
--- a/src/salthead/autoscaling/queue_demand.py
+++ b/src/salthead/autoscaling/queue_demand.py
@@ -4,7 +4,7 @@
 
 from salthead.autoscaling.fleet_supply import min_boot_s
 from salthead.autoscaling.scale_in import MIN_CHARGE_S
-from salthead.cluster.estimates import left_s
+from salthead.cluster.estimates import remaining_run_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import BOOTING, Job
 from salthead.scheduling import queue_order
@@ -32,11 +32,11 @@
     # The queue is also long just after an array has arrived or while many machines are booting.
     # Machines provisioned for that come up too late, and too many of them are terminated later.
     if work <= boot_s * fleet_cpus or booting > MAX_BOOTING_SHARE * fleet_cpus:
-        ledger.pending.long_since = None
+        ledger.pending.backlog_since = None
         return max(MIN_CHARGE_S, boot_s)
-    if ledger.pending.long_since is None:
-        ledger.pending.long_since = now
-    lasts = now - ledger.pending.long_since >= BACKLOG_BOOTS * boot_s
+    if ledger.pending.backlog_since is None:
+        ledger.pending.backlog_since = now
+    lasts = now - ledger.pending.backlog_since >= BACKLOG_BOOTS * boot_s
     return boot_s if lasts else max(MIN_CHARGE_S, boot_s)
 
 
@@ -65,7 +65,7 @@
     run_s = ledger.run_s(job)
     return max(
         (
-            left_s(run_s, now - binding.started) if binding.started else run_s
+            remaining_run_s(run_s, now - binding.started) if binding.started else run_s
             for binding in job.bindings.values()
         ),
         default=0.0,
--- a/src/salthead/cluster/capacity_index.py
+++ b/src/salthead/cluster/capacity_index.py
@@ -33,7 +33,9 @@
             rows[whole_cpus][machine] = None
         machine.free_whole_cpus = whole_cpus
 
-    def with_room(self, kinds: Iterable[MachineKind], request: Resources) -> Iterable[Machine]:
+    def machines_with_room(
+        self, kinds: Iterable[MachineKind], request: Resources
+    ) -> Iterable[Machine]:
         """Yield the machines of these kinds that the request fits on, in the index's order."""
         for kind in kinds:
             for row in self.free[kind][int(request.cpus) :]:
--- a/src/salthead/cluster/estimates.py
+++ b/src/salthead/cluster/estimates.py
@@ -36,7 +36,7 @@
 OVERDUE_RUN_SHARE = 0.5
 
 
-def left_s(run_s: float, age_s: float) -> float:
+def remaining_run_s(run_s: float, age_s: float) -> float:
     """Return the expected remaining run time of a task that has run for ``age_s`` of ``run_s``.
 
     A task that has exceeded its estimate is not assumed to end soon. When the fleet plan counted on
--- a/src/salthead/cluster/events.py
+++ b/src/salthead/cluster/events.py
@@ -17,4 +17,4 @@
     aborts_pending: Callable[[], None] = lambda: None
     # Places tasks on a machine with freed capacity. Called after a heartbeat's tasks are reconciled
     # and before its answer is built, so that the answer carries the new starts.
-    room_freed: Callable[[Machine, float], None] = lambda machine, now: None
+    capacity_freed: Callable[[Machine, float], None] = lambda machine, now: None
--- a/src/salthead/cluster/job_table.py
+++ b/src/salthead/cluster/job_table.py
@@ -37,7 +37,7 @@
         # Jobs without unfinished dependencies, which scheduling passes and fleet plans consider.
         self.ready_jobs: dict[str, Job] = {}
         # Machine types that were the only fitting ones for some job of this term.
-        self.scarce: set[int] = set()
+        self.scarce_types: set[int] = set()
         self.ended_jobs: dict[str, tuple[int, Resources]] = {}  # team and request by job id
 
     def add(
@@ -54,8 +54,8 @@
             self.arrivals.record_arrival(now)
         fitting_types = self.fitting_types(job)
         if len(fitting_types) == 1 < len(self.registry.machine_types):
-            self.scarce |= fitting_types
-        job.constrained = fitting_types <= self.scarce
+            self.scarce_types |= fitting_types
+        job.constrained = fitting_types <= self.scarce_types
         return job
 
     def _build_job(
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -71,7 +71,7 @@
         self.unloaded_grace_s = unloaded_grace_s(limits.workers.lease_s, limits.workers.cancel_s)
         # Wall clock minus monotonic clock: records hold submission times as wall-clock times, and
         # all other times in the ledger are monotonic.
-        self.wall_ahead = 0.0 if wall is None else wall - now
+        self.wall_clock_offset_s = 0.0 if wall is None else wall - now
         self.loaded = False  # the records of earlier leaders have been read
         self.ready = False  # loaded, and every registered machine is reconciled
         self.newer_fencing_token = 0
@@ -105,7 +105,7 @@
         jobs = self.job_table = JobTable(self.machine_registry, self.team_names, self.events, now)
         self.jobs = jobs.jobs
         self.ready_jobs = jobs.ready_jobs
-        self.scarce = jobs.scarce
+        self.scarce_types = jobs.scarce_types
         self.estimates = jobs.estimates
         self.arrivals = jobs.arrivals
         self.leases = WorkerLeases(self.limits.workers, self.machine_registry, self.jobs, now)
@@ -176,7 +176,7 @@
         interval_s = self.limits.workers.heartbeat_interval_s
         return now - self.term_started_at > LEADER_DISCOVERY_S + interval_s
 
-    def heartbeat_counts(self, now: float) -> tuple[int, int]:
+    def count_responsive_machines(self, now: float) -> tuple[int, int]:
         """Return how many machines that are up have a recent heartbeat, and how many do not."""
         up = [m for m in self.machines.values() if m.phase == UP]
         overdue_at = now - OVERDUE_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
@@ -194,7 +194,7 @@
         known = self.jobs.get(spec.job_id)
         if known is not None:
             return known
-        submitted = min(now, spec.at - self.wall_ahead) if spec.at else now
+        submitted = min(now, spec.at - self.wall_clock_offset_s) if spec.at else now
         job = self.job_table.add(spec, now, submitted, accepted_this_term)
         if job is not None:
             self.dependencies.add_job(job)
@@ -230,7 +230,7 @@
 
         ``at`` is a wall-clock time. It is capped at ``now``, since clocks of controllers differ.
         """
-        ended_at = now if at is None else min(now, at - self.wall_ahead)
+        ended_at = now if at is None else min(now, at - self.wall_clock_offset_s)
         self.dependencies.resolve(job_id, phase, ended_at)
 
     def phase_of(self, job: Job) -> tuple[str, int, int]:
--- a/src/salthead/cluster/machine_health.py
+++ b/src/salthead/cluster/machine_health.py
@@ -51,7 +51,9 @@
     job.error_machines.add(machine.name)
     machine.error_jobs.add(job.job_id)
     machine.error_until = now + min(MAX_ERROR_PAUSE_S, ERROR_PAUSE_STEP_S * len(machine.error_jobs))
-    job.wait_until = max(job.wait_until, now + min(30.0, 1.0 * len(job.error_machines)))
+    job.error_backoff_until = max(
+        job.error_backoff_until, now + min(30.0, 1.0 * len(job.error_machines))
+    )
     failed_jobs = [
         job_id
         for job_id in machine.error_jobs
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -169,7 +169,7 @@
             and allocated.memory_gb + request.memory_gb <= capacity.memory_gb + EPSILON
         )
 
-    def places_for(self, request: Resources) -> float:
+    def fitting_task_count(self, request: Resources) -> float:
         """Return how many tasks with this request fit into the free capacity, with fractions."""
         capacity, allocated = self.capacity, self.allocated
         places = math.inf
@@ -182,7 +182,7 @@
             places = min(places, (free_gb + EPSILON) / request.memory_gb)
         return places
 
-    def fullest(self) -> float:
+    def max_utilization(self) -> float:
         """Return the highest allocated share among CPUs, GPUs and memory."""
         allocated, capacity = self.allocated, self.capacity
         return max(
@@ -191,7 +191,7 @@
             allocated.memory_gb / capacity.memory_gb if capacity.memory_gb > 0 else 0.0,
         )
 
-    def has_image(self, name: str, size_gb: float, cache_gb: float) -> None:
+    def record_image(self, name: str, size_gb: float, cache_gb: float) -> None:
         """Record that the machine has an image; evict the least recently used beyond the cache."""
         self.images[name] = size_gb
         self.images.move_to_end(name)
@@ -230,12 +230,13 @@
     failed: bool = False  # a gang whose attempt has failed, until all its tasks are released
     preempted: bool = False  # a gang that was stopped for other jobs, or to vacate a machine
     terminal_phase: str = ""  # done or aborted, once that is durable
-    wait_until: float = 0.0  # backoff after task errors and refused starts
-    pause_until: float = 0.0  # backoff after a placement without candidates
+    error_backoff_until: float = 0.0  # backoff after task errors and refused starts
+    placement_backoff_until: float = 0.0  # backoff after a placement without candidates
     pause: float = 0.0
     # CPUs and GPUs of its team's quota that are reserved for gangs ahead of it in the queue.
     quota_reserved_ahead: tuple[float, float] = (0.0, 0.0)
-    room_until: float = 0.0  # until when it waits for the capacity that preemption frees for it
+    # Until when it waits for the capacity that preemption frees for it.
+    preemption_wait_until: float = 0.0
     reserved_at: float | None = None  # since when its team's quota is reserved for it
     held_back_since: float | None = None  # since when only reservations for others delay it
     quota_exhausted: bool = False  # its team's quota was used up at the last pass
--- a/src/salthead/cluster/pending_queue.py
+++ b/src/salthead/cluster/pending_queue.py
@@ -14,4 +14,4 @@
     jobs: list[Job] = field(default_factory=list)
     min_cpus: float = 0.0  # smallest request of a task in the queue
     constrained: bool = False  # whether a queued job fits on scarce machine types only
-    long_since: float | None = None  # since when the fleet can't keep up with the queue
+    backlog_since: float | None = None  # since when the fleet can't keep up with the queue
--- a/src/salthead/heartbeats/task_reconciliation.py
+++ b/src/salthead/heartbeats/task_reconciliation.py
@@ -50,7 +50,7 @@
     # heartbeat interval later.
     if machine.has_freed_capacity:
         machine.has_freed_capacity = False
-        ledger.events.room_freed(machine, now)
+        ledger.events.capacity_freed(machine, now)
     if not direct:
         reconciliation.add_starts()
     return reconciliation.commands[:MAX_COMMANDS]
@@ -173,7 +173,7 @@
         if spec is not None and spec.image:
             machine_type = self.ledger.machine_types.get(binding.machine.machine_type)
             cache_gb = machine_type.local_gb if machine_type else 0.0
-            binding.machine.has_image(spec.image, spec.image_gb, cache_gb)
+            binding.machine.record_image(spec.image, spec.image_gb, cache_gb)
 
     def _adopt(self, key: TaskKey, task: TaskStatus) -> Binding | None:
         """Bind a running task that an earlier leader started; return None if it is an orphan."""
@@ -219,7 +219,7 @@
         elif cause in (wire_names.FULL, wire_names.IN_USE, wire_names.UNKNOWN):
             event(log, "start_refused", task=task.task_id, machine=machine.name, cause=cause)
             interval_s = ledger.limits.workers.heartbeat_interval_s
-            job.wait_until = max(job.wait_until, self.now + interval_s)
+            job.error_backoff_until = max(job.error_backoff_until, self.now + interval_s)
         if job.gang and cause == wire_names.HALTED and task.saved:
             # Its checkpoint is saved, and its peers have saved theirs or are about to exit: no work
             # is lost by waiting for them.
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -140,7 +140,7 @@
         while True:
             await self.context.sleep_with_jitter(1.0)
             now = self.context.now()
-            heard, silent = self.context.ledger.heartbeat_counts(now)
+            heard, silent = self.context.ledger.count_responsive_machines(now)
             if silent <= heard or now - self.context.ledger.term_started_at < grace_s + 1.0:
                 continue
             answers = await asyncio.gather(
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -189,7 +189,7 @@
         events.changed = self.request_scheduling_pass
         events.completed = self.outcomes.request_write
         events.aborts_pending = self.outcomes.write_requested.set
-        events.room_freed = self.scheduling_loop.backfill
+        events.capacity_freed = self.scheduling_loop.backfill
 
     def valid(self) -> bool:
         """Return whether this term may act now."""
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -34,7 +34,7 @@
             policy,
             rng,
             now,
-            context.ledger.wall_ahead + now,
+            context.ledger.wall_clock_offset_s + now,
             network_silence(networks),
         )
         context.ledger.zone_hooks = self.recovery
--- a/src/salthead/scheduling/candidate_pools.py
+++ b/src/salthead/scheduling/candidate_pools.py
@@ -17,7 +17,7 @@
     if len(machines) == 1:
         return machines[0]
     first, second = rng.sample(machines, 2)
-    return first if first.fullest() <= second.fullest() else second
+    return first if first.max_utilization() <= second.max_utilization() else second
 
 
 class CandidatePools:
@@ -35,7 +35,7 @@
         self.pools: list[list[Machine]] = [[], [], [], []]
         image = job.spec.image
         for machine in candidates:
-            scarce = not job.constrained and machine.machine_type in ledger.scarce
+            scarce = not job.constrained and machine.machine_type in ledger.scarce_types
             has_image = image and image in machine.images
             pool = (SCARCE_TYPE_BIT if scarce else 0) + (0 if has_image else IMAGE_MISSING_BIT)
             self.pools[pool].append(machine)
--- a/src/salthead/scheduling/eligibility.py
+++ b/src/salthead/scheduling/eligibility.py
@@ -114,9 +114,9 @@
     if quota_left(ledger, job, heed=False) < unplaced:
         return False
     index = ledger.capacity_index
-    for machine in index.with_room(allowed_kinds(job, index.free), job.request):
+    for machine in index.machines_with_room(allowed_kinds(job, index.free), job.request):
         if available(ledger, machine, now):
-            unplaced -= int(machine.places_for(job.request))
+            unplaced -= int(machine.fitting_task_count(job.request))
             if unplaced <= 0:
                 return True
     return False
@@ -150,7 +150,7 @@
     return (
         not ledger.pending.constrained
         or job.constrained
-        or machine.machine_type not in ledger.scarce
+        or machine.machine_type not in ledger.scarce_types
         or queue_order.start_due(ledger, job, now)
     )
 
@@ -184,7 +184,7 @@
     index = ledger.capacity_index
     return [
         machine
-        for machine in index.with_room(allowed_kinds(job, index.free), job.request)
+        for machine in index.machines_with_room(allowed_kinds(job, index.free), job.request)
         if available(ledger, machine, now) and is_open_to(ledger, job, machine, now)
     ]
 
--- a/src/salthead/scheduling/gangs.py
+++ b/src/salthead/scheduling/gangs.py
@@ -10,7 +10,7 @@
 import logging
 from typing import NamedTuple
 
-from salthead.cluster.estimates import left_s
+from salthead.cluster.estimates import remaining_run_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Binding, Job, Machine
 from salthead.cluster.resources import EPSILON
@@ -61,7 +61,7 @@
         0.0 if job is None else ledger.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
     )
     age_s = now - binding.started if binding.started else 0.0
-    return now + left_s(run_s, age_s)
+    return now + remaining_run_s(run_s, age_s)
 
 
 def reserve_machines(ledger: Ledger, unschedulable: list[Job], now: float) -> None:
--- a/src/salthead/scheduling/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -90,7 +90,7 @@
         longest_grace_s = max((save_grace_s(v.job) for v in victims if v.job), default=0.0)
         reserved_until = now + longest_grace_s + RESERVE_HEARTBEAT_INTERVALS * heartbeat_interval_s
         ledger.capacity_index.reserve(machine, job.job_id, reserved_until)
-        job.room_until = max(job.room_until, reserved_until)
+        job.preemption_wait_until = max(job.preemption_wait_until, reserved_until)
         for victim in victims:
             stop_task(ledger, victim, f"room for {job.job_id}")
 
@@ -104,7 +104,9 @@
         if job.quota_exhausted:
             continue
         reserved = (
-            ledger.capacity_index.reserved_machines(job.job_id, now) if now < job.room_until else []
+            ledger.capacity_index.reserved_machines(job.job_id, now)
+            if now < job.preemption_wait_until
+            else []
         )
         if any(heartbeat_overdue(ledger, machine, now) for machine in reserved):
             # If one of the machines that were freed for a gang dies, the others stand idle until
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -79,10 +79,10 @@
         job.quota_reserved_ahead = gang_ahead.size()
     quota_exhausted = _quota_exhausted(ledger, job)
     if job.quota_exhausted and not quota_exhausted:
-        job.pause_until = 0.0
+        job.placement_backoff_until = 0.0
     job.quota_exhausted = quota_exhausted
     # Until the pause ends, only freed capacity could help, and ``backfill`` offers that to the job.
-    if now < max(job.wait_until, job.pause_until):
+    if now < max(job.error_backoff_until, job.placement_backoff_until):
         return False
     if not quota_exhausted:
         schedule_job(ledger, job, rng, now)
@@ -106,7 +106,7 @@
     job.pause = min(
         job.pause * 2 or FIRST_RETRY_PAUSE_S, ledger.limits.workers.heartbeat_interval_s
     )
-    job.pause_until = now + job.pause
+    job.placement_backoff_until = now + job.pause
 
 
 def _quota_exhausted(ledger: Ledger, job: Job) -> bool:
@@ -150,7 +150,7 @@
         if machine.capacity.cpus - machine.allocated.cpus + EPSILON < ledger.pending.min_cpus:
             return
         if (
-            now < job.wait_until
+            now < job.error_backoff_until
             or not machine.fits(job.request)
             or not allows(job, machine)
             or not startable(ledger, job)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -256,7 +256,7 @@
     assert not queue_order.reserves_quota(second, 140.0), "a minute counts from when it could begin"
     # Later terms know it from the record; a clock ahead of ours does not make it younger.
     later = ready(200.0)
-    later.wall_ahead = 1000.0
+    later.wall_clock_offset_s = 1000.0
     job(later, 200.0, job_id="req-2", depends_on=["req-1"], at=1005.0)
     later.resolve_dependency("req-1", wire_names.DONE, 1091.0, 200.0)
     assert later.jobs["req-2"].since == 91.0 and not later.jobs["req-2"].accepted_this_term
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 from helpers import heartbeat, job, machine, ready, verbs
 from salthead.autoscaling import fleet_plan, provision_limits
 from salthead.cluster import machine_health
-from salthead.cluster.estimates import left_s
+from salthead.cluster.estimates import remaining_run_s
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import LOST, Job
 from salthead.cluster.resources import Resources, ResourceUsage
@@ -107,7 +107,7 @@
     led = ready()
     m1 = machine(led, "m1")
     for name in ("a", "b", "a", "c"):
-        m1.has_image(name, 4.0, 10.0)
+        m1.record_image(name, 4.0, 10.0)
     assert list(m1.images) == ["a", "c"]
 
 
@@ -115,12 +115,14 @@
     led = ready()
     one = job(led, task_count=1)
     assert place(led) == [one]
-    assert one.pause_until == led.limits.workers.heartbeat_interval_s, (
+    assert one.placement_backoff_until == led.limits.workers.heartbeat_interval_s, (
         "2 s doubling, capped at a report"
     )
     assert place(led, 1.0) == [], "nothing has changed"
-    assert place(led, 2.0) == [one] and one.pause_until == 4.0
-    led.events.room_freed = lambda m, now: scheduling_pass.backfill(led, m, random.Random(1), now)
+    assert place(led, 2.0) == [one] and one.placement_backoff_until == 4.0
+    led.events.capacity_freed = lambda m, now: scheduling_pass.backfill(
+        led, m, random.Random(1), now
+    )
     led.add_machine("m1", "small", "north", False, 2.5, registered=True)
     assert verbs(handle_heartbeat(led, heartbeat("m1", 1), 2.5)) == [("start", "req-1/0")]
     assert one.bindings and one.pause == 0.0, "room that came ends the pause"
@@ -386,7 +388,7 @@
         silent = sorted(kept)[0]
         for name in set(led.machines) - {silent}:
             led.machines[name].last_heartbeat_at = 5.0
-        one.pause_until = 0.0
+        one.placement_backoff_until = 0.0
         preemption.preempt(led, place(led, 5.0), 5.0)
         assert {m.name for m in led.capacity_index.reserved_machines(one.job_id, 5.0)} == set(
             led.machines
@@ -413,7 +415,7 @@
         kept = [m.name for m in led.machines.values() if m.reserved_for == "req-1"]
         assert kept == ["m0", "m1"], "those that are free first"
         before = dict(late.bindings)
-        led.events.room_freed = lambda m, now: scheduling_pass.backfill(
+        led.events.capacity_freed = lambda m, now: scheduling_pass.backfill(
             led, m, random.Random(1), now
         )
         for name in kept:
@@ -711,7 +713,7 @@
         age_s: float,
         left: float,
     ) -> None:
-        assert left_s(run_s, age_s) == left
+        assert remaining_run_s(run_s, age_s) == left
 
     @pytest.mark.parametrize(("age", "to_provision"), [(10.0, 1), (95.0, 0), (250.0, 1)])
     def test_the_plan_counts_on_room_only_where_it_comes(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -57,7 +57,7 @@
     for n in range(jobs):
         job(led, job_id=f"req-{n}", task_count=machines, vcpus=2.0, estimated_run_s=50.0)
     scheduling_pass.schedule(led, rng, 0.0)
-    led.events.room_freed = lambda m, now: scheduling_pass.backfill(led, m, rng, now)
+    led.events.capacity_freed = lambda m, now: scheduling_pass.backfill(led, m, rng, now)
     assert sum(one.waiting() for one in led.jobs.values()) > machines
     return led
 
@@ -283,7 +283,7 @@
     found_names = [m.name for m in eligibility.candidates(led, one, 1.0)]
     assert len(found_names) == len(set(found_names)) and set(found_names) == expected
     # Two at random from all of them, the emptier one wins: each comes up as often as it should.
-    machines = sorted(eligibility.candidates(led, one, 1.0), key=lambda m: m.fullest())
+    machines = sorted(eligibility.candidates(led, one, 1.0), key=lambda m: m.max_utilization())
     seen = dict.fromkeys(found_names, 0)
     for _ in range(4000):
         seen[candidate_pools.pick_of_two(machines, rng).name] += 1
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_stale_knowledge.py
@@ -33,7 +33,7 @@
     made = Ledger(limits(), 7, 0.0)
     assert CUT_POLICY is not None
     made.shared_silence = SharedSilence(made, CUT_POLICY, 0.0)
-    made.events.room_freed = lambda found, now: scheduling_pass.backfill(made, found, RNG, now)
+    made.events.capacity_freed = lambda found, now: scheduling_pass.backfill(made, found, RNG, now)
     for name, machine_type in MACHINE_REGISTRY:
         made.add_machine(name, machine_type, "north", False, 0.0, registered=True)
     made.loaded = True
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -383,7 +383,7 @@
     led.pending.jobs = [gang, array]
     led.pending.min_cpus = 2.0
     rng = random.Random(1)
-    led.events.room_freed = lambda m, now: scheduling_pass.backfill(led, m, rng, now)
+    led.events.capacity_freed = lambda m, now: scheduling_pass.backfill(led, m, rng, now)
     first = machine(led, "n-new1", zone="north")
     assert first.reserved_for == gang.job_id and not first.bindings
     second = led.add_machine("n-new2", "small", "north", False, 0.0, registered=True)
