--- a/src/salthead/autoscaling/queue_packing.py
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -16,7 +16,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job
 from salthead.cluster.resources import EPSILON, MachineKind
-from salthead.scheduling.eligibility import allowed_kinds, max_tasks_per_zone, zone_counts
+from salthead.scheduling.eligibility import allowed_kinds, max_tasks_per_zone, task_counts_by_zone
 
 
 class QueuePacking:
@@ -38,7 +38,7 @@
         self.now = now
         self.offered = offered_kinds(ledger)
         self.new_slots: list[Slot] = []
-        self.quota_left: dict[int, list[float]] = {
+        self.remaining_quota: dict[int, list[float]] = {
             team: [limit[n] - ledger.usage[team][n] for n in range(2)]
             for team, limit in enumerate(ledger.team_limits)
         }
@@ -75,7 +75,7 @@
 
     def _reserve_quota(self, job: Job, task_count: int) -> int:
         """Reserve the team's quota for tasks of a job, and return the number of places to pack."""
-        left = self.quota_left[job.team]
+        left = self.remaining_quota[job.team]
         places = task_count
         for n in range(2):
             if job.request[n] > 0:
@@ -133,7 +133,7 @@
 
         The cheapest kinds may all be in one zone, where only half of the job may run.
         """
-        tasks_by_zone = zone_counts(job)
+        tasks_by_zone = task_counts_by_zone(job)
         for zone in dict.fromkeys(kind.zone for kind in usable):
             zone_places = max(0, min(places, max_tasks_per_zone(job) - tasks_by_zone.get(zone, 0)))
             unplaced = self._fill_or_provision(
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -120,7 +120,7 @@
         """Return a decision based on the machine's current state."""
         return cls(machine, reason, machine.phase, machine.last_heartbeat_at)
 
-    def holds(self) -> bool:
+    def is_still_valid(self) -> bool:
         """Return whether the evidence for the decision still stands.
 
         A call waits until the cloud's rate limit allows it. Meanwhile a network partition may heal,
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -38,10 +38,10 @@
     )
 
 
-def quota_left(ledger: Ledger, job: Job, heed: bool = True) -> int:
+def remaining_quota(ledger: Ledger, job: Job, respect_reservations: bool = True) -> int:
     """Return how many more tasks of the job its team's limit allows.
 
-    ``heed``: subtract the quota that is reserved for gangs ahead of the job.
+    ``respect_reservations``: subtract the quota that is reserved for gangs ahead of the job.
     """
     if ledger.unknown_jobs:
         return 0  # the team of an orphan task is not known yet
@@ -51,7 +51,12 @@
         if job.request[n] > 0:
             # Tasks of any one team may occupy all machines that are not reconciled.
             silent = 0.0 if ledger.ready else ledger.failover.unreconciled_capacity()[n]
-            free = limit[n] - usage[n] - silent - (job.quota_reserved_ahead[n] if heed else 0.0)
+            free = (
+                limit[n]
+                - usage[n]
+                - silent
+                - (job.quota_reserved_ahead[n] if respect_reservations else 0.0)
+            )
             if free + EPSILON < job.request[n]:
                 return 0  # before the division, which gives NaN for unbounded unreconciled capacity
             task_count = min(task_count, (free + EPSILON) // job.request[n])
--- a/src/salthead/cluster/zone_hooks.py
+++ b/src/salthead/cluster/zone_hooks.py
@@ -32,10 +32,10 @@
     def evacuation_order(self, jobs: list[Job], guaranteed_ids: set[str], now: float) -> list[Job]:
         """Return the queue, reordered while a zone is evacuated."""
 
-    def claim(self, machine: Machine, now: float) -> None:
+    def reserve_for_displaced_gangs(self, machine: Machine, now: float) -> None:
         """Reserve a machine's freed capacity for displaced gangs that may need it."""
 
-    def restarts_whole(self, machine: Machine) -> bool:
+    def must_restart_gang(self, machine: Machine) -> bool:
         """Return whether a gang that lost this machine must restart as a whole, not in part."""
 
     def max_provision(self, zone: int) -> int | None:
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -184,5 +184,5 @@
             self.machine_registry.remove(machine.name)
 
     def _still_justified(self, decision: TerminationDecision) -> bool:
-        confirmed = Precondition.REASON_HOLDS if decision.holds() else Precondition(0)
+        confirmed = Precondition.REASON_HOLDS if decision.is_still_valid() else Precondition(0)
         return self.context.permits(Action.TERMINATE, confirmed)
--- a/src/salthead/leader/scheduling_loop.py
+++ b/src/salthead/leader/scheduling_loop.py
@@ -67,11 +67,11 @@
             scheduling_pass.backfill(self.ledger, machine, self.rng, now)
 
     def sweep(self, now: float) -> None:
-        """Apply expired time limits to all machines, reschedule unsent tasks, and drain."""
+        """Apply expired time limits to all machines, reschedule unsent tasks, and preempt."""
         sweep(self.ledger, now)
         if self.context.permits(Action.SCHEDULE, TASK_NOWHERE):
             placement.reschedule_unsent(self.ledger, self.rng, now)
-            preemption.drain(self.ledger, now)
+            preemption.preempt_before_reclaim(self.ledger, now)
 
     def run_pass(self, now: float) -> None:
         """Run one scheduling pass; preempt and reserve for the jobs that found no machine."""
--- a/src/salthead/scheduling/eligibility.py
+++ b/src/salthead/scheduling/eligibility.py
@@ -7,7 +7,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import UP, Job, Machine
 from salthead.cluster.resources import MachineKind
-from salthead.cluster.start_rules import quota_left
+from salthead.cluster.start_rules import remaining_quota
 from salthead.scheduling import queue_order
 
 # No task starts on a machine whose last heartbeat is older than this many intervals.
@@ -32,7 +32,7 @@
         ("going", machine.terminating or machine.reclaim_at is not None),
         ("failing", now < machine.error_until),
         ("unresponsive", not machine.responsive(now)),
-        ("unheard", not available(ledger, machine, now)),
+        ("unheard", not can_start_tasks(ledger, machine, now)),
     )
     return next((reason for reason, holds in reasons if holds), "")
 
@@ -52,7 +52,7 @@
     ]
 
 
-def allows(job: Job, machine: Machine) -> bool:
+def is_kind_allowed(job: Job, machine: Machine) -> bool:
     """Return whether the job's specification lets it run on machines of this machine's kind.
 
     The conditions are those of ``allowed_kinds``, for one machine. Each heartbeat that frees
@@ -65,7 +65,7 @@
     )
 
 
-def available(ledger: Ledger, machine: Machine, now: float) -> bool:
+def can_start_tasks(ledger: Ledger, machine: Machine, now: float) -> bool:
     """Return whether any task may start on the machine.
 
     It must be up, registered, reconciled and healthy, have sent a heartbeat recently, and not be
@@ -89,9 +89,9 @@
 def heartbeat_overdue(ledger: Ledger, machine: Machine, now: float) -> bool:
     """Return whether the machine's next heartbeat should have arrived by now.
 
-    A machine may have died long before ``available`` excludes it. That filter is enough for a
-    single task, but a gang cannot start if one of its machines is dead, and preemption for a gang
-    then frees the others in vain.
+    A machine may have died long before ``can_start_tasks`` excludes it. That filter is enough
+    for a single task, but a gang cannot start if one of its machines is dead, and preemption for a
+    gang then frees the others in vain.
     """
     return (
         now - machine.last_heartbeat_at
@@ -111,11 +111,11 @@
     Machines that the job avoids after errors, or that a slow start withholds, count as usable.
     """
     unplaced = job.spec.task_count if job.gang else 1
-    if quota_left(ledger, job, heed=False) < unplaced:
+    if remaining_quota(ledger, job, respect_reservations=False) < unplaced:
         return False
     index = ledger.capacity_index
     for machine in index.machines_with_room(allowed_kinds(job, index.free), job.request):
-        if available(ledger, machine, now):
+        if can_start_tasks(ledger, machine, now):
             unplaced -= int(machine.fitting_task_count(job.request))
             if unplaced <= 0:
                 return True
@@ -155,7 +155,7 @@
     )
 
 
-def zone_counts(job: Job) -> dict[int, int]:
+def task_counts_by_zone(job: Job) -> dict[int, int]:
     """Return how many tasks of a job are bound in each zone."""
     counts: dict[int, int] = {}
     for binding in job.bindings.values():
@@ -164,7 +164,7 @@
     return counts
 
 
-def zone_open(job: Job, zone: int, counts: dict[int, int]) -> bool:
+def zone_allows_task(job: Job, zone: int, counts: dict[int, int]) -> bool:
     """Return whether one more task of the job may run in the zone, given its tasks per zone."""
     if job.spec.single_zone and counts and zone not in counts:
         return False
@@ -185,7 +185,7 @@
     return [
         machine
         for machine in index.machines_with_room(allowed_kinds(job, index.free), job.request)
-        if available(ledger, machine, now) and is_open_to(ledger, job, machine, now)
+        if can_start_tasks(ledger, machine, now) and is_open_to(ledger, job, machine, now)
     ]
 
 
@@ -199,5 +199,5 @@
         for kind in allowed_kinds(job, ledger.capacity_index.free)
         for row in ledger.capacity_index.free[kind]
         for machine in row
-        if available(ledger, machine, now) and is_open_to(ledger, job, machine, now)
+        if can_start_tasks(ledger, machine, now) and is_open_to(ledger, job, machine, now)
     ]
--- a/src/salthead/scheduling/gangs.py
+++ b/src/salthead/scheduling/gangs.py
@@ -14,10 +14,10 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Binding, Job, Machine
 from salthead.cluster.resources import EPSILON
-from salthead.cluster.start_rules import quota_left
+from salthead.cluster.start_rules import remaining_quota
 from salthead.event_log import event
 from salthead.scheduling import queue_order
-from salthead.scheduling.eligibility import heartbeat_overdue, suitable_machines, zone_open
+from salthead.scheduling.eligibility import heartbeat_overdue, suitable_machines, zone_allows_task
 
 log = logging.getLogger(__name__)
 
@@ -73,7 +73,7 @@
         not job.gang and job.waiting() for job in ledger.ready_jobs.values()
     )
     for job in unschedulable:
-        if not job.gang or quota_left(ledger, job) < job.spec.task_count:
+        if not job.gang or remaining_quota(ledger, job) < job.spec.task_count:
             continue
         # Reserved capacity is idle, so while arrays wait for capacity, machines are reserved only
         # once the gang is due to start.
@@ -116,7 +116,7 @@
     for machine in machines:
         if len(selected) == job.spec.task_count:
             break
-        if zone_open(job, machine.zone, tasks_by_zone):
+        if zone_allows_task(job, machine.zone, tasks_by_zone):
             selected.append(machine)
             tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
     return selected
--- a/src/salthead/scheduling/placement.py
+++ b/src/salthead/scheduling/placement.py
@@ -8,14 +8,14 @@
 
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import UP, Binding, Job, Machine, ReleaseReason
-from salthead.cluster.start_rules import quota_left, should_still_run
+from salthead.cluster.start_rules import remaining_quota, should_still_run
 from salthead.event_log import event
 from salthead.scheduling.candidate_pools import CandidatePools, pick_of_two
 from salthead.scheduling.eligibility import (
     candidates,
     heartbeat_overdue,
-    zone_counts,
-    zone_open,
+    task_counts_by_zone,
+    zone_allows_task,
 )
 from salthead.scheduling.guarantees import record_attainment
 
@@ -66,7 +66,7 @@
     only: Machine | None = None,
 ) -> int:
     """Bind as many waiting tasks as there are machines and quota for; return how many."""
-    startable_count = min(job.waiting(), quota_left(ledger, job))
+    startable_count = min(job.waiting(), remaining_quota(ledger, job))
     if startable_count <= 0:
         return 0
     machines = candidates(ledger, job, now) if only is None else [only]
@@ -74,7 +74,7 @@
     tasks_by_zone: dict[int, int] = {}
     has_zone_rule = job.spec.single_zone or job.spec.spread_zones
     if has_zone_rule:
-        tasks_by_zone = zone_counts(job)
+        tasks_by_zone = task_counts_by_zone(job)
         _exclude_closed_zones(job, pools, pools.zones(), tasks_by_zone)
     bound = 0
     while bound < startable_count and (machine := pools.pick(rng)) is not None:
@@ -97,14 +97,14 @@
 ) -> None:
     """Drop the machines of zones in which no more tasks of the job may run."""
     for zone in zones:
-        if not zone_open(job, zone, tasks_by_zone):
+        if not zone_allows_task(job, zone, tasks_by_zone):
             pools.exclude_zone(zone)
 
 
 def schedule_gang(ledger: Ledger, job: Job, rng: random.Random, now: float) -> int:
     """Bind all members of a gang or none, and return how many were bound."""
     task_count = job.spec.task_count
-    if quota_left(ledger, job) < task_count:
+    if remaining_quota(ledger, job) < task_count:
         return 0
     machines = [m for m in candidates(ledger, job, now) if not heartbeat_overdue(ledger, m, now)]
     zones: Iterable[int | None] = [None]
@@ -142,7 +142,7 @@
         picked.append(machine)
         if job.spec.spread_zones:
             tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
-            if not zone_open(job, machine.zone, tasks_by_zone):
+            if not zone_allows_task(job, machine.zone, tasks_by_zone):
                 pools.exclude_zone(machine.zone)
     for machine in picked:
         machine.allocated.cpus -= job.request.cpus
@@ -177,18 +177,18 @@
     """Move a gang's member within its attempt to another machine; release any other task."""
     silent_machine = binding.machine
     hooks = ledger.zone_hooks
-    if not job.gang or (hooks is not None and hooks.restarts_whole(silent_machine)):
+    if not job.gang or (hooks is not None and hooks.must_restart_gang(silent_machine)):
         # For a gang, this ends the attempt: members that have started are stopped.
         ledger.allocations.release(binding, now, ReleaseReason.NEVER_SENT)
         return
-    tasks_by_zone = zone_counts(job)
+    tasks_by_zone = task_counts_by_zone(job)
     tasks_by_zone[silent_machine.zone] -= 1
     tasks_by_zone = {zone: count for zone, count in tasks_by_zone.items() if count}
     machines = [
         machine
         for machine in candidates(ledger, job, now)
         if not heartbeat_overdue(ledger, machine, now)
-        and zone_open(job, machine.zone, tasks_by_zone)
+        and zone_allows_task(job, machine.zone, tasks_by_zone)
     ]
     if machines:
         target = pick_of_two(machines, rng)
--- a/src/salthead/scheduling/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -8,7 +8,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import UP, Binding, Job, Machine
 from salthead.cluster.resources import EPSILON
-from salthead.cluster.start_rules import quota_left
+from salthead.cluster.start_rules import remaining_quota
 from salthead.event_log import event
 from salthead.scheduling.eligibility import (
     heartbeat_overdue,
@@ -46,7 +46,7 @@
 
 def preempt_for_job(ledger: Ledger, job: Job, guaranteed_ids: set[str], now: float) -> None:
     """Stop the cheapest victims for the job's waiting tasks, and reserve their machines for it."""
-    task_count = min(job.waiting(), quota_left(ledger, job))
+    task_count = min(job.waiting(), remaining_quota(ledger, job))
     if job.gang and task_count < job.spec.task_count:
         return
     if not could_preempt(ledger, job, guaranteed_ids):
@@ -118,7 +118,7 @@
         preempt_for_job(ledger, job, guaranteed_ids, now)
 
 
-def drain(ledger: Ledger, now: float) -> None:
+def preempt_before_reclaim(ledger: Ledger, now: float) -> None:
     """Stop tasks on machines that are about to be reclaimed, as late as is safe."""
     workers = ledger.limits.workers
     stop_delivery_s = (
--- a/src/salthead/scheduling/preemption_plan.py
+++ b/src/salthead/scheduling/preemption_plan.py
@@ -9,7 +9,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Binding, Job, Machine
 from salthead.cluster.resources import EPSILON, Resources
-from salthead.scheduling.eligibility import zone_counts, zone_open
+from salthead.scheduling.eligibility import task_counts_by_zone, zone_allows_task
 from salthead.scheduling.preemption_rules import lost_cpu_s, may_preempt
 
 # Time from the stop of a task to the next start on its machine, in heartbeat intervals.
@@ -115,13 +115,13 @@
         if (option := room.cheapest_option(position, job.request)) is not None
     ]
     heapq.heapify(options)
-    tasks_by_zone = zone_counts(job)
+    tasks_by_zone = task_counts_by_zone(job)
     plan = PreemptionPlan()
     while options and plan.placed < task_count:
         option = heapq.heappop(options)
         room = rooms[option.position]
         zone = room.machine.zone
-        if not zone_open(job, zone, tasks_by_zone):
+        if not zone_allows_task(job, zone, tasks_by_zone):
             continue
         tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + 1
         room.apply(option, job.request)
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -9,14 +9,14 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
 from salthead.cluster.resources import EPSILON
-from salthead.cluster.start_rules import quota_left, startable
+from salthead.cluster.start_rules import remaining_quota, startable
 from salthead.event_log import event
 from salthead.scheduling import queue_order
 from salthead.scheduling.eligibility import (
-    allows,
-    available,
+    can_start_tasks,
     could_start_without_reservations,
     held_back_too_long,
+    is_kind_allowed,
     is_open_to,
 )
 from salthead.scheduling.guarantees import guaranteed_job_ids, record_attainment
@@ -111,7 +111,7 @@
 
 def _quota_exhausted(ledger: Ledger, job: Job) -> bool:
     """Return whether the team's quota is too small for one more task, or for the whole gang."""
-    return quota_left(ledger, job) < (job.spec.task_count if job.gang else 1)
+    return remaining_quota(ledger, job) < (job.spec.task_count if job.gang else 1)
 
 
 def _log_quota_limit(ledger: Ledger, job: Job, now: float) -> None:
@@ -142,17 +142,17 @@
     These jobs found no candidate elsewhere, so only this machine is tried. A whole pass at every
     exit of a task would cost the number of jobs times the number of machines.
     """
-    if not ledger.loaded or not available(ledger, machine, now):
+    if not ledger.loaded or not can_start_tasks(ledger, machine, now):
         return
     if ledger.zone_hooks is not None:
-        ledger.zone_hooks.claim(machine, now)
+        ledger.zone_hooks.reserve_for_displaced_gangs(machine, now)
     for job in ledger.pending.jobs:
         if machine.capacity.cpus - machine.allocated.cpus + EPSILON < ledger.pending.min_cpus:
             return
         if (
             now < job.error_backoff_until
             or not machine.fits(job.request)
-            or not allows(job, machine)
+            or not is_kind_allowed(job, machine)
             or not startable(ledger, job)
             or not is_open_to(ledger, job, machine, now)
         ):
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -6,10 +6,10 @@
 
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
-from salthead.cluster.start_rules import quota_left
+from salthead.cluster.start_rules import remaining_quota
 from salthead.protocol import wire_names
 from salthead.scheduling import queue_order
-from salthead.scheduling.eligibility import allows, zone_open
+from salthead.scheduling.eligibility import is_kind_allowed, zone_allows_task
 
 # How long a reservation lasts. By then the gang's other machines are up or are reserved for it as
 # they become empty; if not, another gang may use this one.
@@ -62,8 +62,8 @@
 
 def _can_start(ledger: Ledger, job: Job, machine: Machine) -> bool:
     """Return whether a task of the job may start on the machine now."""
-    fits = machine.fits(job.request) and allows(job, machine)
-    return fits and quota_left(ledger, job) > 0
+    fits = machine.fits(job.request) and is_kind_allowed(job, machine)
+    return fits and remaining_quota(ledger, job) > 0
 
 
 def _needs_machine(ledger: Ledger, job: Job, machine: Machine, now: float) -> bool:
@@ -71,10 +71,10 @@
     task_count = job.spec.task_count
     if not job.gang or job.waiting() < task_count or not machine.fits(job.request):
         return False
-    if not allows(job, machine) or quota_left(ledger, job) < task_count:
+    if not is_kind_allowed(job, machine) or remaining_quota(ledger, job) < task_count:
         return False
     reserved = ledger.capacity_index.reserved_machines(job.job_id, now)
     reserved_by_zone: dict[int, int] = {}
     for other in reserved:
         reserved_by_zone[other.zone] = reserved_by_zone.get(other.zone, 0) + 1
-    return len(reserved) < task_count and zone_open(job, machine.zone, reserved_by_zone)
+    return len(reserved) < task_count and zone_allows_task(job, machine.zone, reserved_by_zone)
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -86,13 +86,13 @@
         """Return the queue, sorted by tier while a zone is evacuated."""
         return evacuation.sort_by_tier(jobs, guaranteed_ids, now) if self.evacuating() else jobs
 
-    def claim(self, machine: Machine, now: float) -> None:
+    def reserve_for_displaced_gangs(self, machine: Machine, now: float) -> None:
         """Reserve a machine with free capacity for a displaced gang that needs it."""
         displaced_at = self.displaced_jobs.displaced_at
         if displaced_at:
             evacuation.reserve_for_displaced(self.ledger, displaced_at, machine, now)
 
-    def restarts_whole(self, machine: Machine) -> bool:
+    def must_restart_gang(self, machine: Machine) -> bool:
         """Return whether a gang that lost this machine must restart as a whole.
 
         This applies to all zones that are not available.
--- a/src/salthead/zones/views.py
+++ b/src/salthead/zones/views.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from salthead.cluster.model import Job
-from salthead.scheduling.eligibility import zone_counts, zone_open
+from salthead.scheduling.eligibility import task_counts_by_zone, zone_allows_task
 from salthead.zones.state import OUT_OF_SERVICE, ZonePhase
 
 if TYPE_CHECKING:  # loads the libraries of zone recovery only if the policy enables it
@@ -59,7 +59,7 @@
         if job.zone == zone:
             return f"{name}, and the job may run nowhere else"
         if job.spec.spread_zones:
-            counts = zone_counts(job)
-            if any(not zone_open(job, other, counts) for other in counts):
+            counts = task_counts_by_zone(job)
+            if any(not zone_allows_task(job, other, counts) for other in counts):
                 return f"{name}, and no more of the job may run in another zone"
     return ""
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -276,14 +276,14 @@
     sweep(led, LEASE_S + 1.0)
     assert found.phase == LOST
     lost = TerminationDecision.of(found, LOST_REASON)
-    assert lost.holds() and not idle.holds()
+    assert lost.is_still_valid() and not idle.is_still_valid()
     found.cordoned = True
     handle_heartbeat(led, heartbeat("m1", 1, incarnation=2), LEASE_S + 2.0)
-    assert found.phase == UP and not lost.holds() and not found.cordoned
+    assert found.phase == UP and not lost.is_still_valid() and not found.cordoned
     silent = TerminationDecision.of(found, SILENT_REASON)
-    assert silent.holds()
+    assert silent.is_still_valid()
     handle_heartbeat(led, heartbeat("m1", 2, incarnation=2), LEASE_S + 3.0)
-    assert not silent.holds(), "up as before, and no longer silent"
+    assert not silent.is_still_valid(), "up as before, and no longer silent"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -636,7 +636,7 @@
     handle_heartbeat(
         led, heartbeat("m1", 2, ("req-1/0", attempt, "running"), spot=True, warning_s=left), 1.0
     )
-    preemption.drain(led, 1.0)
+    preemption.preempt_before_reclaim(led, 1.0)
     assert (one.bindings[0].stop_grace_s is not None) == stopped
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -275,8 +275,8 @@
     expected = {
         m.name
         for m in led.machines.values()
-        if eligibility.allows(one, m)
-        and eligibility.available(led, m, 1.0)
+        if eligibility.is_kind_allowed(one, m)
+        and eligibility.can_start_tasks(led, m, 1.0)
         and m.fits(one.request)
         and eligibility.is_open_to(led, one, m, 1.0)
     }
