--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -17,7 +17,7 @@
 from salthead.leader.cloud import CloudClient, ProvisionRequest
 from salthead.leader.context import PAUSE_FACTOR, TermContext
 from salthead.leader.fleet_metrics import FleetMetrics
-from salthead.leader.machine_registry import MachineRegistry
+from salthead.leader.machine_registry_records import MachineRegistryRecords
 from salthead.protocol.messages import MalformedMessageError
 from salthead.state_store.client import RETRYABLE_ERRORS, RequestRefusedError
 from salthead.transport.client import UnansweredError
@@ -38,7 +38,7 @@
         self,
         context: TermContext,
         cloud: CloudClient,
-        machine_registry: MachineRegistry,
+        machine_registry: MachineRegistryRecords,
         background: BackgroundTasks,
         fleet_metrics: FleetMetrics,
         plan_requested: asyncio.Event,
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -8,7 +8,7 @@
 from salthead.leader.context import TermContext
 from salthead.leader.controller_interface import JobLookup, TerminalOutcome
 from salthead.leader.done_task_pages import DoneTaskPages
-from salthead.leader.machine_registry import MachineRegistry
+from salthead.leader.machine_registry_records import MachineRegistryRecords
 from salthead.leader.save_loop import SaveLoop
 from salthead.protocol import wire_names
 from salthead.protocol.messages import MalformedMessageError, Submission
@@ -27,7 +27,7 @@
         self,
         context: TermContext,
         save_loop: SaveLoop,
-        machine_registry: MachineRegistry,
+        machine_registry: MachineRegistryRecords,
         job_lookup: JobLookup,
         terminal_outcomes: Mapping[str, TerminalOutcome],
     ) -> None:
--- a/src/salthead/leader/machine_registry.py
+++ b/src/salthead/leader/machine_registry_records.py
@@ -29,7 +29,7 @@
     endpoint: Any  # Text, or a false value if it is not known.
 
 
-class MachineRegistry:
+class MachineRegistryRecords:
     """The pages of the machine registry, and the loop that writes them."""
 
     def __init__(self, context: TermContext, on_registered: Callable[[], None]) -> None:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -23,7 +23,7 @@
 from salthead.leader.job_records import JobRecords
 from salthead.leader.leadership import Leadership
 from salthead.leader.machine_list import MachineListLoop
-from salthead.leader.machine_registry import MachineRegistry
+from salthead.leader.machine_registry_records import MachineRegistryRecords
 from salthead.leader.machine_type_records import MachineTypeRecords
 from salthead.leader.orphan_jobs import OrphanJobsLoop
 from salthead.leader.outcomes import Outcomes
@@ -140,7 +140,7 @@
         """Build the components that read and write the records in the state service."""
         context, job_reader = self.context, controller.job_reader
         self.done_tasks = DoneTaskPages(context)
-        self.machine_registry = MachineRegistry(context, self.request_scheduling_pass)
+        self.machine_registry = MachineRegistryRecords(context, self.request_scheduling_pass)
         self.save_loop = SaveLoop(context, self.done_tasks)
         self.job_records = JobRecords(
             context,
