--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -23,7 +23,7 @@
 from salthead.leader.job_records import JobRecords
 from salthead.leader.leadership import Leadership
 from salthead.leader.machine_list import MachineListLoop
-from salthead.leader.machine_registry import MachineRegistry
+from salthead.leader.machine_registry_records import MachineRegistryRecords
 from salthead.leader.machine_type_records import MachineTypeRecords
 from salthead.leader.orphan_jobs import OrphanJobsLoop
 from salthead.leader.outcomes import Outcomes
@@ -140,7 +140,7 @@
         """Build the components that read and write the records in the state service."""
         context, job_reader = self.context, controller.job_reader
         self.done_tasks = DoneTaskPages(context)
-        self.machine_registry = MachineRegistry(context, self.wake)
+        self.machine_registry = MachineRegistryRecords(context, self.request_scheduling_pass)
         self.save_loop = SaveLoop(context, self.done_tasks)
         self.job_records = JobRecords(
             context,
@@ -179,23 +179,23 @@
             self.background,
             self.fleet_metrics,
             self.plan_requested,
-            self.wake,
+            self.request_scheduling_pass,
         )
 
     def _connect_ledger(self) -> None:
         """Register the callbacks through which the ledger notifies the loops of changes."""
         self.ledger.leader_lease_valid = self.context.valid
         events = self.ledger.events
-        events.changed = self.wake
+        events.changed = self.request_scheduling_pass
         events.completed = self.outcomes.request_write
         events.aborts_pending = self.outcomes.write_requested.set
-        events.room_freed = self.scheduling_loop.backfill
+        events.capacity_freed = self.scheduling_loop.backfill
 
     def valid(self) -> bool:
         """Return whether this term may act now."""
         return self.context.valid()
 
-    def wake(self) -> None:
+    def request_scheduling_pass(self) -> None:
         """Request a scheduling pass, after a change that scheduling depends on."""
         self.scheduling_loop.pass_requested.set()
 
@@ -225,7 +225,7 @@
                 if (error := task.exception()) is not None:
                     error_event(log, "term_failed", error, fencing_token=self.fencing_token)
         finally:
-            self.clock.drop()
+            self.clock.invalidate()
             for task in [*tasks, *self.background.tasks]:
                 task.cancel()
             await asyncio.gather(*tasks, *self.background.tasks, return_exceptions=True)
--- a/src/salthead/scheduling/preemption.py
+++ b/src/salthead/scheduling/preemption.py
@@ -8,7 +8,7 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import UP, Binding, Job, Machine
 from salthead.cluster.resources import EPSILON
-from salthead.cluster.start_rules import quota_left
+from salthead.cluster.start_rules import remaining_quota
 from salthead.event_log import event
 from salthead.scheduling.eligibility import (
     heartbeat_overdue,
@@ -46,7 +46,7 @@
 
 def preempt_for_job(ledger: Ledger, job: Job, guaranteed_ids: set[str], now: float) -> None:
     """Stop the cheapest victims for the job's waiting tasks, and reserve their machines for it."""
-    task_count = min(job.waiting(), quota_left(ledger, job))
+    task_count = min(job.waiting(), remaining_quota(ledger, job))
     if job.gang and task_count < job.spec.task_count:
         return
     if not could_preempt(ledger, job, guaranteed_ids):
@@ -90,7 +90,7 @@
         longest_grace_s = max((save_grace_s(v.job) for v in victims if v.job), default=0.0)
         reserved_until = now + longest_grace_s + RESERVE_HEARTBEAT_INTERVALS * heartbeat_interval_s
         ledger.capacity_index.reserve(machine, job.job_id, reserved_until)
-        job.room_until = max(job.room_until, reserved_until)
+        job.preemption_wait_until = max(job.preemption_wait_until, reserved_until)
         for victim in victims:
             stop_task(ledger, victim, f"room for {job.job_id}")
 
@@ -104,7 +104,9 @@
         if job.quota_exhausted:
             continue
         reserved = (
-            ledger.capacity_index.reserved_machines(job.job_id, now) if now < job.room_until else []
+            ledger.capacity_index.reserved_machines(job.job_id, now)
+            if now < job.preemption_wait_until
+            else []
         )
         if any(heartbeat_overdue(ledger, machine, now) for machine in reserved):
             # If one of the machines that were freed for a gang dies, the others stand idle until
@@ -116,7 +118,7 @@
         preempt_for_job(ledger, job, guaranteed_ids, now)
 
 
-def drain(ledger: Ledger, now: float) -> None:
+def preempt_before_reclaim(ledger: Ledger, now: float) -> None:
     """Stop tasks on machines that are about to be reclaimed, as late as is safe."""
     workers = ledger.limits.workers
     stop_delivery_s = (
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -9,14 +9,14 @@
 from salthead.cluster.ledger import Ledger
 from salthead.cluster.model import Job, Machine
 from salthead.cluster.resources import EPSILON
-from salthead.cluster.start_rules import quota_left, startable
+from salthead.cluster.start_rules import remaining_quota, startable
 from salthead.event_log import event
 from salthead.scheduling import queue_order
 from salthead.scheduling.eligibility import (
-    allows,
-    available,
+    can_start_tasks,
     could_start_without_reservations,
     held_back_too_long,
+    is_kind_allowed,
     is_open_to,
 )
 from salthead.scheduling.guarantees import guaranteed_job_ids, record_attainment
@@ -79,10 +79,10 @@
         job.quota_reserved_ahead = gang_ahead.size()
     quota_exhausted = _quota_exhausted(ledger, job)
     if job.quota_exhausted and not quota_exhausted:
-        job.pause_until = 0.0
+        job.placement_backoff_until = 0.0
     job.quota_exhausted = quota_exhausted
     # Until the pause ends, only freed capacity could help, and ``backfill`` offers that to the job.
-    if now < max(job.wait_until, job.pause_until):
+    if now < max(job.error_backoff_until, job.placement_backoff_until):
         return False
     if not quota_exhausted:
         schedule_job(ledger, job, rng, now)
@@ -106,12 +106,12 @@
     job.pause = min(
         job.pause * 2 or FIRST_RETRY_PAUSE_S, ledger.limits.workers.heartbeat_interval_s
     )
-    job.pause_until = now + job.pause
+    job.placement_backoff_until = now + job.pause
 
 
 def _quota_exhausted(ledger: Ledger, job: Job) -> bool:
     """Return whether the team's quota is too small for one more task, or for the whole gang."""
-    return quota_left(ledger, job) < (job.spec.task_count if job.gang else 1)
+    return remaining_quota(ledger, job) < (job.spec.task_count if job.gang else 1)
 
 
 def _log_quota_limit(ledger: Ledger, job: Job, now: float) -> None:
@@ -142,17 +142,17 @@
     These jobs found no candidate elsewhere, so only this machine is tried. A whole pass at every
     exit of a task would cost the number of jobs times the number of machines.
     """
-    if not ledger.loaded or not available(ledger, machine, now):
+    if not ledger.loaded or not can_start_tasks(ledger, machine, now):
         return
     if ledger.zone_hooks is not None:
-        ledger.zone_hooks.claim(machine, now)
+        ledger.zone_hooks.reserve_for_displaced_gangs(machine, now)
     for job in ledger.pending.jobs:
         if machine.capacity.cpus - machine.allocated.cpus + EPSILON < ledger.pending.min_cpus:
             return
         if (
-            now < job.wait_until
+            now < job.error_backoff_until
             or not machine.fits(job.request)
-            or not allows(job, machine)
+            or not is_kind_allowed(job, machine)
             or not startable(ledger, job)
             or not is_open_to(ledger, job, machine, now)
         ):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -75,7 +75,7 @@
         other = follower_names(world, leader)[0]
         controller = world.controllers[other]
         assert controller is not None
-        found = await controller.job_reader.read("req-1")
+        found = await controller.job_reader.read_status("req-1")
         assert found is not None and found.phase == "aborted", "another controller confirms it"
         world.check_phase("req-1", found.phase, world.now())
         await asyncio.sleep(0.5)
@@ -121,7 +121,7 @@
                 # The controller reads the record itself, as if the leader did not answer it.
                 for job_id in ("req-1", "req-2"):
                     began = world.now()
-                    found = await controller.job_reader.read(job_id)
+                    found = await controller.job_reader.read_status(job_id)
                     assert found is not None
                     world.check_phase(job_id, found.phase, began)
             # The dependent job comes first: the leader has read neither outcome.
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -259,7 +259,7 @@
     # Later terms read the time from the record. A wall clock that is ahead does not make the job
     # younger.
     later = ready(200.0)
-    later.wall_ahead = 1000.0
+    later.wall_clock_offset_s = 1000.0
     job(later, 200.0, job_id="req-2", depends_on=["req-1"], at=1005.0)
     later.resolve_dependency("req-1", wire_names.DONE, 1091.0, 200.0)
     assert later.jobs["req-2"].since == 91.0 and not later.jobs["req-2"].accepted_this_term
@@ -385,7 +385,7 @@
             return await inner(*args)
 
         world.state.handle = handle  # type: ignore[method-assign]
-        found = await controller.job_reader.read(asked)
+        found = await controller.job_reader.read_status(asked)
         return found, count
 
     found, reads = run(scenario)
