--- a/src/salthead/autoscaling/queue_demand.py
+++ b/src/salthead/autoscaling/queue_demand.py
@@ -9,19 +9,23 @@
 from salthead.cluster.model import BOOTING, Job
 from salthead.scheduling import queue_order
 
-# A backlog that takes the fleet longer than a boot time counts as lasting after the first share of
-# a boot time, while at most the second share of the fleet's CPUs is still booting.
-BACKLOG_BOOTS, MAX_BOOTING_SHARE = 0.5, 0.25
+# A backlog must have been long for this many boot times, since an array that has just arrived makes
+# the queue long too.
+MIN_BACKLOG_BOOTS = 0.5
+# While a larger share of the fleet's CPUs is booting, the backlog does not count as long, since
+# machines for it have been provisioned already.
+MAX_BOOTING_SHARE = 0.25
 
 
 def serving_span_s(ledger: Ledger, queue: list[Job], now: float) -> float:
     """Return for how many seconds the queue must keep a machine busy to justify provisioning it.
 
     Work that the fleet gets to before a new machine has booted needs no new machine. Nor does work
-    that is shorter than the minimum charge, unless the backlog lasts longer than a boot time. If
-    the minimum charge always applied, thousands of short tasks would miss their deadlines: in one
-    run, 12,000 tasks with deadlines of 50 s waited for up to a minute, while 1,700 CPUs were not
-    provisioned.
+    that is shorter than the minimum charge, unless the backlog has been long for
+    ``MIN_BACKLOG_BOOTS`` boot times; it is long if the fleet needs more than one boot time to work
+    it off. If the minimum charge always applied, thousands of short tasks would miss their
+    deadlines: in one run, 12,000 tasks with deadlines of 50 s waited for up to a minute, while
+    1,700 CPUs were not provisioned.
     """
     boot_s = min_boot_s(ledger)
     work = sum(
@@ -36,8 +40,8 @@
         return max(MIN_CHARGE_S, boot_s)
     if ledger.pending.long_since is None:
         ledger.pending.long_since = now
-    lasts = now - ledger.pending.long_since >= BACKLOG_BOOTS * boot_s
-    return boot_s if lasts else max(MIN_CHARGE_S, boot_s)
+    persistent = now - ledger.pending.long_since >= MIN_BACKLOG_BOOTS * boot_s
+    return boot_s if persistent else max(MIN_CHARGE_S, boot_s)
 
 
 def soon_ready_jobs(ledger: Ledger, now: float) -> list[Job]:
--- a/src/salthead/autoscaling/queue_packing.py
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -30,7 +30,7 @@
         span_s: float,
         now: float,
     ) -> None:
-        """Start a packing in which a place serves tasks one after the other for ``span_s``."""
+        """Start a packing that counts on slots to run tasks one after the other for ``span_s``."""
         self.ledger = ledger
         self.capacity_backoff = capacity_backoff
         self.pool = pool
@@ -55,41 +55,45 @@
 
     def add(self, job: Job, task_count: int) -> None:
         """Pack tasks of a job, as many as its team's quota allows at a time."""
-        places = self._reserve_quota(job, task_count)
-        if not places:
+        concurrent_tasks = self._reserve_quota(job, task_count)
+        if not concurrent_tasks:
             return
         provisionable = provisionable_kinds(
             self.ledger, job, self.offered, self.capacity_backoff, self.now
         )
         usable = provisionable + self._unprovisionable_kinds(job, provisionable)
         if job.gang and job.spec.single_zone:
-            zone = self._best_zone(job, usable, provisionable, places)
+            zone = self._best_zone(job, usable, provisionable, concurrent_tasks)
             if zone is None:
                 return
             usable = [kind for kind in usable if kind.zone == zone]
             provisionable = [kind for kind in provisionable if kind.zone == zone]
         if job.spec.spread_zones:
-            self._fill_or_provision_by_zone(job, places, usable, provisionable)
+            self._fill_or_provision_by_zone(job, concurrent_tasks, usable, provisionable)
         else:
-            self._fill_or_provision(job, places, usable, provisionable)
+            self._fill_or_provision(job, concurrent_tasks, usable, provisionable)
 
     def _reserve_quota(self, job: Job, task_count: int) -> int:
-        """Reserve the team's quota for tasks of a job, and return the number of places to pack."""
+        """Reserve the team's quota for tasks of a job, and return how many to pack."""
         left = self.quota_left[job.team]
-        places = task_count
+        concurrent_tasks = task_count
         for n in range(2):
             if job.request[n] > 0:
-                places = min(places, max(0, math.floor((left[n] + EPSILON) / job.request[n])))
+                concurrent_tasks = min(
+                    concurrent_tasks, max(0, math.floor((left[n] + EPSILON) / job.request[n]))
+                )
         if job.gang:
-            if places < job.spec.task_count:
+            if concurrent_tasks < job.spec.task_count:
                 return 0
         else:
-            # Short tasks use the same place one after the other.
+            # Short tasks use the same part of a slot one after the other.
             run_s = self.ledger.run_s(job)
-            places = min(places, math.ceil(places * run_s / max(self.span_s, 1.0)))
+            concurrent_tasks = min(
+                concurrent_tasks, math.ceil(concurrent_tasks * run_s / max(self.span_s, 1.0))
+            )
         for n in range(2):
-            left[n] -= places * job.request[n]
-        return places
+            left[n] -= concurrent_tasks * job.request[n]
+        return concurrent_tasks
 
     def _unprovisionable_kinds(
         self, job: Job, provisionable: list[MachineKind]
@@ -107,25 +111,31 @@
         return hourly_price(self.ledger, kind) if known else math.inf
 
     def _best_zone(
-        self, job: Job, usable: list[MachineKind], provisionable: list[MachineKind], places: int
+        self,
+        job: Job,
+        usable: list[MachineKind],
+        provisionable: list[MachineKind],
+        concurrent_tasks: int,
     ) -> int | None:
-        """Return the zone with the most existing places for a gang that must stay in one zone.
+        """Return the zone where the most tasks of a single-zone gang fit into existing slots.
 
-        None if no zone has enough places or may provision more machines.
+        None if the gang fits into no zone's slots and no zone may provision more machines.
         """
-        existing_places: dict[int, int] = defaultdict(int)
+        fitting_tasks: dict[int, int] = defaultdict(int)
         for kind in usable:
-            existing_places[kind.zone] += self.pool.places(kind, job.request)
+            fitting_tasks[kind.zone] += self.pool.places(kind, job.request)
         provisionable_zones = {kind.zone for kind in provisionable}
         zones = [
-            z for z in existing_places if existing_places[z] >= places or z in provisionable_zones
+            z
+            for z in fitting_tasks
+            if fitting_tasks[z] >= concurrent_tasks or z in provisionable_zones
         ]
-        return max(zones, key=lambda z: (min(existing_places[z], places), -z), default=None)
+        return max(zones, key=lambda z: (min(fitting_tasks[z], concurrent_tasks), -z), default=None)
 
     def _fill_or_provision_by_zone(
         self,
         job: Job,
-        places: int,
+        concurrent_tasks: int,
         usable: list[MachineKind],
         provisionable: list[MachineKind],
     ) -> None:
@@ -135,34 +145,36 @@
         """
         tasks_by_zone = zone_counts(job)
         for zone in dict.fromkeys(kind.zone for kind in usable):
-            zone_places = max(0, min(places, max_tasks_per_zone(job) - tasks_by_zone.get(zone, 0)))
+            zone_tasks = max(
+                0, min(concurrent_tasks, max_tasks_per_zone(job) - tasks_by_zone.get(zone, 0))
+            )
             unplaced = self._fill_or_provision(
                 job,
-                zone_places,
+                zone_tasks,
                 [kind for kind in usable if kind.zone == zone],
                 [kind for kind in provisionable if kind.zone == zone],
             )
-            places -= zone_places - unplaced
+            concurrent_tasks -= zone_tasks - unplaced
 
     def _fill_or_provision(
         self,
         job: Job,
-        places: int,
+        unplaced: int,
         usable: list[MachineKind],
         provisionable: list[MachineKind],
     ) -> int:
         """Fill existing slots, then add new ones; return how many tasks are left over."""
         for kind in usable:
-            if places:
-                places = self.pool.fill(kind, job.request, places)
+            if unplaced:
+                unplaced = self.pool.fill(kind, job.request, unplaced)
         for kind in provisionable:
             zone_limit = max_provision(self.ledger, kind.zone)
-            places = self._add_slots(job, places, kind, zone_limit)
-            if not places or zone_limit == max_provision_per_plan(self.ledger):
+            unplaced = self._add_slots(job, unplaced, kind, zone_limit)
+            if not unplaced or zone_limit == max_provision_per_plan(self.ledger):
                 break  # only the limit of a recovering zone makes the next kind necessary
-        return places
+        return unplaced
 
-    def _add_slots(self, job: Job, places: int, kind: MachineKind, max_slots: int) -> int:
+    def _add_slots(self, job: Job, unplaced: int, kind: MachineKind, max_slots: int) -> int:
         """Add slots of a kind for a job's tasks, and return how many tasks are left over.
 
         There are at most ``max_slots`` new slots of a kind, so that a queue of thousands of tasks
@@ -170,10 +182,10 @@
         """
         capacity = self.ledger.machine_registry.capacity(kind.machine_type)
         count = sum([slot.kind == kind for slot in self.new_slots])
-        while places and count < max_slots:
+        while unplaced and count < max_slots:
             slot = Slot(kind, list(capacity))
-            places -= slot.fill(job.request, places)
+            unplaced -= slot.fill(job.request, unplaced)
             self.new_slots.append(slot)
             self.pool.add(slot)
             count += 1
-        return places
+        return unplaced
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -100,12 +100,15 @@
         count = sum(1 for binding in job.bindings.values() if binding.stop_grace_s is None)
         if count and not job.complete:
             running.append((job, count))
-    running.sort(
-        key=lambda entry: (-entry[0].request.cpus, entry[0].spec.spot, entry[0].request.memory_gb)
-    )
+    running.sort(key=_packing_order)
     return running
 
 
+def _packing_order(job_and_count: tuple[Job, int]) -> tuple[float, bool, float]:
+    job, _ = job_and_count
+    return (-job.request.cpus, job.spec.spot, job.request.memory_gb)
+
+
 @dataclass(frozen=True, slots=True)
 class TerminationDecision:
     """A machine to terminate, the reason, and the evidence for it."""
@@ -146,13 +149,13 @@
         registered = sum(1 for m in ledger.machines.values() if m.registered)
         tolerated = max(1.0, MAX_SILENT_SHARE * registered)
         # Whether so many machines are lost at once that a network partition is likelier than
-        # machine failures. Behind it they are up without tasks, and waiting for one boot time is
-        # cheaper than terminating them and booting as many new ones.
+        # machine failures. Machines behind a partition are up without tasks, and waiting one boot
+        # time for them is cheaper than terminating them and booting as many new ones.
         self.mass_loss = sum(1 for m in ledger.machines.values() if m.phase == LOST) > tolerated
         # Silent machines to terminate without waiting for their leases to expire. After a failover,
-        # one dead or hanging machine delays every start for a whole lease, and the cloud's
-        # confirmation of its termination ends that at the cost of one boot. If many machines are
-        # silent, the cause is a partition rather than the machines, and they are waited for.
+        # one dead or hanging machine delays every start for a whole lease. The cloud's confirmation
+        # of the machine's termination ends that delay at the cost of one boot. If many machines are
+        # silent, a partition is the likelier cause, and none is terminated before its lease ends.
         self.silent_to_terminate: set[str] = set()
         if not ledger.ready and ledger.heartbeats_expected(now):
             silent = ledger.failover.unreconciled_machines()
@@ -194,9 +197,9 @@
 
 
 def _lost_reason(ledger: Ledger, machine: Machine, counts: FleetCounts, now: float) -> str:
-    """Return the reason for a lost machine.
+    """Return why a lost machine should be terminated now, or ``NO_TERMINATION``.
 
-    It is terminated at once, or after a wait if it may be healthy behind a partition.
+    A machine that may be healthy behind a partition is terminated only after a wait.
     """
     if ledger.shared_silence is not None:
         return (
@@ -240,7 +243,7 @@
 
 
 def _booting_reason(ledger: Ledger, machine: Machine, now: float) -> str:
-    """Return the reason for a booting machine whose boot has failed."""
+    """Return why a booting machine should be terminated now, or ``NO_TERMINATION``."""
     machine_type = ledger.machine_types.get(machine.machine_type)
     boot_s = machine_type.boot_s if machine_type else MIN_CHARGE_S
     if now - ledger.term_started_at < ledger.limits.workers.lease_s:
@@ -252,7 +255,7 @@
 
 
 def _idle_reason(ledger: Ledger, machine: Machine, needed: set[str], now: float) -> str:
-    """Return the reason for a machine on which nothing runs, if it is no longer useful."""
+    """Return why an idle machine should be terminated now, or ``NO_TERMINATION``."""
     since = machine.unresponsive_since
     if since is not None and now - since > max(
         ledger.limits.workers.lease_s, _max_wait_s(ledger, machine)
