--- a/src/salthead/cluster/allocations.py
+++ b/src/salthead/cluster/allocations.py
@@ -72,7 +72,7 @@
     ) -> Binding:
         """Bind a task to a machine and add its request to their usage.
 
-        ``granted``: a new decision to start the task, so that its team's limit applies.
+        ``granted`` means that this leader decided to start the task, so its team's limit applies.
         """
         allowed = self.invariants.may_bind(job, index, machine, granted)
         binding = Binding(job, index, attempt, machine, job.request, job.team, since=now)
@@ -90,7 +90,7 @@
         return binding
 
     def release(
-        self, binding: Binding, now: float, proof: ReleaseReason, detail: object = ""
+        self, binding: Binding, now: float, reason: ReleaseReason, detail: object = ""
     ) -> None:
         """Release a task that is certainly not on its machine any more.
 
@@ -99,11 +99,11 @@
         """
         job = binding.job
         assert job is not None
-        self._record_release(binding, proof, detail)
+        self._record_release(binding, reason, detail)
         self._unbind(job, binding)
         if job.gang:
             if not job.complete and not job.failed:
-                why = f"{binding.task_id} on {binding.machine.name}: {proof} {detail}"
+                why = f"{binding.task_id} on {binding.machine.name}: {reason} {detail}"
                 self.fail_gang(job, now, why)
             if not job.bindings:
                 job.failed = False
@@ -113,23 +113,23 @@
             self.job_table.forget(job)
         self.events.changed()
 
-    def _record_release(self, binding: Binding, proof: ReleaseReason, detail: object) -> None:
+    def _record_release(self, binding: Binding, reason: ReleaseReason, detail: object) -> None:
         machine = binding.machine
         event(
             log,
             "task_released",
-            logging.DEBUG if proof is ReleaseReason.EXITED else logging.INFO,
+            logging.DEBUG if reason is ReleaseReason.EXITED else logging.INFO,
             task=binding.task_id,
             attempt=binding.attempt,
             machine=machine.name,
             incarnation=machine.incarnation,
             sequence=machine.sequence,
-            proof=proof,
+            proof=reason,
             detail=detail,
             start_sends=binding.start_sends,
             fencing_token=self.fencing_token,
         )
-        metrics.TASKS_RELEASED.labels(proof).inc()
+        metrics.TASKS_RELEASED.labels(reason).inc()
 
     def _unbind(self, job: Job, binding: Binding) -> None:
         machine = binding.machine
--- a/src/salthead/cluster/dependencies.py
+++ b/src/salthead/cluster/dependencies.py
@@ -23,7 +23,10 @@
 
 
 class JobDependencies:
-    """Makes jobs ready or cancels them by their dependencies, and applies what they inherit."""
+    """Makes jobs ready or cancels them when their dependencies end.
+
+    Also copies to jobs the priorities and due times that they inherit from their dependents.
+    """
 
     def __init__(
         self, jobs: JobTable, allocations: Allocations, objectives: Sequence[Objective]
--- a/src/salthead/cluster/events.py
+++ b/src/salthead/cluster/events.py
@@ -1,4 +1,4 @@
-"""Callbacks by which the ledger notifies the term of changes."""
+"""Callbacks that the ledger calls on changes, set by the term that owns the ledger."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class LedgerEvents:
-    """Callbacks that the term sets; each does nothing until then."""
+    """Callbacks for changes of the ledger; each does nothing until the term sets it."""
 
     changed: Callable[[], None] = lambda: None
     completed: Callable[[Job], None] = lambda job: None  # all tasks of the job are done
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -85,8 +85,8 @@
     def may_bind(self, job: Job, index: int, machine: Machine, granted: bool) -> bool:
         """Check that a task may be bound to a machine.
 
-        ``granted``: by a decision of this leader to start it. A task that an earlier leader started
-        is bound whatever its team's limit.
+        ``granted`` means that this leader decided to start the task, so its team's limit applies. A
+        task that an earlier leader started is bound even beyond the limit.
         """
         evidence = {"task": f"{job.job_id}/{index}", "machine": machine.name, "granted": granted}
         existing = job.bindings.get(index)
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -179,8 +179,8 @@
     def heartbeat_counts(self, now: float) -> tuple[int, int]:
         """Return how many machines that are up have a recent heartbeat, and how many do not."""
         up = [m for m in self.machines.values() if m.phase == UP]
-        overdue_at = now - OVERDUE_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
-        on_time = sum(1 for m in up if m.last_heartbeat_at >= overdue_at)
+        cutoff = now - OVERDUE_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
+        on_time = sum(1 for m in up if m.last_heartbeat_at >= cutoff)
         return on_time, len(up) - on_time
 
     # -- jobs -----------------------------------------------------------------------------
@@ -289,12 +289,12 @@
         if self.shared_silence is not None:
             self.shared_silence.phase_changed(machine)
 
-    def release_all_tasks(self, machine: Machine, now: float, proof: ReleaseReason) -> None:
+    def release_all_tasks(self, machine: Machine, now: float, reason: ReleaseReason) -> None:
         """Release every task of a machine; the caller has proof that none is left on it."""
         if self.zone_hooks is not None:
-            self.zone_hooks.displaced(machine.bindings.values(), now)
+            self.zone_hooks.tasks_lost(machine.bindings.values(), now)
         for binding in list(machine.bindings.values()):
-            self.allocations.release(binding, now, proof)
+            self.allocations.release(binding, now, reason)
         for key in list(machine.orphans):
             self.orphans.drop(machine, key)
 
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -219,7 +219,7 @@
     zone: int | None
     submitted: float  # in the ledger's monotonic time
     since: float = 0.0  # when it became ready: submitted, or its last dependency was done
-    done: bytearray = field(default_factory=bytearray)
+    done: bytearray = field(default_factory=bytearray)  # by task index: 1 if the task is done
     n_done: int = 0
     saved: set[int] = field(default_factory=set)  # done tasks that the state service holds
     unsaved: set[int] = field(default_factory=set)  # done tasks that are still to be saved
--- a/src/salthead/cluster/zone_hooks.py
+++ b/src/salthead/cluster/zone_hooks.py
@@ -1,4 +1,4 @@
-"""Interface of the ledger and scheduling to zone recovery."""
+"""Interface through which the ledger, scheduling and autoscaling call the zone recovery."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ZoneHooks(Protocol):
-    """Receives events of machines; decides which work is admitted and in which order."""
+    """Receives events of machines and tasks; orders, reserves and limits work by zone states."""
 
     def heartbeat_received(self, machine: Machine) -> None:
         """Record that the machine has sent a new heartbeat."""
@@ -17,7 +17,7 @@
     def phase_changed(self, machine: Machine) -> None:
         """Record that a machine is up, lost or gone."""
 
-    def displaced(self, bindings: Iterable[Binding], now: float) -> None:
+    def tasks_lost(self, bindings: Iterable[Binding], now: float) -> None:
         """Record that these tasks were lost with their machine."""
 
     def started(self, binding: Binding, now: float) -> None:
--- a/src/salthead/zones/evacuation.py
+++ b/src/salthead/zones/evacuation.py
@@ -14,8 +14,8 @@
 # How long a reservation lasts. By then the gang's other machines are up or are reserved for it as
 # they become empty; if not, another gang may use this one.
 RESERVE_HEARTBEAT_INTERVALS = 3.0
-# Arrays of this urgency or a lower one wait until gangs are placed.
-LOW_PRIORITY = wire_names.URGENCIES.index("normal")
+# Arrays of this priority or a lower one (a higher number) wait until gangs are placed.
+HIGHEST_DEFERRED_PRIORITY = wire_names.URGENCIES.index("normal")
 
 
 class Tier(enum.IntEnum):
@@ -33,7 +33,7 @@
     """
     if job.job_id in guaranteed_ids or queue_order.start_overdue(job, now):
         return Tier.GUARANTEED
-    return Tier.GANGS if job.gang or job.priority < LOW_PRIORITY else Tier.ARRAYS
+    return Tier.GANGS if job.gang or job.priority < HIGHEST_DEFERRED_PRIORITY else Tier.ARRAYS
 
 
 def sort_by_tier(jobs: list[Job], guaranteed_ids: set[str], now: float) -> list[Job]:
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -64,7 +64,7 @@
         elif machine.phase == LOST:
             self.displaced_jobs.record_lost_machine(machine)
 
-    def displaced(self, bindings: Iterable[Binding], now: float) -> None:
+    def tasks_lost(self, bindings: Iterable[Binding], now: float) -> None:
         """Record the tasks that were lost with their machine."""
         self.displaced_jobs.record_lost_tasks(bindings, now)
 
--- a/src/salthead/zones/slow_start.py
+++ b/src/salthead/zones/slow_start.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """Pending starts on the open machines of a zone."""
+    """Pending starts on the open machines of a zone: those that may get new work."""
 
     pending: int  # tasks that were placed on open machines and have not started yet
     oldest_pending_s: float
--- a/src/salthead/zones/state.py
+++ b/src/salthead/zones/state.py
@@ -21,7 +21,7 @@
 
     AVAILABLE = "available"
     SUSPECTED = "suspected"  # many machines are silent but may still run their tasks
-    LOST = "lost"  # their leases have expired, so their tasks have ended
+    LOST = "lost"  # enough leases have expired, or a recovering zone is silent again
     RECOVERING = "recovering"  # heartbeats arrive again, and new work is admitted step by step
 
 
