--- a/src/salthead/controller/connectivity.py
+++ b/src/salthead/controller/connectivity.py
@@ -76,8 +76,8 @@
             return
         self.last_peer_answer_at = self.context.now()
         if (
-            answer.state_service_s is not None
-            and answer.state_service_s < 2.0 * CONNECTIVITY_CHECK_INTERVAL_S
+            answer.state_service_silence_s is not None
+            and answer.state_service_silence_s < 2.0 * CONNECTIVITY_CHECK_INTERVAL_S
         ):
             self.peers_served_at = self.context.now()
 
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_TERMINATE_BATCH = 100  # Machines per call.
+MAX_TERMINATE_BATCH = 100  # machines per call
 PROVISION_ATTEMPTS = 4
 RETRY_S = 1.0
 # A job that finds no machine triggers the next plan at once, but not before the minimum.
@@ -58,7 +58,7 @@
         self.plan_requested = plan_requested
         self.on_provision_ended = on_provision_ended
         self.provision_request_count = 0
-        self.provisioning: dict[MachineKind, int] = {}  # Machines requested but not answered.
+        self.provisioning: dict[MachineKind, int] = {}  # machines requested but not answered
         self.capacity_backoff = CapacityBackoff()
 
     async def loop(self) -> None:
--- a/src/salthead/leader/cancellation.py
+++ b/src/salthead/leader/cancellation.py
@@ -33,7 +33,7 @@
     async def cancel(self, job_id: str) -> JobStatus | None:
         """Cancel a job and return its status, or None if there is no such job.
 
-        Raise UnansweredError if the cancellation can't be confirmed now.
+        Raises UnansweredError if the cancellation can't be confirmed now.
         """
         job = self.ledger.jobs.get(job_id) if self.ledger.loaded else None
         if job is None:
--- a/src/salthead/leader/cloud.py
+++ b/src/salthead/leader/cloud.py
@@ -51,7 +51,7 @@
     async def list_page(self, start: str) -> MachineList:
         """Return the page of the machine list that begins after the name ``start``.
 
-        Raise RequestRefusedError if the cloud refuses.
+        Raises RequestRefusedError if the cloud refuses.
         """
         query: dict[str, Any] = {"most": LIST_PAGE_SIZE}
         if start:
@@ -66,7 +66,7 @@
     async def provision(self, request: ProvisionRequest) -> list[str] | None:
         """Return the names of the provisioned machines, or None if the cloud has no capacity.
 
-        Raise RequestRefusedError if it refuses for another reason.
+        Raises RequestRefusedError if it refuses for another reason.
         """
         answer = await self.caller.call(
             "POST", wire_names.MACHINES_PATH, request, timeout=PROVISION_TIMEOUT_S
@@ -80,7 +80,7 @@
     async def terminate(self, names: list[str]) -> None:
         """Return once the cloud has terminated the machines.
 
-        Raise RequestRefusedError if the cloud refuses.
+        Raises RequestRefusedError if the cloud refuses.
         """
         answer = await self.caller.call(
             "POST",
--- a/src/salthead/leader/context.py
+++ b/src/salthead/leader/context.py
@@ -23,16 +23,16 @@
     """The identity, clients and limits of a term; it does not depend on the loops that use it."""
 
     fencing_token: int
-    revision: int  # Of the leader key; every write of the term is conditioned on it.
+    revision: int  # of the leader key; every write of the term is conditioned on it
     lease_id: int
     lease_clock: LeaseClock
     ledger: Ledger
     state_store: StateStore
     limits: Limits
-    state_limits: StateLimits  # The limits of the state service that all requests respect.
-    now: Callable[[], float]  # Monotonic time in seconds.
+    state_limits: StateLimits  # the limits of the state service that all requests respect
+    now: Callable[[], float]  # monotonic time in seconds
     sleep_with_jitter: Callable[[float], Awaitable[None]]
-    log_throttled: Callable[[str, object], None]  # Counts an error by kind and logs it.
+    log_throttled: Callable[[str, object], None]  # counts an error by kind and logs it
 
     def valid(self) -> bool:
         """Return whether this term may act now."""
@@ -57,7 +57,7 @@
     ) -> int:
         """Make changes only if this term still leads; return the epoch after the write.
 
-        Raise UnansweredError if the term does not lead any more, and ConflictError if another
+        Raises UnansweredError if the term does not lead any more, and ConflictError if another
         condition failed.
         """
         if not self.valid():
--- a/src/salthead/leader/controller_interface.py
+++ b/src/salthead/leader/controller_interface.py
@@ -57,7 +57,7 @@
 
     @property
     def sockets(self) -> WorkerSlots:
-        """Return the division of the sockets of the process."""
+        """Return the limits on connections that divide the sockets of the process."""
 
     @property
     def terminal_outcomes(self) -> Mapping[str, TerminalOutcome]:
--- a/src/salthead/leader/fleet_metrics.py
+++ b/src/salthead/leader/fleet_metrics.py
@@ -25,7 +25,7 @@
         self.now = context.now
         self.fleet_logged_at = -FLEET_LOG_INTERVAL_S
         self.accounted_at = context.now()
-        self.cpu_seconds: dict[str, float] = {}  # Rented CPU-seconds of this term by use.
+        self.cpu_seconds: dict[str, float] = {}  # rented CPU-seconds of this term, by use
 
     def update(self) -> None:
         """Update the metrics and log the fleet, each if its interval has passed."""
@@ -47,7 +47,7 @@
         metrics.WAITING_TASKS.set(sum(job.waiting() for job in self.ledger.ready_jobs.values()))
 
     def account_cpu_time(self, now: float) -> None:
-        """Add the CPU-seconds since the last call to their uses.
+        """Add the rented CPU-seconds since the last call to the totals by use.
 
         Cost and utilization are computed from this metric.
         """
--- a/src/salthead/leader/job_records.py
+++ b/src/salthead/leader/job_records.py
@@ -39,7 +39,7 @@
         self.machine_registry = machine_registry
         self.job_lookup = job_lookup
         self.terminal_outcomes = terminal_outcomes
-        self.known_epoch = 0  # The epoch of the state service up to which changes are known.
+        self.known_epoch = 0  # the epoch of the state service up to which changes are known
         # Jobs whose record has continuation values that have not been read.
         self.incomplete: dict[str, None] = {}
 
@@ -159,7 +159,7 @@
     async def resolve(self, job_id: str) -> None:
         """Resolve a dependency to its outcome, or read the record of a job that is not over.
 
-        Raise UnansweredError if the job has neither an outcome nor a record.
+        Raises UnansweredError if the job has neither an outcome nor a record.
         """
         unresolved = self.ledger.dependency_graph.unresolved
         outcome = self.terminal_outcomes.get(job_id)
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -52,10 +52,10 @@
             if self.context.ledger.newer_fencing_token:
                 self._log_ending("deposed")
                 return
-            sent = self.context.now()
+            sent_at = self.context.now()
             try:
                 await self.context.state_store.renew_lease(self.context.lease_id, timeout=ttl / 4)
-                self.context.lease_clock.renewed(sent)
+                self.context.lease_clock.renewed(sent_at)
                 self.renewal_failed = False
                 await asyncio.sleep(ttl / 5)
             except LeaseExpiredError:
@@ -86,11 +86,11 @@
         while True:
             await asyncio.sleep(interval_s)
             if not peers or len(peers) + 1 < self.context.limits.initial_size:
-                continue  # A controller that is not among the peers could campaign.
+                continue  # a controller that is not among the peers could campaign
             if not self.renewal_failed or not self.context.valid():
                 self.votes_withheld = False
                 continue
-            sent = self.context.now()
+            sent_at = self.context.now()
             promises = await asyncio.gather(
                 *(
                     ask_to_withhold_vote(peer, self.member, interval_s * 2)
@@ -98,7 +98,7 @@
                 )
             )
             withheld_by_all = all(promises) and self.context.lease_clock.votes_withheld_by_all(
-                sent, self.context.now()
+                sent_at, self.context.now()
             )
             if withheld_by_all != self.votes_withheld:
                 self.votes_withheld = withheld_by_all
@@ -147,7 +147,11 @@
                 *(ask_connectivity(peer) for peer in self.peers.values())
             )
             heard_by_peer = max(
-                (connectivity.redirected for connectivity in answers if connectivity is not None),
+                (
+                    connectivity.redirected_count
+                    for connectivity in answers
+                    if connectivity is not None
+                ),
                 default=0,
             )
             confirmed = (
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -66,7 +66,7 @@
             context.ledger, policy, context.now(), network_silence(networks)
         )
         context.ledger.shared_silence = self.silence
-        self.peer_answers: dict[str, PeerAnswer] = {}  # By member.
+        self.peer_answers: dict[str, PeerAnswer] = {}  # by member
 
     async def loop(self) -> None:
         """Observe the links until the term ends, then clear their metrics."""
@@ -125,8 +125,8 @@
                 PeerRow(
                     member=member,
                     answered_s=round(now - answer.asked_at, 1),
-                    state_service_s=_rounded(answer.connectivity.state_service_s),
-                    redirected_workers=answer.connectivity.redirected,
+                    state_service_s=_rounded(answer.connectivity.state_service_silence_s),
+                    redirected_workers=answer.connectivity.redirected_count,
                 )
                 for member, answer in self.peer_answers.items()
             ],
--- a/src/salthead/leader/machine_registry.py
+++ b/src/salthead/leader/machine_registry.py
@@ -25,8 +25,8 @@
 
     machine_type: str
     zone: str
-    spot: Any  # Only the truth value counts.
-    endpoint: Any  # Text, or a false value if it is not known.
+    spot: Any  # only the truth value counts
+    endpoint: Any  # text, or a false value if it is not known
 
 
 class MachineRegistry:
--- a/src/salthead/leader/machine_type_records.py
+++ b/src/salthead/leader/machine_type_records.py
@@ -34,7 +34,7 @@
             self.context.log_throttled("flavors", error)
 
     async def store(self) -> None:
-        """Write the machine types unless they were the last to be stored."""
+        """Write the machine types unless they equal those that this term stored last."""
         machine_types = list(self.machine_types())
         if not machine_types or machine_types == self.stored:
             return
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -71,9 +71,9 @@
         self.save_loop = save_loop
         # Jobs that are complete or to be cancelled and have no outcome known to be durable.
         self.pending_writes: dict[str, Job] = {}
-        self.indeterminate: dict[str, str] = {}  # Job ids and the phase that was sent last.
+        self.indeterminate: dict[str, str] = {}  # job ids and the phase that was sent last
         self.write_requested = asyncio.Event()
-        self.waiters: dict[str, asyncio.Future[None]] = {}  # Cancel requests by job id.
+        self.waiters: dict[str, asyncio.Future[None]] = {}  # cancel requests by job id
 
     def request_write(self, job: Job) -> None:
         """Request that the outcome of a complete or cancelled job be written."""
@@ -98,7 +98,7 @@
     async def cancel(self, job: Job) -> None:
         """Cancel a job and return once its outcome is durable.
 
-        Raise UnansweredError if the outcome can't be made durable now.
+        Raises UnansweredError if the outcome can't be made durable now.
         """
         if not job.complete:
             # The job is marked before the write is sent: if the write takes effect without an
@@ -131,7 +131,7 @@
         for waiter in waiters.values():
             if not waiter.done():
                 waiter.set_exception(UnansweredError(str(error)))
-                waiter.exception()  # Mark it as retrieved: the requester may have disconnected.
+                waiter.exception()  # mark it as retrieved: the requester may have disconnected
 
     async def write_pending(self) -> None:
         """Write all pending outcomes, in batches that fit into a transaction."""
@@ -198,7 +198,7 @@
     async def _read_conflicting(self, jobs: list[Job], first_sent: list[str]) -> None:
         """Adopt the outcomes of an earlier write that took effect without an answer.
 
-        Raise UnansweredError if none of the jobs has an outcome.
+        Raises UnansweredError if none of the jobs has an outcome.
         """
         durable_count = 0
         for job in jobs:
--- a/src/salthead/leader/page_writer.py
+++ b/src/salthead/leader/page_writer.py
@@ -6,13 +6,13 @@
 from salthead.state_store.client import ConflictError, delete, put
 from salthead.state_store.pages import PageBatch, Pages
 
-BATCH_KB = 56.0  # A transaction has at most 64 KiB.
+BATCH_KB = 56.0  # a transaction has at most 64 KiB
 
 
 async def write_pages(context: TermContext, pages: Pages) -> PageBatch:
     """Write unwritten pages in one transaction, as many as fit, and return them.
 
-    Raise ConflictError, after reading the stored revisions, if an earlier write took effect.
+    Raises ConflictError, after reading the stored revisions, if an earlier write took effect.
     """
     batch = pages.batch(context.state_limits.txn_ops, BATCH_KB)
     if not batch:
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -11,7 +11,7 @@
 from salthead.transport.client import HttpClient, UnansweredError
 
 LEADS_FIELD = "leads"
-CONNECTIVITY_TIMEOUT_S = 1.0  # Peers answer from memory.
+CONNECTIVITY_TIMEOUT_S = 1.0  # peers answer from memory
 
 
 class PeerHeartbeat(NamedTuple):
@@ -20,16 +20,16 @@
     worker: str
     incarnation: int
     sequence: int
-    fencing_token: int  # The latest one that the worker had accepted.
+    fencing_token: int  # the latest one that the worker had accepted
 
 
 @dataclass(frozen=True, slots=True)
 class PeerConnectivity:
     """The connectivity that a peer reports."""
 
-    redirected: int  # Workers that recently sent heartbeats to it although it does not lead.
-    state_service_s: float | None  # Seconds since the state service last answered it.
-    heartbeats: list[PeerHeartbeat]  # Recently received although it does not lead.
+    redirected_count: int  # workers that recently sent heartbeats to it although it does not lead
+    state_service_silence_s: float | None  # seconds since the state service last answered it
+    heartbeats: list[PeerHeartbeat]  # recently received although it does not lead
 
 
 async def ask_connectivity(peer: HttpClient, leads: bool = False) -> PeerConnectivity | None:
--- a/src/salthead/leader/scheduling_loop.py
+++ b/src/salthead/leader/scheduling_loop.py
@@ -41,7 +41,7 @@
         self.worker_calls = worker_calls
         self.plan_requested = plan_requested
         self.pass_requested = asyncio.Event()
-        self.unschedulable: set[str] = set()  # Jobs that found no machine in the last pass.
+        self.unschedulable: set[str] = set()  # jobs that found no machine in the last pass
 
     async def loop(self) -> None:
         """Run passes until the term ends, earlier when one is requested."""
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -38,7 +38,7 @@
 from salthead.state_store.client import RETRYABLE_ERRORS, RequestRefusedError
 from salthead.transport.client import UnansweredError
 
-if TYPE_CHECKING:  # These modules load libraries that only some policies need.
+if TYPE_CHECKING:  # these modules load libraries that only some policies need
     from salthead.leader.link_loop import LinkLoop
     from salthead.leader.zone_loop import ZoneLoop
 
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -11,13 +11,13 @@
 from salthead.leader.overview import JobRow, MachineRow, NetworkRow, Overview, TeamRow, ZoneRow
 from salthead.zones.views import ZoneView, waiting_reason, zone_views
 
-if TYPE_CHECKING:  # These modules load libraries that only some policies need.
+if TYPE_CHECKING:  # these modules load libraries that only some policies need
     from salthead.leader.link_loop import LinkLoop
     from salthead.leader.zone_loop import ZoneLoop
     from salthead.networks.silence import NetworkView
 
-OVERVIEW_ROWS = 150
-OVERVIEW_DEPENDENCIES = 3
+MAX_OVERVIEW_ROWS = 150  # each of jobs and machines
+MAX_OVERVIEW_DEPENDENCIES = 3  # per job
 
 
 def _zone_row(view: ZoneView) -> ZoneRow:
@@ -68,10 +68,10 @@
             teams=self._team_rows(),
             jobs=[
                 self._job_row(job, waiting_reason(recovery, job) if recovery is not None else "")
-                for job in jobs[:OVERVIEW_ROWS]
+                for job in jobs[:MAX_OVERVIEW_ROWS]
             ],
             jobs_total=len(jobs),
-            machines=[self._machine_row(machine, now) for machine in machines[:OVERVIEW_ROWS]],
+            machines=[self._machine_row(machine, now) for machine in machines[:MAX_OVERVIEW_ROWS]],
             machines_total=len(machines),
             zones=[_zone_row(view) for view in zone_views(recovery, now)] if recovery else [],
             networks=[_network_row(view) for view in recovery.evidence.network_views()]
@@ -112,7 +112,7 @@
             running=running,
             done=done,
             task_count=job.spec.task_count,
-            depends_on=self.ledger.dependencies.unfinished(job.job_id, OVERVIEW_DEPENDENCIES),
+            depends_on=self.ledger.dependencies.unfinished(job.job_id, MAX_OVERVIEW_DEPENDENCIES),
             reason=reason,
         )
 
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -62,7 +62,7 @@
     ) -> Answer:
         """Send a command request with this term's fencing token.
 
-        Raise UnansweredError if the worker does not answer.
+        Raises UnansweredError if the worker does not answer.
         """
         body = CommandRequest(self.context.fencing_token, incarnation, commands)
         sent = self.context.now()
@@ -85,7 +85,7 @@
         for timeout in (RECONCILE_TIMEOUT_S, RECONCILE_RETRY_TIMEOUT_S):
 
             async def reconcile_if_up(machine: Machine, timeout: float = timeout) -> None:
-                if machine.phase == UP:  # Its lease may have ended during the calls to others.
+                if machine.phase == UP:  # its lease may have ended during the calls to others
                     await self.reconcile(machine, timeout)
 
             unreconciled = [machine for machine in machines if not machine.reconciled]
--- a/src/salthead/leader/zone_lease_delegations.py
+++ b/src/salthead/leader/zone_lease_delegations.py
@@ -44,7 +44,7 @@
         self.context = context
         self.partial_cuts_enabled = partial_cuts_enabled
         self.known_epoch = known_epoch
-        self.earlier_grants: dict[str, int] = {}  # Keys and revisions of earlier terms' grants.
+        self.earlier_grants: dict[str, int] = {}  # keys and revisions of earlier terms' grants
 
     async def load(self) -> None:
         """Count worker leases from the time when the grants of earlier leaders have expired.
@@ -97,7 +97,7 @@
         """Let a controller behind a partition answer its zone's workers for a limited time."""
         context = self.context
         if not context.ledger.ready:
-            return  # A delegated zone would delay the failover for as long as the partition lasts.
+            return  # a delegated zone would delay the failover for as long as the partition lasts
         # The ledger counts the delegation before it is written, so that its assumed end is never
         # too early, whatever the result of the write.
         until = counted_until(context.now(), context.lease_clock.ttl)
@@ -117,7 +117,7 @@
             try:
                 await self.context.transaction({key: revision}, [delete(key)], bulk=True)
             except ConflictError:
-                pass  # This leader has written a new grant under the key since.
+                pass  # this leader has written a new grant under the key since
             except RETRYABLE_ERRORS as error:
                 self.context.log_throttled("keep", error)
                 continue
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -54,7 +54,7 @@
                 self.recovery.observe(self.context.now())
                 self._update_metrics()
             try:
-                await self._write()
+                await self._write_changed_states()
             except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.context.log_throttled("zones", error)
             await self.context.sleep_with_jitter(OBSERVE_INTERVAL_S)
@@ -72,7 +72,8 @@
             self.recovery.records.load(values, self.context.now())
             return
 
-    async def _write(self) -> None:
+    async def _write_changed_states(self) -> None:
+        """Write the zone states that the state service does not hold yet, in batches."""
         now = self.context.now()
         rows = list(self.recovery.records.unwritten(now).items())
         batch_size = self.context.state_limits.txn_ops
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 from salthead.cluster.sweep import sweep
 from salthead.heartbeats.handling import handle_heartbeat
 from salthead.leader import term as terms
-from salthead.leader.views import OVERVIEW_ROWS
+from salthead.leader.views import MAX_OVERVIEW_ROWS
 from salthead.protocol.messages import StopCommand, encode
 from salthead.scheduling import candidate_pools, eligibility, placement, scheduling_pass
 from salthead.state_store import records
@@ -308,7 +308,7 @@
 
     found = run(day)
     assert found["jobs_total"] == found["machines_total"] == 1000
-    assert len(found["jobs"]) == len(found["machines"]) == OVERVIEW_ROWS
+    assert len(found["jobs"]) == len(found["machines"]) == MAX_OVERVIEW_ROWS
     assert len(json.dumps(found)) < 64 * 1024
 
 
