--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -34,7 +34,9 @@
 from salthead.transport.client import UnansweredError
 
 LEADER_WATCH_S = 8.0
-RETRY_S, CONFLICT_RETRY_S, ERROR_RETRY_S = 0.2, 0.05, 0.4
+RETRY_S = 0.2  # after a term has ended, or while this controller may not become the leader
+CONFLICT_RETRY_S = 0.05  # after another controller has changed a key first
+ERROR_RETRY_S = 0.4  # after an error of the state service
 VOTE_CHECK_TIMEOUT_S = 0.5
 
 
--- a/src/salthead/controller/load.py
+++ b/src/salthead/controller/load.py
@@ -28,8 +28,8 @@
     def overloaded(self) -> bool:
         """Return whether to shed submissions, so that heartbeats and scheduling are not delayed.
 
-        More submissions in progress than the state service's writes per second can't be answered
-        in time anyway.
+        Each submission needs at least one write. If more are in progress than the state service's
+        writes per second, they can't all be written within one second.
         """
         return self.lag_s > MAX_LAG_S or self.submissions_in_progress >= max(
             MIN_CONCURRENT_SUBMISSIONS, self.context.state_limits.write_rps
--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -46,8 +46,8 @@
     # The buffer holds a body and what follows it. With all buffers full, as many connections as the
     # platform allows still fit into the memory that it gives.
     server = LimitedServer(router, max_body_size=MAX_BODY, max_buffer_size=2 * MAX_BODY)
-    # Tornado's own time-outs start and cancel two timers per request; a periodic check of all
-    # connections does as well.
+    # Tornado's own time-outs would start and cancel two timers per request. Instead, a periodic
+    # check closes the connections that were abandoned.
     server.conn_params.header_timeout = None
     server.connections = Connections(
         max_connections,
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -239,9 +239,10 @@
 
 
 def _decode_result(answer: Answer, job_id: str) -> SubmissionResult | None:
-    """Decode a peer's answer to a submission; None if the peer did not accept the job.
+    """Decode a peer's answer to a submission.
 
-    Raises MalformedMessageError.
+    None if the peer did not accept the job, or if its answer names another job id. Raises
+    MalformedMessageError if the peer accepted the job but its answer is no valid job status.
     """
     if answer.status not in (200, 201):
         return None
--- a/src/salthead/controller/zone_lease_delegate.py
+++ b/src/salthead/controller/zone_lease_delegate.py
@@ -52,11 +52,13 @@
 
     async def _leader_answers(self) -> bool:
         """Return whether the leader answers; True if there is none or this controller leads."""
-        peer = self.context.peers.get(self.leader_view.member or "")
-        if self.leader_view.term is not None or peer is None:
+        leader = self.context.peers.get(self.leader_view.member or "")
+        if self.leader_view.term is not None or leader is None:
             return True
         try:
-            await peer.call("POST", wire_names.PEER_CONNECTIVITY_PATH, timeout=self.lease.ttl / 8.0)
+            await leader.call(
+                "POST", wire_names.PEER_CONNECTIVITY_PATH, timeout=self.lease.ttl / 8.0
+            )
         except UnansweredError:
             return False
         return True
