--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -37,8 +37,8 @@
     """A group of machines that may depend on the same link."""
 
     name: str
-    known: BitMap
-    silent: BitMap
+    members: BitMap  # machines that are present or whose lease has recently expired
+    silent: BitMap  # members without a recent heartbeat
 
 
 class SharedSilence:
@@ -125,20 +125,20 @@
     def _is_partitioned(self, group: Group) -> bool:
         silent = len(group.silent)
         return silent >= self.policy.min_machines and silent > self.policy.shared_share * len(
-            group.known
+            group.members
         )
 
     def _groups(self) -> Iterator[Group]:
         reporting = self.sets.recent_heartbeats.members()
         fleet = BitMap()
         for zone, present in enumerate(self.sets.present):
-            known = present | self.sets.expired[zone].members()
-            fleet |= known
-            yield Group(f"zone {self.ledger.zones[zone]}", known, known - reporting)
+            members = present | self.sets.expired[zone].members()
+            fleet |= members
+            yield Group(f"zone {self.ledger.zones[zone]}", members, members - reporting)
         yield Group(FLEET, fleet, fleet - reporting)
         if self.networks is not None:
-            for name, members in zip(
+            for name, network_members in zip(
                 self.networks.directory.names, self.networks.members, strict=True
             ):
-                known = members & fleet
-                yield Group(f"network {name}", known, known - reporting)
+                members = network_members & fleet
+                yield Group(f"network {name}", members, members - reporting)
--- a/src/salthead/protocol/messages.py
+++ b/src/salthead/protocol/messages.py
@@ -56,7 +56,8 @@
     depends_on: list[str] | None = msgspec.field(name="awaits", default=None)
     # Set by controllers: the wall-clock time at which the record was written.
     at: float = 0.0
-    # Set by controllers: how many further values continue the list of dependencies.
+    # Set by controllers: the number of continuation values, which hold the dependencies that do not
+    # fit into the job record.
     more: int = 0
 
 
--- a/src/salthead/state_store/done_tasks.py
+++ b/src/salthead/state_store/done_tasks.py
@@ -48,7 +48,7 @@
         return [self.item_name(job_id, start) for start in self.item_starts(task_count)]
 
     def item_starts(self, task_count: int) -> list[int]:
-        """Return the first task of each item of a job with this many tasks."""
+        """Return the index of the first task of each item that a job may have."""
         return [
             start
             for segment in range(0, task_count, self.segment_size)
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -57,14 +57,19 @@
         self.duplicates: set[str] = set()  # names that were loaded from more than one page
 
     @staticmethod
-    def _size(name: str, item: Any) -> int:
+    def _encoded_bytes(name: str, item: Any) -> int:
+        """Return the bytes that an item takes in the JSON text of its page.
+
+        Raises MalformedMessageError if the item can't be encoded.
+        """
         try:
+            # 6 for the quotes around the name, and for the separators ": " and ", ".
             return len(msgspec.json.encode(item)) + len(name) + 6
         except TypeError as error:
             raise MalformedMessageError(f"item {name[:60]!r}") from error
 
     def load(self, key: str, value: Any, revision: int) -> None:
-        """Load a stored page; ignores a value that is not a page."""
+        """Load a stored page, or ignore a key or value that is not of a page."""
         tail = key.removeprefix(self.prefix)
         if not tail.isdigit() or type(value) is not dict:
             return
@@ -88,7 +93,7 @@
 
     def _add(self, page: int, name: str, item: Any) -> None:
         self.pages.setdefault(page, {})[name] = item
-        self.sizes[page] = self.sizes.get(page, 0) + self._size(name, item)
+        self.sizes[page] = self.sizes.get(page, 0) + self._encoded_bytes(name, item)
         self.page_of[name] = page
 
     def _mark_dirty(self, page: int) -> None:
@@ -102,7 +107,7 @@
             name = next(iter(content))
             item = content[name]
             self._remove(name)
-            other = self._page_for(self._size(name, item))
+            other = self._page_for(self._encoded_bytes(name, item))
             self._add(other, name, item)
             self._mark_dirty(other)
             self._mark_dirty(page)
@@ -124,7 +129,7 @@
 
     def _remove(self, name: str) -> int:
         page = self.page_of.pop(name)
-        self.sizes[page] -= self._size(name, self.pages[page].pop(name))
+        self.sizes[page] -= self._encoded_bytes(name, self.pages[page].pop(name))
         return page
 
     def set(self, name: str, item: Any, after: Iterable[str] = ()) -> None:
@@ -132,7 +137,7 @@
 
         Those items have taken over content that this one no longer holds.
         """
-        size = self._size(name, item)
+        size = self._encoded_bytes(name, item)
         old = self._remove(name) if name in self.page_of else None
         if old is not None and (self.sizes[old] + size <= self.max_bytes or not self.pages[old]):
             page = old
--- a/src/salthead/transport/http.py
+++ b/src/salthead/transport/http.py
@@ -129,20 +129,20 @@
 
 
 @functools.lru_cache(maxsize=64)
-def _response_head_template(status: int, content_type: str, closing: bool) -> str:
+def _response_head_template(status: int, content_type: str, close_connection: bool) -> str:
     start_line, headers = _response_head(Reply(status, b"", content_type), 0)
     headers["Content-Length"] = "%d"
-    if closing:
+    if close_connection:
         headers["Connection"] = "close"
     lines = [f"HTTP/1.1 {start_line.code} {start_line.reason}"]
     lines += [f"{name}: {value}" for name, value in headers.get_all()]
     return "\r\n".join(lines) + "\r\n\r\n"
 
 
-def _encode_response_head(reply: Reply, length: int, closing: bool) -> bytes:
-    return (_response_head_template(reply.status, reply.content_type, closing) % length).encode(
-        "latin1"
-    )
+def _encode_response_head(reply: Reply, length: int, close_connection: bool) -> bytes:
+    return (
+        _response_head_template(reply.status, reply.content_type, close_connection) % length
+    ).encode("latin1")
 
 
 def _close(stream: IOStream, sent: object) -> None:
@@ -228,11 +228,11 @@
             # ``write`` takes an encoded head as it is. ``write_headers`` would check every header
             # of each reply, though only the length varies: a seventh of a heartbeat's time.
             connections = self.router.connections
-            closing = connections is not None and connections.crowded()
+            close_connection = connections is not None and connections.crowded()
             sent = self.connection.write(
-                _encode_response_head(reply, len(payload), closing) + payload
+                _encode_response_head(reply, len(payload), close_connection) + payload
             )
-            if closing and self.stream is not None:
+            if close_connection and self.stream is not None:
                 # Closed from this side, since the client may be slow to close it.
                 sent.add_done_callback(functools.partial(_close, self.stream))
         else:
