--- a/src/salthead/autoscaling/queue_packing.py
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -107,8 +107,8 @@
         return sorted(others, key=lambda kind: (self._price_or_inf(kind), kind))
 
     def _price_or_inf(self, kind: MachineKind) -> float:
-        known = kind.machine_type in self.ledger.machine_types
-        return hourly_price(self.ledger, kind) if known else math.inf
+        type_known = kind.machine_type in self.ledger.machine_types
+        return hourly_price(self.ledger, kind) if type_known else math.inf
 
     def _best_zone(
         self,
--- a/src/salthead/cluster/dependency_graph.py
+++ b/src/salthead/cluster/dependency_graph.py
@@ -23,7 +23,7 @@
 class DependencyNode:
     """One job in the graph."""
 
-    priority: int  # its own
+    priority: int  # its own, not inherited
     job_class: str
     run_s: float  # expected run time of a task, as of the last update
     due: tuple[float, float]  # its own due time, and the latest completion that still counts
@@ -71,9 +71,9 @@
             if other in self.done_at:
                 continue
             node.unfinished.add(other)
-            known = self.nodes.get(other)
-            if known is not None:
-                known.dependents[job_id] = None
+            dependency = self.nodes.get(other)
+            if dependency is not None:
+                dependency.dependents[job_id] = None
             else:
                 self.unresolved.setdefault(other, {})[job_id] = None
         if node.dependents:
@@ -128,9 +128,9 @@
         return list(cancelled)
 
     def _unlink(self, dependency: str, job_id: str) -> None:
-        known = self.nodes.get(dependency)
-        if known is not None:
-            known.dependents.pop(job_id, None)
+        node = self.nodes.get(dependency)
+        if node is not None:
+            node.dependents.pop(job_id, None)
         elif dependency in self.unresolved:
             self.unresolved[dependency].pop(job_id, None)
             if not self.unresolved[dependency]:
--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -94,8 +94,8 @@
 
     def _max_capacity(self, machine: Machine) -> Resources:
         """Return the machine's capacity, unbounded while its type is unknown."""
-        known = machine.machine_type in self.registry.machine_types
-        return machine.capacity if known else UNBOUNDED_RESOURCES
+        type_known = machine.machine_type in self.registry.machine_types
+        return machine.capacity if type_known else UNBOUNDED_RESOURCES
 
     def could_run(self, job: Job) -> bool:
         """Return whether an unreconciled machine may run a task of the job.
--- a/src/salthead/cluster/job_table.py
+++ b/src/salthead/cluster/job_table.py
@@ -121,8 +121,10 @@
         """Remove a job that has ended and has no bound task; remember its team and request."""
         if job.terminal_phase and not job.bindings and self.jobs.get(job.job_id) is job:
             self.ended_jobs[job.job_id] = (job.team, job.request)
-            most = max(MIN_REMEMBERED_JOBS, REMEMBERED_FLEET_SIZES * self.registry.largest_fleet)
-            if len(self.ended_jobs) > most:
+            max_remembered = max(
+                MIN_REMEMBERED_JOBS, REMEMBERED_FLEET_SIZES * self.registry.largest_fleet
+            )
+            if len(self.ended_jobs) > max_remembered:
                 self.ended_jobs.pop(next(iter(self.ended_jobs)))
             del self.jobs[job.job_id]
             self.ready_jobs.pop(job.job_id, None)
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -190,10 +190,10 @@
         return self.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
 
     def add_job(self, spec: Submission, now: float, accepted_this_term: bool = False) -> Job | None:
-        """Add an accepted job if it is new; return None if the settings lack its team."""
-        known = self.jobs.get(spec.job_id)
-        if known is not None:
-            return known
+        """Return the ledger's job, added if it is new, or None if the settings lack its team."""
+        existing = self.jobs.get(spec.job_id)
+        if existing is not None:
+            return existing
         submitted = min(now, spec.at - self.wall_ahead) if spec.at else now
         job = self.job_table.add(spec, now, submitted, accepted_this_term)
         if job is not None:
--- a/src/salthead/cluster/machine_registry.py
+++ b/src/salthead/cluster/machine_registry.py
@@ -13,7 +13,8 @@
 # Minimum number of terminated machines whose names are remembered. Late copies of their heartbeats
 # and a machine list that lags would otherwise add them as new machines.
 MIN_REMEMBERED_MACHINES = 2000
-# At least so many times the largest fleet of this term: a whole fleet can be terminated at once.
+# At least this many times the largest fleet of this term, machine names and ended jobs are
+# remembered, since a whole fleet can be terminated at once.
 REMEMBERED_FLEET_SIZES = 2
 
 
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -14,8 +14,8 @@
 def startable(ledger: Ledger, job: Job) -> bool:
     """Return whether waiting tasks of the job may be placed now.
 
-    Not while the job has an orphan task, which may be any of the waiting tasks, nor while an
-    earlier leader may have started one of them on a machine that is not reconciled.
+    None may be placed while the job has an orphan task, which may be any of the waiting tasks, or
+    while an earlier leader may have started one of them on a machine that is not reconciled.
     """
     return (
         not job.failed
--- a/src/salthead/cluster/sweep.py
+++ b/src/salthead/cluster/sweep.py
@@ -42,7 +42,7 @@
     ledger.set_phase(machine, LOST)
     machine.lost_at = now
     machine.min_incarnation = machine.incarnation + 1
-    # It runs no tasks any more, and may become up again.
+    # The machine runs no tasks any more, and may come up again.
     machine.first_acknowledged_at = math.inf
     machine.reconciled = False
     ledger.release_all_tasks(machine, now, ReleaseReason.LEASE_EXPIRED)
--- a/src/salthead/cluster/worker_leases.py
+++ b/src/salthead/cluster/worker_leases.py
@@ -26,9 +26,10 @@
         self.registry = registry
         self.jobs = jobs
         # No lease is counted from an earlier time: an earlier leader may have answered workers
-        # until it lost its lease, and this one does so before it has read the machine registry.
+        # until it lost its lease, and this leader answers them before it has read the machine
+        # registry.
         self.counted_from = now
-        # By zone: until when another controller may answer its workers for this leader.
+        # By zone: until when another controller may answer the zone's workers for this leader.
         self.delegated_until: dict[int, float] = {}
 
     def expires_at(self, machine: Machine) -> float:
--- a/src/salthead/scheduling/queue_order.py
+++ b/src/salthead/scheduling/queue_order.py
@@ -51,11 +51,11 @@
 def reserves_quota(job: Job, now: float) -> bool:
     """Return whether quota is reserved for a waiting gang.
 
-    Without the reservation, other jobs would take the freed quota bit by bit. Several gangs may
-    wait and have to begin in time one after the other, so it starts early: from half of
-    ``BEGIN_WITHIN_S`` on, only three to six of nine gangs of 24 members began in time. A gang that
-    cannot be placed for other reasons must not block its team forever, so after twice
-    ``BEGIN_WITHIN_S`` it reserves quota only in every other period of that length.
+    Without the reservation, other jobs would take the freed quota bit by bit. It is made early,
+    since several gangs may wait and have to begin in time one after the other. When it was made
+    only after half of ``BEGIN_WITHIN_S``, three to six of nine gangs of 24 members began in time. A
+    gang that cannot be placed for other reasons must not block its team forever, so after twice
+    ``BEGIN_WITHIN_S`` it reserves quota only in every other period of ``BEGIN_WITHIN_S``.
     """
     age = now - job.since
     is_waiting_gang = job.gang and not job.bindings and job.first_start is None
