--- a/src/salthead/controller/job_reader.py
+++ b/src/salthead/controller/job_reader.py
@@ -92,8 +92,8 @@
 
     async def _dependency_phase(self, job_id: str, reads: _WalkReads) -> str | None:
         """Return the terminal phase of a dependency, or None while it is active."""
-        known, phase = self._phase_in_memory(job_id)
-        if known:
+        in_memory, phase = self._phase_in_memory(job_id)
+        if in_memory:
             return phase
         if reads.count == MAX_SINGLE_READS:
             reads.active_jobs, _ = await self.context.state_store.list_prefix(records.JOBS)
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -83,11 +83,11 @@
             metrics.clear_links()
 
     async def _ask_peer(self, member: str) -> None:
-        sent = self.context.now()
+        asked_at = self.context.now()
         connectivity = await ask_connectivity(self.peers[member], leads=True)
         if connectivity is None:
             return
-        self.peer_answers[member] = PeerAnswer(sent, connectivity)
+        self.peer_answers[member] = PeerAnswer(asked_at, connectivity)
         for heartbeat in connectivity.heartbeats:
             shows_fencing_token = heartbeat.fencing_token == self.context.fencing_token
             handling.heartbeat_seen_by_peer(
--- a/src/salthead/leader/machine_list.py
+++ b/src/salthead/leader/machine_list.py
@@ -69,11 +69,11 @@
                 return calls
 
     def _add_listed(self, listed: ListedMachine, now: float) -> None:
-        known = listed.name in self.ledger.machines
+        in_ledger = listed.name in self.ledger.machines
         machine = self.ledger.add_machine(
             listed.name, listed.machine_type, listed.zone, listed.spot, now
         )
-        if not known:
+        if not in_ledger:
             event(log, "machine_listed", machine=listed.name, phase=listed.phase)
             machine.provisioned_at = now - listed.age_s
         elif machine.phase == BOOTING:
--- a/src/salthead/leader/outcomes.py
+++ b/src/salthead/leader/outcomes.py
@@ -71,7 +71,7 @@
         self.save_loop = save_loop
         # Jobs that are complete or to be cancelled and have no outcome known to be durable.
         self.pending_writes: dict[str, Job] = {}
-        self.indeterminate: dict[str, str] = {}  # job ids and the phase that was sent last
+        self.indeterminate: dict[str, str] = {}  # by job id: the phase that was sent last
         self.write_requested = asyncio.Event()
         self.waiters: dict[str, asyncio.Future[None]] = {}  # cancel requests by job id
 
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -65,15 +65,15 @@
         Raises UnansweredError if the worker does not answer.
         """
         body = CommandRequest(self.context.fencing_token, incarnation, commands)
-        sent = self.context.now()
+        sent_at = self.context.now()
         try:
             answer = await self.workers.call(
                 "POST", wire_names.COMMAND_PATH, body, timeout=timeout, endpoint=machine.endpoint
             )
         except UnansweredError:
-            machine.links.command_failed(sent)
+            machine.links.command_failed(sent_at)
             raise
-        machine.links.command_answered(sent)
+        machine.links.command_answered(sent_at)
         return answer
 
     async def reconcile_all(self, machines: list[Machine]) -> None:
@@ -177,7 +177,7 @@
             for machine in self.ledger.machines.values()
             if machine.endpoint
             and not machine.terminating
-            # The others are called by probe_unresponsive_loop.
+            # Unresponsive machines are called by probe_unresponsive_loop.
             and machine.unresponsive_since is None
             and (
                 machine.phase == LOST
