--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -179,8 +179,8 @@
     def count_responsive_machines(self, now: float) -> tuple[int, int]:
         """Return how many machines that are up have a recent heartbeat, and how many do not."""
         up = [m for m in self.machines.values() if m.phase == UP]
-        overdue_at = now - OVERDUE_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
-        on_time = sum(1 for m in up if m.last_heartbeat_at >= overdue_at)
+        cutoff = now - OVERDUE_HEARTBEAT_INTERVALS * self.limits.workers.heartbeat_interval_s
+        on_time = sum(1 for m in up if m.last_heartbeat_at >= cutoff)
         return on_time, len(up) - on_time
 
     # -- jobs -----------------------------------------------------------------------------
@@ -190,10 +190,10 @@
         return self.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
 
     def add_job(self, spec: Submission, now: float, accepted_this_term: bool = False) -> Job | None:
-        """Add an accepted job if it is new; return None if the settings lack its team."""
-        known = self.jobs.get(spec.job_id)
-        if known is not None:
-            return known
+        """Return the ledger's job, added if it is new, or None if the settings lack its team."""
+        existing = self.jobs.get(spec.job_id)
+        if existing is not None:
+            return existing
         submitted = min(now, spec.at - self.wall_clock_offset_s) if spec.at else now
         job = self.job_table.add(spec, now, submitted, accepted_this_term)
         if job is not None:
@@ -289,12 +289,12 @@
         if self.shared_silence is not None:
             self.shared_silence.phase_changed(machine)
 
-    def release_all_tasks(self, machine: Machine, now: float, proof: ReleaseReason) -> None:
+    def release_all_tasks(self, machine: Machine, now: float, reason: ReleaseReason) -> None:
         """Release every task of a machine; the caller has proof that none is left on it."""
         if self.zone_hooks is not None:
-            self.zone_hooks.displaced(machine.bindings.values(), now)
+            self.zone_hooks.tasks_lost(machine.bindings.values(), now)
         for binding in list(machine.bindings.values()):
-            self.allocations.release(binding, now, proof)
+            self.allocations.release(binding, now, reason)
         for key in list(machine.orphans):
             self.orphans.drop(machine, key)
 
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -66,7 +66,7 @@
             context.ledger, policy, context.now(), network_silence(networks)
         )
         context.ledger.shared_silence = self.silence
-        self.peer_answers: dict[str, PeerAnswer] = {}  # By member.
+        self.peer_answers: dict[str, PeerAnswer] = {}  # by member
 
     async def loop(self) -> None:
         """Observe the links until the term ends, then clear their metrics."""
@@ -83,11 +83,11 @@
             metrics.clear_links()
 
     async def _ask_peer(self, member: str) -> None:
-        sent = self.context.now()
+        asked_at = self.context.now()
         connectivity = await ask_connectivity(self.peers[member], leads=True)
         if connectivity is None:
             return
-        self.peer_answers[member] = PeerAnswer(sent, connectivity)
+        self.peer_answers[member] = PeerAnswer(asked_at, connectivity)
         for heartbeat in connectivity.heartbeats:
             shows_fencing_token = heartbeat.fencing_token == self.context.fencing_token
             handling.heartbeat_seen_by_peer(
@@ -125,8 +125,8 @@
                 PeerRow(
                     member=member,
                     answered_s=round(now - answer.asked_at, 1),
-                    state_service_s=_rounded(answer.connectivity.state_service_s),
-                    redirected_workers=answer.connectivity.redirected,
+                    state_service_s=_rounded(answer.connectivity.state_service_silence_s),
+                    redirected_workers=answer.connectivity.redirected_count,
                 )
                 for member, answer in self.peer_answers.items()
             ],
