--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -299,7 +299,7 @@
             self.orphans.drop(machine, key)
 
     def machine_gone(self, machine: Machine, now: float) -> None:
-        """Remove a machine, and its tasks, whose termination the cloud has confirmed."""
+        """Release the tasks of a machine that the cloud confirmed as terminated, and remove it."""
         self.release_all_tasks(machine, now, ReleaseReason.TERMINATED)
         self.set_phase(machine, GONE)
         self.machine_registry.remove(machine, now)
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -226,7 +226,9 @@
     next_unstarted: int = 0
     retry_queue: deque[int] = field(default_factory=deque)
     bindings: dict[int, Binding] = field(default_factory=dict)
-    attempt: int = 0  # of a gang, while it is bound
+    # A gang's attempt number, unique across terms and shared by all its tasks. It is valid only
+    # while the gang is bound.
+    attempt: int = 0
     failed: bool = False  # a gang whose attempt has failed, until all its tasks are released
     preempted: bool = False  # a gang that was stopped for other jobs, or to vacate a machine
     terminal_phase: str = ""  # done or aborted, once that is durable
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -14,8 +14,9 @@
 def startable(ledger: Ledger, job: Job) -> bool:
     """Return whether waiting tasks of the job may be placed now.
 
-    None may be placed while the job has an orphan task, which may be any of the waiting tasks, or
-    while an earlier leader may have started one of them on a machine that is not reconciled.
+    A task must not run twice. No task is therefore placed while the job has an orphan task, since
+    that may be any of the waiting tasks. Nor is one placed while an earlier leader may have started
+    a waiting task on a machine that is not reconciled.
     """
     return (
         not job.failed
--- a/src/salthead/cluster/sweep.py
+++ b/src/salthead/cluster/sweep.py
@@ -30,8 +30,9 @@
 
 
 def _declare_lost(ledger: Ledger, machine: Machine, now: float) -> None:
-    # Later heartbeats of this incarnation are late copies: a worker whose lease expired continues
-    # with the next incarnation and without tasks.
+    # The machine's tasks can safely be placed elsewhere, since a worker whose lease expired
+    # continues with the next incarnation and without tasks. Later heartbeats of this incarnation
+    # are therefore late copies.
     event(
         log,
         "machine_lost",
--- a/src/salthead/cluster/zone_hooks.py
+++ b/src/salthead/cluster/zone_hooks.py
@@ -21,7 +21,7 @@
         """Record that these tasks were lost with their machine."""
 
     def started(self, binding: Binding, now: float) -> None:
-        """Record the first heartbeat by which the task has fetched its image."""
+        """Record that a heartbeat shows for the first time that the task has fetched its image."""
 
     def failed(self, machine: Machine) -> None:
         """Record that a task has failed on the machine."""
--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -174,7 +174,11 @@
         await self._become_leader(row, token_row)
 
     def _may_become_leader(self, own_key: bool, first_ever: bool) -> bool:
-        """Return whether a campaign is permitted, right after an answer of the state service."""
+        """Return whether a campaign is permitted.
+
+        Call it only right after an answer of the state service: this precondition of a campaign is
+        taken as met without a check.
+        """
         vote_withheld = not self.leader_stickiness.may_campaign(
             self.context.now(), own_key, first_ever
         )
--- a/src/salthead/failure_detection/machine_sets.py
+++ b/src/salthead/failure_detection/machine_sets.py
@@ -23,7 +23,8 @@
 class RecentSet:
     """Members that were added recently: they expire between one and two ``window_s`` after that.
 
-    Members are kept in two generations, so that each costs one bit and no timestamp.
+    Members are kept in two generations, those added in the current window and those of the previous
+    one, so that each member costs one bit and no timestamp.
     """
 
     def __init__(self, window_s: float, now: float) -> None:
@@ -70,7 +71,7 @@
             self.expired.append(RecentSet(self.expired[0].window_s, now))
 
     def rotate(self, now: float) -> None:
-        """Start new generations where they are due."""
+        """Expire members of the recent sets: start a new generation in each set that is due."""
         self.recent_heartbeats.rotate(now)
         for expired in self.expired:
             expired.rotate(now)
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -23,7 +23,8 @@
 
 log = logging.getLogger(__name__)
 
-# Generations of two heartbeat intervals: silence is detected after two to four intervals.
+# Window of the set of machines with recent heartbeats, in heartbeat intervals. A machine stays in
+# the set for one to two windows, so its silence is detected after two to four intervals.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
 # How long an expired lease counts towards a partition, in lease durations. The leases that one
 # partition ends all expire within one lease and a heartbeat interval, and the machines that are
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -132,7 +132,12 @@
         self.on_provision_ended()
 
     async def _send_until_answered(self, request: ProvisionRequest) -> int:
-        """Add the machines that a request provisions to the ledger, and return their number."""
+        """Send a request until it is answered; add the provisioned machines to the ledger.
+
+        A request without an answer is sent again, up to ``PROVISION_ATTEMPTS`` times in all. Return
+        the number of added machines: 0 if no attempt is answered, the cloud refuses or has no
+        capacity, or the leader may not provision any more.
+        """
         for _ in range(PROVISION_ATTEMPTS):
             await self.cloud.wait_for_turn()
             # The leadership or another precondition may have been lost since the plan was made.
--- a/src/salthead/leader/declared_networks.py
+++ b/src/salthead/leader/declared_networks.py
@@ -1,4 +1,4 @@
-"""Silence of the networks that a policy declares."""
+"""Creation of the tracker of silent machines in the networks that a policy declares."""
 
 from __future__ import annotations
 
--- a/src/salthead/leader/done_task_pages.py
+++ b/src/salthead/leader/done_task_pages.py
@@ -69,8 +69,9 @@
         starts: dict[int, None] = dict.fromkeys(layout.item_start(index) for index in changed)
         prerequisites: list[str] = []
         for start in sorted(starts, reverse=True):
-            # The first item of a segment, whose name every version reads, is written after the
-            # others: the stored one may still contain all of their tasks.
+            # The stored first item of a segment, whose name every version reads, may still hold the
+            # done tasks of the whole segment. It is replaced no earlier than the other items are
+            # written; otherwise a leader that stops in between would lose their done tasks.
             end = min(layout.item_end(start), job.spec.task_count)
             name = layout.item_name(job.job_id, start)
             first = start % layout.segment_size == 0
--- a/src/salthead/leader/zone_loop.py
+++ b/src/salthead/leader/zone_loop.py
@@ -60,7 +60,7 @@
             await self.context.sleep_with_jitter(OBSERVE_INTERVAL_S)
 
     async def _load(self) -> None:
-        """Load the stored states; give up, and use only observations, once the ledger is ready."""
+        """Load the stored zone states; once the ledger is ready, give up and only observe."""
         while not self.context.ledger.ready:
             try:
                 rows, _ = await self.context.state_store.list_prefix(records.ZONES)
--- a/src/salthead/leases/redirects.py
+++ b/src/salthead/leases/redirects.py
@@ -19,7 +19,11 @@
         self.max_remembered = MIN_REMEMBERED_REDIRECTS
 
     def record(self, worker: str, now: float) -> bool:
-        """Record a heartbeat; return whether the worker's last one here was shortly before."""
+        """Record a heartbeat to this controller; return whether the worker came back.
+
+        A worker came back if its previous heartbeat to this controller was less than
+        ``RETURN_WINDOW_S`` earlier.
+        """
         previous = self.redirected_at.get(worker, -math.inf)
         if len(self.redirected_at) > self.max_remembered:
             self.redirected_at = {
--- a/src/salthead/scheduling/queue_order.py
+++ b/src/salthead/scheduling/queue_order.py
@@ -1,5 +1,8 @@
 """Order of jobs of one rank, so that as many as possible meet their targets.
 
+Jobs of one rank have the same priority, and either all or none of them are within their team's
+guarantee.
+
 Under overload, first come, first served makes every job late. Within one rank, jobs are ordered by
 the latest start for their next target that can still be met. Where the work ahead of a job would
 make it miss that target, the job with the most work is postponed (Moore's rule), since it delays
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -49,9 +49,9 @@
         gang_ahead = reserving_gangs[job.team]
         if _schedule_pending_job(ledger, job, gang_ahead, rng, now):
             unschedulable.append(job)
-        # Quota is reserved for one gang of a team at a time, and afterwards for none for as long
-        # again. Otherwise all quota that an overloaded team frees would go to a few of its largest
-        # jobs, each of which makes many others late.
+        # Quota is reserved for one gang of a team at a time. Once that gang is placed, none is
+        # reserved for as long as its reservation lasted. Otherwise all quota that an overloaded
+        # team frees would go to a few of its largest jobs, each of which makes many others late.
         if (
             gang_ahead is None
             and queue_order.reserves_quota(job, now)
--- a/src/salthead/transport/http.py
+++ b/src/salthead/transport/http.py
@@ -226,7 +226,8 @@
         payload = reply.body if isinstance(reply.body, bytes) else encode(reply.body)
         if self.persistent:
             # ``write`` takes an encoded head as it is. ``write_headers`` would check every header
-            # of each reply, though only the length varies: a seventh of a heartbeat's time.
+            # of each reply, though only the length varies. These checks would take a seventh of the
+            # time that a heartbeat takes.
             connections = self.router.connections
             close_connection = connections is not None and connections.crowded()
             sent = self.connection.write(
--- a/src/salthead/zones/admission.py
+++ b/src/salthead/zones/admission.py
@@ -38,7 +38,11 @@
         self.provision_limits: list[int | None] = []
 
     def task_started(self, binding: Binding, now: float) -> None:
-        """Record a start time in the zone's slow start, or in the baseline of an available zone."""
+        """Record how long after its placement a task has started.
+
+        The duration counts for the slow start of the task's zone if there is one, and otherwise for
+        the baseline if the zone is available.
+        """
         job = binding.job
         if job is None:
             return
