--- a/src/salthead/cluster/allocations.py
+++ b/src/salthead/cluster/allocations.py
@@ -31,7 +31,7 @@
         self.capacity_index = jobs.registry.capacity_index
         self.invariants = invariants
         self.events = jobs.events
-        self.attempts = 0  # in this term
+        self.attempts = 0  # attempt numbers that this term has assigned
         self.usage = [[0.0, 0.0] for _ in teams]  # allocated CPUs and GPUs, by team
         self.team_limits = [(team.max_cpus, team.max_gpus) for team in teams]
         self.bound_by_priority = [0] * len(wire_names.URGENCIES)  # number of bound tasks
--- a/src/salthead/cluster/estimates.py
+++ b/src/salthead/cluster/estimates.py
@@ -49,7 +49,7 @@
 class Arrivals:
     """Moving average of the interval between job arrivals."""
 
-    WEIGHT = 0.1  # of one interval in the moving average
+    WEIGHT = 0.1  # weight of the newest interval in the moving average
     # Arrivals count as stopped after this many mean intervals. If jobs arrive independently, one
     # interval in 3,000 is as long.
     STOPPED_INTERVALS = 8.0
@@ -75,7 +75,7 @@
 class StartAttainment:
     """Moving share of jobs within guarantees that started within the target time."""
 
-    WEIGHT = 0.05  # of one job in the moving average
+    WEIGHT = 0.05  # weight of the newest job in the moving average
 
     def __init__(self, within_s: float, share: float) -> None:
         self.within_s = within_s
--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -31,7 +31,8 @@
         self.logged_at = now
         # CPUs and GPUs of all unreconciled machines; None: to be computed.
         self._capacity_total: tuple[float, float] | None = None
-        self._capacity_by_kind: dict[MachineKind, Resources] = {}  # of one machine
+        # Capacity of a single machine of each kind that has unreconciled machines.
+        self._capacity_by_kind: dict[MachineKind, Resources] = {}
 
     def invalidate_capacity(self) -> None:
         """Drop the cached capacity, since machines or machine types have been added."""
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-AUDIT_INTERVAL_S = 30.0  # between audits of the teams' usage
+AUDIT_INTERVAL_S = 30.0  # time between two audits of the teams' usage
 SWEEPS_PER_AUDIT = 60  # sweeps, at two a second, in which each machine is audited once
 AUDIT_TOLERANCE = 1e-3  # accumulated rounding errors of many additions and subtractions
 
--- a/src/salthead/cluster/machine_registry.py
+++ b/src/salthead/cluster/machine_registry.py
@@ -33,7 +33,7 @@
         self.unregistered: dict[Machine, None] = {}
         self.recently_gone: dict[str, float] = {}  # names of terminated machines, and when
         self.largest_fleet = 0  # most machines known at once in this term
-        self.next_index = 0  # of Machine.index
+        self.next_index = 0  # ``Machine.index`` of the next machine to be added
 
     def set_machine_types(self, machine_types: Iterable[MachineType]) -> None:
         """Add or update the cloud's machine types and the capacity of machines of these types."""
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -64,7 +64,7 @@
     start_sends: int = 0  # answers that carried its start
     stop_grace_s: float | None = None  # grace period of the requested stop; None: no stop
     stop_sent: bool = False
-    orphan: bool = False  # on the machine without a decision of this leader; to be stopped
+    orphan: bool = False  # runs without a decision of this leader, and is to be stopped
     rejected: bool = False  # violates an invariant: its start is not sent
 
     @property
@@ -92,16 +92,16 @@
     spot: bool
     capacity: Resources
     phase: MachinePhase = BOOTING
-    index: int = -1  # dense, for bitmap sets of machines
+    index: int = -1  # consecutive number, used in bitmap sets of machines
     provisioned_at: float = 0.0
     lost_at: float = 0.0
     endpoint: str = ""
     terminating: bool = False  # set by the autoscaler while it asks the cloud to terminate it
 
-    # State of its worker.
+    # State of the machine's worker.
     registered: bool = False  # the state service's registry lists the machine
     reconciled: bool = False  # has sent a heartbeat with this term's fencing token
-    seen_in_earlier_term: bool = False  # has sent one with another fencing token only
+    seen_in_earlier_term: bool = False  # has sent a heartbeat with another fencing token
     incarnation: int = 0
     sequence: int = -1
     min_incarnation: int = 0  # earlier incarnations have certainly ended with their lease
@@ -109,8 +109,8 @@
     acknowledged_at: float = -math.inf  # when a heartbeat was last answered
     first_acknowledged_at: float = math.inf  # first answer, while the token is not yet accepted
     links: WorkerLinks = field(default_factory=WorkerLinks)
-    # Tasks of its last heartbeat, and whether that left no command pending: then the next heartbeat
-    # with the same tasks changes nothing.
+    # Tasks of the last heartbeat, and whether no command was pending after it. If none was, the
+    # next heartbeat with the same tasks changes nothing.
     last_tasks: list[TaskStatus] = field(default_factory=list)
     nothing_pending: bool = False
 
@@ -121,9 +121,9 @@
     # Sizes of cached images in GB, the least recently used first.
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
     has_freed_capacity: bool = False  # capacity has become free since its last heartbeat
-    free_whole_cpus: int = -1  # its row in the capacity index; -1: not indexed
+    free_whole_cpus: int = -1  # whole free CPUs in the capacity index; -1: not indexed
 
-    # Reasons besides the phase why it takes no work. One component sets each.
+    # Reasons besides the phase why the machine takes no work. One component sets each.
     # Heartbeats: when the cloud will reclaim the spot machine, by the warning that its worker got.
     reclaim_at: float | None = None
     # Machine health: its heartbeats arrive, but answers do not reach it. After it responds again, a
@@ -253,7 +253,8 @@
     cancel_requested: bool = False  # its user asked to cancel it: none of its tasks may start
     # A job that it depends on was cancelled, so it is aborted even if that is not yet written.
     dependency_cancelled: bool = False
-    due: tuple[float, float] = (math.inf, math.inf)  # due times, with those of its dependents
+    # Due time and the latest completion that still counts, each earlier if a dependent needs it.
+    due: tuple[float, float] = (math.inf, math.inf)
     # Stored rather than derived: as properties they made up a tenth of a busy leader's calls.
     job_id: str = field(init=False)
     gang: bool = field(init=False)
--- a/src/salthead/cluster/sweep.py
+++ b/src/salthead/cluster/sweep.py
@@ -20,7 +20,8 @@
     ledger.dependencies.update_due_times()
     ledger.invariants.audit(now)
     # A leader without a valid lease must not declare machines lost, since their workers may already
-    # send heartbeats to the next leader. Without this check, one declared 135 such machines lost.
+    # send heartbeats to the next leader. Without this check, a leader declared 135 such machines
+    # lost.
     if permits(Action.DECLARE_LOST, ledger.confirmed_preconditions() | WORKER_LEASE_EXPIRED):
         for machine in ledger.machines.values():
             if machine.phase == UP and now > ledger.leases.expires_at(machine):
--- a/src/salthead/leader/context.py
+++ b/src/salthead/leader/context.py
@@ -23,7 +23,7 @@
     """The identity, clients and limits of a term; it does not depend on the loops that use it."""
 
     fencing_token: int
-    revision: int  # of the leader key; every write of the term is conditioned on it
+    revision: int  # revision of the leader key, on which every write of the term is conditioned
     lease_id: int
     lease_clock: LeaseClock
     ledger: Ledger
--- a/src/salthead/leader/done_task_pages.py
+++ b/src/salthead/leader/done_task_pages.py
@@ -40,7 +40,10 @@
             self._rewrite(self.ledger.jobs[job_id])
 
     def _load_items(self, pages: dict[str, dict[str, Any]], revisions: dict[str, int]) -> set[str]:
-        """Load all items, and return the jobs that have items with another segment size."""
+        """Load the items of all pages; return the jobs that have items with another segment size.
+
+        An item holds the done tasks of one segment of a job, or of a part of the segment.
+        """
         other_size: set[str] = set()
         for key, content in pages.items():
             self.pages.load(key, content, revisions[key])
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -66,7 +66,7 @@
             context.ledger, policy, context.now(), network_silence(networks)
         )
         context.ledger.shared_silence = self.silence
-        self.peer_answers: dict[str, PeerAnswer] = {}  # by member
+        self.peer_answers: dict[str, PeerAnswer] = {}  # last answer of each member
 
     async def loop(self) -> None:
         """Observe the links until the term ends, then clear their metrics."""
--- a/src/salthead/leader/save_loop.py
+++ b/src/salthead/leader/save_loop.py
@@ -33,7 +33,7 @@
         }
 
     async def loop(self) -> None:
-        """Write these records until the term ends; outcomes do not wait for them."""
+        """Write the changes until the term ends; outcomes do not wait for these writes."""
         while True:
             await self.context.sleep_with_jitter(SAVE_INTERVAL_S)
             try:
--- a/src/salthead/scheduling/queue_order.py
+++ b/src/salthead/scheduling/queue_order.py
@@ -22,9 +22,10 @@
 
 # The protocol requires that even the largest jobs of a class begin within four minutes.
 BEGIN_WITHIN_S = 240.0
-# Share of that time after which a job is placed before all others of its rank.
+# Share of ``BEGIN_WITHIN_S`` after which a job is placed before all others of its rank.
 START_OVERDUE_SHARE = 0.5
-# Share of that time after which quota is reserved for a gang, for one gang of a team at a time.
+# Share of ``BEGIN_WITHIN_S`` after which quota is reserved for a gang, for one gang of a team at a
+# time.
 RESERVE_AFTER_SHARE = 0.25
 MIN_TASK_CPUS = 0.1  # least CPUs by which a task's work is weighted
 
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -28,7 +28,7 @@
 # First pause before a job that found no candidate is retried. The pause doubles with each attempt,
 # up to one heartbeat interval.
 FIRST_RETRY_PAUSE_S = 2.0
-QUOTA_LOG_INTERVAL_S = 10.0  # between two entries of a team at level info
+QUOTA_LOG_INTERVAL_S = 10.0  # time between two log entries of a team at level info
 
 
 def schedule(ledger: Ledger, rng: random.Random, now: float) -> list[Job]:
