--- a/src/salthead/leader/done_task_pages.py
+++ b/src/salthead/leader/done_task_pages.py
@@ -40,7 +40,10 @@
             self._rewrite(self.ledger.jobs[job_id])
 
     def _load_items(self, pages: dict[str, dict[str, Any]], revisions: dict[str, int]) -> set[str]:
-        """Load all items, and return the jobs that have items with another segment size."""
+        """Load the items of all pages; return the jobs that have items with another segment size.
+
+        An item holds the done tasks of one segment of a job, or of a part of the segment.
+        """
         other_size: set[str] = set()
         for key, content in pages.items():
             self.pages.load(key, content, revisions[key])
@@ -69,8 +72,9 @@
         starts: dict[int, None] = dict.fromkeys(layout.item_start(index) for index in changed)
         prerequisites: list[str] = []
         for start in sorted(starts, reverse=True):
-            # The first item of a segment, whose name every version reads, is written after the
-            # others: the stored one may still contain all of their tasks.
+            # The stored first item of a segment, whose name every version reads, may still hold the
+            # done tasks of the whole segment. It is replaced no earlier than the other items are
+            # written; otherwise a leader that stops in between would lose their done tasks.
             end = min(layout.item_end(start), job.spec.task_count)
             name = layout.item_name(job.job_id, start)
             first = start % layout.segment_size == 0
