--- a/src/salthead/autoscaling/fleet_plan.py
+++ b/src/salthead/autoscaling/fleet_plan.py
@@ -6,7 +6,7 @@
 
 from salthead.autoscaling.capacity_backoff import CapacityBackoff
 from salthead.autoscaling.fleet_supply import Slot, SlotPool, current_supply
-from salthead.autoscaling.queue_demand import serving_span_s, soon_ready_jobs
+from salthead.autoscaling.queue_demand import min_busy_s_to_provision, soon_ready_jobs
 from salthead.autoscaling.queue_packing import QueuePacking
 from salthead.autoscaling.scale_in import FleetCounts, cordon_surplus, termination_reason
 from salthead.cluster.ledger import Ledger
@@ -65,7 +65,7 @@
 ) -> set[str]:
     """Add provisions for the queue to the plan; return the names of existing machines it needs."""
     queue = pending_jobs(ledger, guaranteed_job_ids(ledger), now)
-    span_s = serving_span_s(ledger, queue, now)
+    span_s = min_busy_s_to_provision(ledger, queue, now)
     ready_soon = soon_ready_jobs(ledger, now)
     slots: list[Slot] = []
     if queue or ready_soon:  # an empty queue needs no computation of the supply
--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -126,7 +126,7 @@
         if machine.phase == BOOTING:
             supply.slots.append(Slot(machine.kind, list(machine.capacity), machine))
         elif machine.phase == UP:
-            room = _add_expected_room(machine, run_s_by_job, soon_s, supply, now)
+            room = _expected_free_capacity(machine, run_s_by_job, soon_s, supply, now)
             supply.slots.append(Slot(machine.kind, room, machine))
     for kind, count in provisioning.items():
         supply.slots += [
@@ -149,7 +149,7 @@
     )
 
 
-def _add_expected_room(
+def _expected_free_capacity(
     machine: Machine, run_s_by_job: dict[str, float], soon_s: float, supply: Supply, now: float
 ) -> list[float]:
     """Return the capacity of a machine that is or will soon be free, and add it to the totals."""
--- a/src/salthead/autoscaling/queue_demand.py
+++ b/src/salthead/autoscaling/queue_demand.py
@@ -17,7 +17,7 @@
 MAX_BOOTING_SHARE = 0.25
 
 
-def serving_span_s(ledger: Ledger, queue: list[Job], now: float) -> float:
+def min_busy_s_to_provision(ledger: Ledger, queue: list[Job], now: float) -> float:
     """Return for how many seconds the queue must keep a machine busy to justify provisioning it.
 
     Work that the fleet gets to before a new machine has booted needs no new machine. Nor does work
--- a/src/salthead/autoscaling/queue_packing.py
+++ b/src/salthead/autoscaling/queue_packing.py
@@ -39,7 +39,7 @@
         self.offered = offered_kinds(ledger)
         self.new_slots: list[Slot] = []
         self.remaining_quota: dict[int, list[float]] = {
-            team: [limit[n] - ledger.usage[team][n] for n in range(2)]
+            team: [limit[n] - ledger.allocated_by_team[team][n] for n in range(2)]
             for team, limit in enumerate(ledger.team_limits)
         }
 
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -238,7 +238,7 @@
     return (
         shared_silence.is_partitioned(machine)
         or links.last_received_at >= now - lease_s
-        or links.command_confirmed_at >= max(links.command_failed_at, now - lease_s)
+        or links.confirmed_command_sent_at >= max(links.command_failed_at, now - lease_s)
     )
 
 
--- a/src/salthead/cli/job_options.py
+++ b/src/salthead/cli/job_options.py
@@ -15,7 +15,7 @@
 
 Command = Callable[..., Any]
 
-OLD_PREFIX = "old_"  # of the parameter names of deprecated flags
+DEPRECATED_PARAMETER_PREFIX = "old_"  # of the parameter names of deprecated flags
 
 
 @dataclass(frozen=True)
@@ -139,7 +139,9 @@
         command = click.option(option.flag, option.field, **settings)(command)
         if option.old_flag is not None:
             hidden = settings | {"hidden": True}
-            command = click.option(option.old_flag, OLD_PREFIX + option.field, **hidden)(command)
+            command = click.option(
+                option.old_flag, DEPRECATED_PARAMETER_PREFIX + option.field, **hidden
+            )(command)
     return command
 
 
@@ -157,7 +159,9 @@
     for name, value in option_values.items():
         if value is None or value is False or value == ():
             continue
-        job[name.removeprefix(OLD_PREFIX)] = list(value) if isinstance(value, tuple) else value
+        job[name.removeprefix(DEPRECATED_PARAMETER_PREFIX)] = (
+            list(value) if isinstance(value, tuple) else value
+        )
     return job
 
 
--- a/src/salthead/cluster/allocations.py
+++ b/src/salthead/cluster/allocations.py
@@ -32,7 +32,7 @@
         self.invariants = invariants
         self.events = jobs.events
         self.attempts = 0  # in this term
-        self.usage = [[0.0, 0.0] for _ in teams]  # allocated CPUs and GPUs, by team
+        self.allocated_by_team = [[0.0, 0.0] for _ in teams]  # allocated CPUs and GPUs, by team
         self.team_limits = [(team.max_cpus, team.max_gpus) for team in teams]
         self.bound_by_priority = [0] * len(wire_names.URGENCIES)  # number of bound tasks
         self.stops: list[Binding] = []  # requested since the last call of take_stops
@@ -57,7 +57,7 @@
                 machine.allocated = ResourceUsage()
         self.capacity_index.reindex(machine)
         if team >= 0:
-            usage = self.usage[team]
+            usage = self.allocated_by_team[team]
             usage[0] = max(0.0, usage[0] + sign * request.cpus)
             usage[1] = max(0.0, usage[1] + sign * request.gpus)
 
--- a/src/salthead/cluster/dependencies.py
+++ b/src/salthead/cluster/dependencies.py
@@ -46,7 +46,7 @@
     def add_job(self, job: Job) -> None:
         """Add a job to the graph; make it ready, blocked or cancelled by its dependencies."""
         spec, depends_on = job.spec, job.spec.depends_on or []
-        job.since = job.submitted
+        job.since = job.submitted_at
         due = (
             (math.inf, math.inf)
             if spec.deadline_s is None
@@ -80,8 +80,8 @@
             if objective.job_class == job.spec.job_class
         ]
         return (
-            job.submitted + deadline_s * min(times, default=1.0),
-            job.submitted + deadline_s * max(times, default=1.0),
+            job.submitted_at + deadline_s * min(times, default=1.0),
+            job.submitted_at + deadline_s * max(times, default=1.0),
         )
 
     def _set_ready_time(self, job: Job) -> None:
@@ -89,7 +89,7 @@
         depends_on = job.spec.depends_on or []
         job.since = max(
             [
-                job.submitted,
+                job.submitted_at,
                 *(at for job_id in depends_on if (at := done_at.get(job_id)) is not None),
             ]
         )
--- a/src/salthead/cluster/invariants.py
+++ b/src/salthead/cluster/invariants.py
@@ -47,7 +47,7 @@
     term_started_at: float
     team_names: Interner
     team_limits: list[tuple[float, float]]
-    usage: list[list[float]]
+    allocated_by_team: list[list[float]]
     jobs: dict[str, Job]
     machines: dict[str, Machine]
     unknown_jobs: set[str]
@@ -108,7 +108,7 @@
     def _within_limit(self, job: Job, evidence: dict[str, object]) -> bool:
         ledger = self.ledger
         silent = ledger.unreconciled_capacity()
-        usage, limit = ledger.usage[job.team], ledger.team_limits[job.team]
+        usage, limit = ledger.allocated_by_team[job.team], ledger.team_limits[job.team]
         fits = all(
             not job.request[n] or usage[n] + silent[n] + job.request[n] <= limit[n] + EPSILON * 10
             for n in range(2)
@@ -171,7 +171,7 @@
 
     def _audit_teams(self) -> None:
         ledger = self.ledger
-        totals = [[0.0, 0.0] for _ in ledger.usage]
+        totals = [[0.0, 0.0] for _ in ledger.allocated_by_team]
         for job in ledger.jobs.values():
             for n in range(2):
                 totals[job.team][n] += job.request[n] * len(job.bindings)
@@ -179,7 +179,7 @@
             for orphan in machine.orphans.values():
                 for n in range(2 if orphan.team >= 0 else 0):
                     totals[orphan.team][n] += orphan.request[n]
-        for team, (total, usage) in enumerate(zip(totals, ledger.usage, strict=True)):
+        for team, (total, usage) in enumerate(zip(totals, ledger.allocated_by_team, strict=True)):
             if any(abs(a - b) > AUDIT_TOLERANCE for a, b in zip(total, usage, strict=True)):
                 name = ledger.team_names[team]
                 self._report_broken(Invariant.TOTALS_AGREE, team=name, sum=total, booked=usage)
--- a/src/salthead/cluster/job_table.py
+++ b/src/salthead/cluster/job_table.py
@@ -41,14 +41,14 @@
         self.ended_jobs: dict[str, tuple[int, Resources]] = {}  # team and request by job id
 
     def add(
-        self, spec: Submission, now: float, submitted: float, accepted_this_term: bool
+        self, spec: Submission, now: float, submitted_at: float, accepted_this_term: bool
     ) -> Job | None:
         """Add an accepted job; return None if the settings lack its team."""
         team = self.team_names.get(spec.team)
         if team is None:
             event(log, "team_unknown", logging.WARNING, job=spec.job_id, team=spec.team)
             return None
-        job = self._build_job(spec, team, submitted, accepted_this_term)
+        job = self._build_job(spec, team, submitted_at, accepted_this_term)
         self.jobs[spec.job_id] = job
         if accepted_this_term:
             self.arrivals.record_arrival(now)
@@ -59,7 +59,7 @@
         return job
 
     def _build_job(
-        self, spec: Submission, team: int, submitted: float, accepted_this_term: bool
+        self, spec: Submission, team: int, submitted_at: float, accepted_this_term: bool
     ) -> Job:
         registry = self.registry
         allowed_types = None
@@ -74,7 +74,7 @@
             request=Resources(spec.vcpus, spec.accelerators, spec.ram_gb),
             allowed_types=allowed_types,
             zone=None if spec.zone is None else registry.zones.intern(spec.zone),
-            submitted=submitted,
+            submitted_at=submitted_at,
             done=bytearray(spec.task_count),
             accepted_this_term=accepted_this_term,
         )
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -96,7 +96,7 @@
         self.capacities = registry.capacities
         self.capacity_index = registry.capacity_index
         self.machines = registry.machines
-        self.unregistered = registry.unregistered
+        self.unstored_machines = registry.unstored_machines
         self.recently_gone = registry.recently_gone
         self.failover = Failover(registry, self.fencing_token, now)
 
@@ -115,12 +115,12 @@
         allocations = self.allocations = Allocations(
             self.limits.teams, self.fencing_token, self.job_table, self.invariants
         )
-        self.usage = allocations.usage
+        self.allocated_by_team = allocations.allocated_by_team
         self.team_limits = allocations.team_limits
         self.bound_by_priority = allocations.bound_by_priority
         self.orphans = OrphanTasks(self.job_table, allocations)
         self.unknown_jobs = self.orphans.unknown_jobs
-        self.orphan_jobs = self.orphans.count_by_job
+        self.orphan_task_counts = self.orphans.count_by_job
         self.dependencies = JobDependencies(self.job_table, allocations, self.limits.objectives)
         self.dependency_graph = self.dependencies.graph
         self.pending_aborts = self.dependencies.pending_aborts
@@ -194,8 +194,8 @@
         existing = self.jobs.get(spec.job_id)
         if existing is not None:
             return existing
-        submitted = min(now, spec.at - self.wall_clock_offset_s) if spec.at else now
-        job = self.job_table.add(spec, now, submitted, accepted_this_term)
+        submitted_at = min(now, spec.at - self.wall_clock_offset_s) if spec.at else now
+        job = self.job_table.add(spec, now, submitted_at, accepted_this_term)
         if job is not None:
             self.dependencies.add_job(job)
             self.events.changed()
--- a/src/salthead/cluster/machine_registry.py
+++ b/src/salthead/cluster/machine_registry.py
@@ -30,7 +30,7 @@
         self.machines: dict[str, Machine] = {}
         # Machines that the state service does not know yet. The loop that registers them runs ten
         # times a second and would otherwise scan all machines.
-        self.unregistered: dict[Machine, None] = {}
+        self.unstored_machines: dict[Machine, None] = {}
         self.recently_gone: dict[str, float] = {}  # names of terminated machines, and when
         self.largest_fleet = 0  # most machines known at once in this term
         self.next_index = 0  # of Machine.index
@@ -75,14 +75,14 @@
         machine.index = self.next_index
         self.next_index += 1
         self.machines[name] = machine
-        self.unregistered[machine] = None
+        self.unstored_machines[machine] = None
         self.largest_fleet = max(self.largest_fleet, len(self.machines))
         return machine
 
     def mark_registered(self, machine: Machine) -> None:
         """Record that the state service knows the machine, which may then be given work."""
         machine.registered = True
-        self.unregistered.pop(machine, None)
+        self.unstored_machines.pop(machine, None)
 
     def set_phase(self, machine: Machine, phase: MachinePhase) -> None:
         """Set a machine's phase and reindex it."""
@@ -93,7 +93,7 @@
         """Remove a machine that the cloud has terminated; remember its name."""
         self.capacity_index.reserved.pop(machine, None)
         self.machines.pop(machine.name, None)
-        self.unregistered.pop(machine, None)
+        self.unstored_machines.pop(machine, None)
         self.recently_gone[machine.name] = now
         if len(self.recently_gone) > max(
             MIN_REMEMBERED_MACHINES, REMEMBERED_FLEET_SIZES * self.largest_fleet
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -217,7 +217,7 @@
     request: Resources
     allowed_types: frozenset[int] | None  # None: any
     zone: int | None
-    submitted: float  # in the ledger's monotonic time
+    submitted_at: float  # in the ledger's monotonic time
     since: float = 0.0  # when it became ready: submitted, or its last dependency was done
     done: bytearray = field(default_factory=bytearray)  # by task index: 1 if the task is done
     n_done: int = 0
--- a/src/salthead/cluster/start_rules.py
+++ b/src/salthead/cluster/start_rules.py
@@ -19,7 +19,7 @@
     """
     return (
         not job.failed
-        and job.job_id not in ledger.orphan_jobs
+        and job.job_id not in ledger.orphan_task_counts
         and job.waiting() > 0
         and ledger.may_schedule(job)
     )
@@ -45,7 +45,7 @@
     """
     if ledger.unknown_jobs:
         return 0  # the team of an orphan task is not known yet
-    usage, limit = ledger.usage[job.team], ledger.team_limits[job.team]
+    usage, limit = ledger.allocated_by_team[job.team], ledger.team_limits[job.team]
     task_count = float(job.spec.task_count)
     for n in range(2):
         if job.request[n] > 0:
--- a/src/salthead/controller/job_status.py
+++ b/src/salthead/controller/job_status.py
@@ -55,7 +55,7 @@
             held |= OUTCOMES_DETERMINATE
         return (
             self._status_with_progress(term, job_id)
-            if permits(Action.REPORT_STATUS, held)
+            if permits(Action.ANSWER_JOB_STATUS, held)
             else None
         )
 
@@ -75,7 +75,7 @@
         """Return a job's status; None if the job was never accepted."""
         status = self.from_memory(job_id)
         if status is None and self.leader_view.leading() is None:
-            status = await self.leader_calls.job_status(
+            status = await self.leader_calls.query_or_cancel_job(
                 wire_names.PEER_STATUS_PATH, job_id, STATUS_TIMEOUT_S
             )
         return status if status is not None else await self.job_reader.read_status(job_id)
@@ -92,7 +92,7 @@
         term = self.leader_view.leading()
         if term is not None:
             return await term.cancel(job_id)
-        status = await self.leader_calls.job_status(
+        status = await self.leader_calls.query_or_cancel_job(
             wire_names.PEER_CANCEL_PATH, job_id, CANCEL_TIMEOUT_S
         )
         if status is not None:
--- a/src/salthead/controller/leader_calls.py
+++ b/src/salthead/controller/leader_calls.py
@@ -26,7 +26,7 @@
         self.leader_view = leader_view
         self.job_cache = job_cache
 
-    async def job_status(self, path: str, job_id: str, timeout: float) -> JobStatus | None:
+    async def query_or_cancel_job(self, path: str, job_id: str, timeout: float) -> JobStatus | None:
         """Poll or cancel a job at the leader, by ``path``; None without a usable answer."""
         peer = self.context.peers.get(self.leader_view.member or "")
         if peer is None:
--- a/src/salthead/failure_detection/link_diagnosis.py
+++ b/src/salthead/failure_detection/link_diagnosis.py
@@ -49,8 +49,8 @@
         responses_arrive = machine.unresponsive_since is None and not links.unaccepted_answers
         return LinkState.BOTH_WAYS if responses_arrive else LinkState.HEARTBEATS_ONLY
     commands_arrive = (
-        links.command_confirmed_at > links.command_failed_at
-        and now - links.command_confirmed_at <= fresh_s
+        links.confirmed_command_sent_at > links.command_failed_at
+        and now - links.confirmed_command_sent_at <= fresh_s
     )
     return LinkState.COMMANDS_ONLY if commands_arrive else LinkState.SILENT
 
@@ -68,7 +68,9 @@
         counts[group][state] += 1
         if state is not LinkState.BOTH_WAYS:
             confirmed_at = max(
-                machine.last_heartbeat_at, machine.links.answer_confirmed_at, machine.provisioned_at
+                machine.last_heartbeat_at,
+                machine.links.confirmed_answer_sent_at,
+                machine.provisioned_at,
             )
             failing_s[group] = max(failing_s[group], now - confirmed_at)
     return [
--- a/src/salthead/failure_detection/links.py
+++ b/src/salthead/failure_detection/links.py
@@ -16,17 +16,15 @@
 class WorkerLinks:
     """Evidence for the link to one worker; times are seconds of this controller's monotonic clock.
 
-    ``answer_confirmed_at`` and ``command_confirmed_at`` are the times when the confirmed message
-    was sent. The time when a heartbeat was sent is known only to its worker, so
+    ``confirmed_answer_sent_at`` and ``confirmed_command_sent_at`` are the times when the confirmed
+    message was sent. The time when a heartbeat was sent is known only to its worker, so
     ``last_received_at`` is its arrival.
     """
 
     # Arrival of the latest heartbeat that was newer than every acknowledged one.
     last_received_at: float = -math.inf
-    answer_confirmed_at: float = (
-        -math.inf
-    )  # sending of the latest answer that was certainly accepted
-    command_confirmed_at: float = -math.inf  # sending of the latest direct call that was answered
+    confirmed_answer_sent_at: float = -math.inf  # of the latest answer that was certainly accepted
+    confirmed_command_sent_at: float = -math.inf  # of the latest direct call that was answered
     command_failed_at: float = -math.inf  # sending of the latest direct call that was not
     unaccepted_answers: int = 0  # consecutive answers that were certainly not accepted
     # The newest heartbeat that was acknowledged under this term's token, and when.
@@ -64,7 +62,7 @@
             and incarnation == self.acknowledged_incarnation
             and sequence == self.acknowledged_sequence + 1
         ):
-            self.answer_confirmed_at = self.acknowledged_at
+            self.confirmed_answer_sent_at = self.acknowledged_at
             self.unaccepted_answers = 0
         return False
 
@@ -99,7 +97,7 @@
 
     def command_answered(self, sent_at: float) -> None:
         """Record that the direct call sent at ``sent_at`` was answered."""
-        self.command_confirmed_at = max(self.command_confirmed_at, sent_at)
+        self.confirmed_command_sent_at = max(self.confirmed_command_sent_at, sent_at)
         self.unaccepted_answers = 0
 
     def command_failed(self, sent_at: float) -> None:
@@ -108,4 +106,6 @@
 
     def unreachable(self) -> bool:
         """Return whether, by the latest evidence, neither answers nor direct calls arrive."""
-        return self.unaccepted_answers > 0 and self.command_failed_at > self.command_confirmed_at
+        return (
+            self.unaccepted_answers > 0 and self.command_failed_at > self.confirmed_command_sent_at
+        )
--- a/src/salthead/failure_detection/preconditions.py
+++ b/src/salthead/failure_detection/preconditions.py
@@ -57,7 +57,7 @@
     START = auto()
     STOP = auto()
     REAP_RESULT = auto()
-    REPORT_STATUS = auto()
+    ANSWER_JOB_STATUS = auto()
     CONFIRM_CANCELLATION = auto()
     DECLARE_LOST = auto()
     SCHEDULE = auto()
@@ -82,7 +82,7 @@
         | Precondition.TOKEN_ACCEPTED,
         Action.STOP: Precondition.LEADER_LEASE | Precondition.TOKEN_ACCEPTED,
         Action.REAP_RESULT: Precondition.OUTCOME_DURABLE,
-        Action.REPORT_STATUS: Precondition.JOBS_KNOWN | Precondition.OUTCOMES_DETERMINATE,
+        Action.ANSWER_JOB_STATUS: Precondition.JOBS_KNOWN | Precondition.OUTCOMES_DETERMINATE,
         Action.CONFIRM_CANCELLATION: Precondition.OUTCOME_DURABLE,
         Action.DECLARE_LOST: Precondition.LEADER_LEASE | Precondition.WORKER_LEASE_EXPIRED,
         Action.SCHEDULE: Precondition.LEADER_LEASE | Precondition.TASK_NOWHERE,
@@ -116,7 +116,7 @@
 # interface keep them.
 _PUBLISHED_ACTION_NAMES = {
     Action.ACKNOWLEDGE_HEARTBEAT: "answer_report",
-    Action.REPORT_STATUS: "tell_status",
+    Action.ANSWER_JOB_STATUS: "tell_status",
     Action.DECLARE_LOST: "judge_lost",
     Action.SCHEDULE: "place",
     Action.PROVISION: "hire",
--- a/src/salthead/heartbeats/handling.py
+++ b/src/salthead/heartbeats/handling.py
@@ -58,7 +58,7 @@
         # heartbeats at 570 machines.
         links = machine.links
         if heartbeat.sequence == links.acknowledged_sequence + 1 and ledger.other_controllers:
-            links.answer_confirmed_at = links.acknowledged_at
+            links.confirmed_answer_sent_at = links.acknowledged_at
             links.unaccepted_answers = 0
         links.acknowledged_incarnation = heartbeat.incarnation
         links.acknowledged_sequence = machine.sequence = heartbeat.sequence
--- a/src/salthead/leader/autoscaler.py
+++ b/src/salthead/leader/autoscaler.py
@@ -26,7 +26,7 @@
 
 MAX_TERMINATE_BATCH = 100  # machines per call
 PROVISION_ATTEMPTS = 4
-RETRY_S = 1.0
+RETRY_DELAY_S = 1.0
 # A job that finds no machine triggers the next plan at once, but not before the minimum.
 PLAN_INTERVAL_S, MIN_PLAN_INTERVAL_S = 1.0, 0.4
 
@@ -142,7 +142,7 @@
                 names = await self.cloud.provision(request)
             except UnansweredError as error:
                 self.context.log_throttled("hire", error)
-                await self.context.sleep_with_jitter(RETRY_S)
+                await self.context.sleep_with_jitter(RETRY_DELAY_S)
                 continue
             except RequestRefusedError as error:
                 self.context.log_throttled("hire", error)
@@ -165,7 +165,7 @@
             await self.cloud.terminate([decision.machine.name for decision in justified])
         except RETRYABLE_ERRORS as error:
             self.context.log_throttled("return", error)
-            await self.context.sleep_with_jitter(RETRY_S)
+            await self.context.sleep_with_jitter(RETRY_DELAY_S)
             return
         finally:
             for decision in decisions:
--- a/src/salthead/leader/done_task_pages.py
+++ b/src/salthead/leader/done_task_pages.py
@@ -66,9 +66,9 @@
     def put(self, job: Job, changed: Iterable[int]) -> None:
         """Update the items on the pages that hold the changed tasks."""
         layout = self.layout
-        starts: dict[int, None] = dict.fromkeys(layout.item_start(index) for index in changed)
+        item_starts: dict[int, None] = dict.fromkeys(layout.item_start(index) for index in changed)
         prerequisites: list[str] = []
-        for start in sorted(starts, reverse=True):
+        for start in sorted(item_starts, reverse=True):
             # The first item of a segment, whose name every version reads, is written after the
             # others: the stored one may still contain all of their tasks.
             end = min(layout.item_end(start), job.spec.task_count)
--- a/src/salthead/leader/fleet_metrics.py
+++ b/src/salthead/leader/fleet_metrics.py
@@ -93,7 +93,7 @@
         silent = 0.0 if self.ledger.ready else self.ledger.failover.unreconciled_capacity()[0]
         for team, name in enumerate(self.ledger.team_names.names):
             for label, cpus in (
-                ("booked", self.ledger.usage[team][0]),
+                ("booked", self.ledger.allocated_by_team[team][0]),
                 ("silent", silent),
                 ("limit", self.ledger.team_limits[team][0]),
             ):
--- a/src/salthead/leader/leadership.py
+++ b/src/salthead/leader/leadership.py
@@ -148,7 +148,7 @@
             )
             heard_by_peer = max(
                 (
-                    connectivity.redirected_count
+                    connectivity.redirected_workers
                     for connectivity in answers
                     if connectivity is not None
                 ),
--- a/src/salthead/leader/link_loop.py
+++ b/src/salthead/leader/link_loop.py
@@ -126,7 +126,7 @@
                     member=member,
                     answered_s=round(now - answer.asked_at, 1),
                     state_service_s=_rounded(answer.connectivity.state_service_silence_s),
-                    redirected_workers=answer.connectivity.redirected_count,
+                    redirected_workers=answer.connectivity.redirected_workers,
                 )
                 for member, answer in self.peer_answers.items()
             ],
--- a/src/salthead/leader/machine_registry_records.py
+++ b/src/salthead/leader/machine_registry_records.py
@@ -81,9 +81,9 @@
             await self.context.sleep_with_jitter(CHECK_INTERVAL_S)
 
     def _put_unregistered(self) -> None:
-        """Put unregistered machines that are up or were seen in an earlier term on the pages."""
+        """Put unstored machines that are up or were seen in an earlier term on the pages."""
         ledger = self.ledger
-        for machine in ledger.unregistered:
+        for machine in ledger.unstored_machines:
             if machine.phase == UP or machine.seen_in_earlier_term:
                 self.pages.set(
                     machine.name,
@@ -98,10 +98,10 @@
                 )
 
     def _has_new_machines(self) -> bool:
-        """Return whether an unregistered machine is on a page that has not been written."""
+        """Return whether an unstored machine is on a page that has not been written."""
         return any(
             self.pages.page_of.get(machine.name) in self.pages.dirty
-            for machine in self.ledger.unregistered
+            for machine in self.ledger.unstored_machines
         )
 
     def _mark_registered(self, batch: PageBatch) -> None:
--- a/src/salthead/leader/orphan_jobs.py
+++ b/src/salthead/leader/orphan_jobs.py
@@ -9,7 +9,7 @@
 CHECK_INTERVAL_S = 0.5
 
 
-class OrphanJobsLoop:
+class UnknownJobLookupLoop:
     """Reads the outcomes of jobs that have orphan tasks and are not in the ledger."""
 
     def __init__(self, context: TermContext) -> None:
--- a/src/salthead/leader/peer_calls.py
+++ b/src/salthead/leader/peer_calls.py
@@ -27,7 +27,7 @@
 class PeerConnectivity:
     """The connectivity that a peer reports."""
 
-    redirected_count: int  # workers that recently sent heartbeats to it although it does not lead
+    redirected_workers: int  # workers that recently sent heartbeats to it although it does not lead
     state_service_silence_s: float | None  # seconds since the state service last answered it
     heartbeats: list[PeerHeartbeat]  # recently received although it does not lead
 
@@ -47,9 +47,9 @@
         return None
     if answer.status != 200:
         return None
-    redirected, served = answer.body.get("knocks"), answer.body.get("served_s")
+    redirected_workers, served = answer.body.get("knocks"), answer.body.get("served_s")
     return PeerConnectivity(
-        redirected if type(redirected) is int else 0,
+        redirected_workers if type(redirected_workers) is int else 0,
         served if type(served) is float else None,
         _decode_peer_heartbeats(answer.body.get("seen")),
     )
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -25,7 +25,7 @@
 from salthead.leader.machine_list import MachineListLoop
 from salthead.leader.machine_registry_records import MachineRegistryRecords
 from salthead.leader.machine_type_records import MachineTypeRecords
-from salthead.leader.orphan_jobs import OrphanJobsLoop
+from salthead.leader.orphan_jobs import UnknownJobLookupLoop
 from salthead.leader.outcomes import Outcomes
 from salthead.leader.save_loop import SaveLoop
 from salthead.leader.scheduling_loop import SchedulingLoop
@@ -153,7 +153,7 @@
             context, job_reader, controller.remember_outcome, self.worker_calls, self.save_loop
         )
         self.cancellations = Cancellations(context, job_reader, self.job_records, self.outcomes)
-        self.orphan_jobs = OrphanJobsLoop(context)
+        self.orphan_jobs = UnknownJobLookupLoop(context)
         self.zone_lease_delegations = ZoneLeaseDelegations(
             context,
             _enabled_partial_cut_policy(controller) is not None,
--- a/src/salthead/leader/views.py
+++ b/src/salthead/leader/views.py
@@ -93,7 +93,7 @@
         return [
             TeamRow(
                 name=name,
-                cpus=round(ledger.usage[team][0], 3),
+                cpus=round(ledger.allocated_by_team[team][0], 3),
                 guaranteed=ledger.guarantees[team][0],
                 limit=ledger.team_limits[team][0],
             )
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -34,11 +34,11 @@
     """
     remaining = iter(machines)
 
-    async def call_next() -> None:
+    async def call_remaining() -> None:
         for machine in remaining:
             await call(machine)
 
-    await asyncio.gather(*(call_next() for _ in range(slots)))
+    await asyncio.gather(*(call_remaining() for _ in range(slots)))
 
 
 class WorkerCalls:
--- a/src/salthead/policy.py
+++ b/src/salthead/policy.py
@@ -65,15 +65,15 @@
 
 NO_POLICY = Policy()
 
-Rule = tuple[Callable[[float], bool], str]
+ValidationRule = tuple[Callable[[float], bool], str]
 
 # Validation rules for the entries, by their names in the file.
-SHARE: Rule = (lambda value: 0 < value <= 1, "must be greater than 0 and at most 1")
-POSITIVE: Rule = (lambda value: value > 0, "must be greater than 0")
-NOT_NEGATIVE: Rule = (lambda value: value >= 0, "must not be negative")
-FACTOR: Rule = (lambda value: value >= 1, "must be at least 1")
+SHARE: ValidationRule = (lambda value: 0 < value <= 1, "must be greater than 0 and at most 1")
+POSITIVE: ValidationRule = (lambda value: value > 0, "must be greater than 0")
+NOT_NEGATIVE: ValidationRule = (lambda value: value >= 0, "must not be negative")
+FACTOR: ValidationRule = (lambda value: value >= 1, "must be at least 1")
 
-ZONE_RULES: dict[str, Rule] = {
+ZONE_RULES: dict[str, ValidationRule] = {
     "min_machines": POSITIVE,
     "suspect_share": SHARE,
     "lost_share": SHARE,
@@ -89,7 +89,7 @@
     "evacuation_most_s": NOT_NEGATIVE,
 }
 
-PARTIAL_CUT_RULES: dict[str, Rule] = {
+PARTIAL_CUT_RULES: dict[str, ValidationRule] = {
     "min_machines": POSITIVE,
     "shared_share": SHARE,
     "wait_boots": NOT_NEGATIVE,
@@ -97,7 +97,9 @@
 }
 
 
-def _check_numbers(section: str, parameters: msgspec.Struct, rules: dict[str, Rule]) -> None:
+def _check_numbers(
+    section: str, parameters: msgspec.Struct, rules: dict[str, ValidationRule]
+) -> None:
     entries = msgspec.to_builtins(parameters)
     for name, (is_valid, requirement) in rules.items():
         value = entries[name]
--- a/src/salthead/scheduling/preemption_rules.py
+++ b/src/salthead/scheduling/preemption_rules.py
@@ -69,7 +69,7 @@
         or (victim_job.gang and victim_job.preempted)
     ):
         return False
-    usage, guarantee = ledger.usage[victim_job.team], ledger.guarantees[victim_job.team]
+    usage, guarantee = ledger.allocated_by_team[victim_job.team], ledger.guarantees[victim_job.team]
     return usage[0] > guarantee[0] or usage[1] > guarantee[1]
 
 
@@ -95,7 +95,9 @@
         return True
     return job.job_id in guaranteed_ids and any(
         usage[n] > guarantee[n]
-        for team, (usage, guarantee) in enumerate(zip(ledger.usage, ledger.guarantees, strict=True))
+        for team, (usage, guarantee) in enumerate(
+            zip(ledger.allocated_by_team, ledger.guarantees, strict=True)
+        )
         if team != job.team
         for n in range(2)
     )
--- a/src/salthead/scheduling/queue_order.py
+++ b/src/salthead/scheduling/queue_order.py
@@ -82,7 +82,7 @@
         if objective.job_class != job.spec.job_class:
             continue
         if objective.kind == "deadline" and job.spec.deadline_s is not None:
-            start_by = job.submitted + job.spec.deadline_s * objective.times - run_s
+            start_by = job.submitted_at + job.spec.deadline_s * objective.times - run_s
         elif objective.kind == "finished":
             start_by = job.since + objective.within_s - run_s
         elif objective.kind == "wait" and not job.first_start:
@@ -95,7 +95,7 @@
         if due_at - run_s >= now:
             earliest = min(earliest, due_at - run_s)
     if earliest == math.inf and job.spec.deadline_s is not None:
-        start_by = job.submitted + job.spec.deadline_s - run_s
+        start_by = job.submitted_at + job.spec.deadline_s - run_s
         earliest = start_by if start_by >= now else math.inf
     return earliest
 
--- a/src/salthead/scheduling/scheduling_pass.py
+++ b/src/salthead/scheduling/scheduling_pass.py
@@ -127,7 +127,7 @@
         team=job.spec.team,
         job=job.job_id,
         fencing_token=ledger.fencing_token,
-        booked_cpus=ledger.usage[job.team][0],
+        booked_cpus=ledger.allocated_by_team[job.team][0],
         silent_cpus=unreconciled[0],
         limit_cpus=ledger.team_limits[job.team][0],
         kept_cpus=job.quota_reserved_ahead[0],
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -93,11 +93,13 @@
     led = ready(initial_size=3)
     links = machine(led, "m1").links
     handle_heartbeat(led, heartbeat("m1", 2), 2.0)
-    assert links.answer_confirmed_at == 0.0, "only the answer before this heartbeat is confirmed"
+    assert links.confirmed_answer_sent_at == 0.0, (
+        "only the answer before this heartbeat is confirmed"
+    )
     handle_heartbeat(led, heartbeat("m1", 4), 4.0)  # heartbeat 3 went to another controller
-    assert links.answer_confirmed_at == 0.0
+    assert links.confirmed_answer_sent_at == 0.0
     handle_heartbeat(led, heartbeat("m1", 5), 5.0)
-    assert links.answer_confirmed_at == 4.0
+    assert links.confirmed_answer_sent_at == 4.0
 
 
 @pytest.mark.parametrize(
@@ -163,7 +165,7 @@
     heard: float, calls: tuple[float, float], unresponsive: bool, expected: LinkState
 ) -> None:
     found = machine(ready(), "m1", heard)
-    found.links.command_confirmed_at, found.links.command_failed_at = calls
+    found.links.confirmed_command_sent_at, found.links.command_failed_at = calls
     found.unresponsive_since = 5.0 if unresponsive else None
     assert link_state(found, 10.0, 6.0) is expected
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -64,7 +64,7 @@
 
 def wrong_team_total(led: Ledger) -> None:
     bind(led)
-    led.usage[0][0] = 0.0
+    led.allocated_by_team[0][0] = 0.0
     sweep(led, AUDIT_INTERVAL_S + 1.0)
 
 
@@ -128,7 +128,7 @@
     handle_heartbeat(
         led, heartbeat("m1", 1, *((f"req-1/{n}", n + 1, "running") for n in range(8))), 0.5
     )
-    assert len(one.bindings) == 8 and led.usage[one.team][0] == 32.0
+    assert len(one.bindings) == 8 and led.allocated_by_team[one.team][0] == 32.0
 
 
 def test_a_start_that_is_not_wanted_any_more_is_withdrawn() -> None:
@@ -153,4 +153,7 @@
     bound_twice(led)
     one = led.jobs["req-1"]
     assert one.bindings[0].machine.name == "m2" and not led.machines["m1"].bindings
-    assert led.usage[one.team][0] == 4.0 and led.machines["m1"].allocated == ResourceUsage()
+    assert (
+        led.allocated_by_team[one.team][0] == 4.0
+        and led.machines["m1"].allocated == ResourceUsage()
+    )
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -174,7 +174,7 @@
         led.machine_gone(led.machines[name], 5.0)
     assert len(led.recently_gone) == LARGE > machine_registry.MIN_REMEMBERED_MACHINES
     assert all(handle_heartbeat(led, heartbeat(name, 2), 6.0) is None for name in names)
-    assert led.machines == {} and led.unregistered == {}
+    assert led.machines == {} and led.unstored_machines == {}
 
 
 def test_names_of_machines_that_went_long_ago_are_dropped() -> None:
@@ -187,11 +187,11 @@
 
 def test_the_roster_loop_looks_only_at_machines_that_the_service_does_not_know() -> None:
     led = booked_out_fleet(LARGE)
-    assert led.unregistered == {}
+    assert led.unstored_machines == {}
     new_machine = led.add_machine("m-new", "small", "north", False, 0.0)
-    assert list(led.unregistered) == [new_machine]
+    assert list(led.unstored_machines) == [new_machine]
     led.machine_registry.mark_registered(new_machine)
-    assert new_machine.registered and led.unregistered == {}
+    assert new_machine.registered and led.unstored_machines == {}
 
 
 @pytest.mark.parametrize(("value_kb", "most"), [(2.0, 160), (4.0, 80), (16.0, 20)])
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -60,7 +60,10 @@
     orders = handle_heartbeat(led, heartbeat("m1", 2, ("req-1/0", attempt, "exited", cause)), 1.0)
     assert one.waiting() == (1 if again else 0)
     assert bool(orders) == again, "all but done are reaped at once"
-    assert led.usage[one.team] == [0.0, 0.0] and led.machines["m1"].allocated == ResourceUsage()
+    assert (
+        led.allocated_by_team[one.team] == [0.0, 0.0]
+        and led.machines["m1"].allocated == ResourceUsage()
+    )
 
 
 def test_a_silent_machine_holds_task_quota_and_room_until_its_lease_is_over() -> None:
@@ -73,10 +76,10 @@
     )
     over = certainly_expired_at(1.0, led.limits.workers.lease_s)
     sweep(led, over - 0.01)
-    assert one.bindings and led.usage[one.team][0] == 8.0
+    assert one.bindings and led.allocated_by_team[one.team][0] == 8.0
     sweep(led, over + 0.01)
     assert led.machines["m1"].phase == LOST
-    assert not one.bindings and led.usage[one.team][0] == 0.0
+    assert not one.bindings and led.allocated_by_team[one.team][0] == 0.0
     # A late heartbeat of the expired incarnation revives neither the machine nor its task.
     assert handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", 1, "running")), over + 1.0) is None
     assert handle_heartbeat(led, heartbeat("m1", 4, incarnation=2), over + 2.0) == []
@@ -174,7 +177,7 @@
         sweep(led, 0.6)
         assert led.ready and one.waiting() == 0
         assert one.bindings[1].attempt == 33
-        assert led.usage[one.team][0] == 4.0
+        assert led.allocated_by_team[one.team][0] == 4.0
 
     def test_done_found_late_is_done_and_its_twin_is_stopped(self) -> None:
         led = ready()
@@ -279,9 +282,9 @@
         assert len(one.bindings) == 2, "the second start may be on its way"
         orders = handle_heartbeat(led, heartbeat("m1", 3, ("req-1/0", attempts[0], "running")), 2.0)
         assert verbs(orders) == [("stop", "req-1/0")]
-        assert "req-1" in led.jobs and led.usage[one.team][0] == 2.0
+        assert "req-1" in led.jobs and led.allocated_by_team[one.team][0] == 2.0
         handle_heartbeat(led, heartbeat("m1", 4), 3.0)
-        assert "req-1" not in led.jobs and led.usage[one.team][0] == 0.0
+        assert "req-1" not in led.jobs and led.allocated_by_team[one.team][0] == 0.0
         place(led, 9.0)
         assert not led.machines["m1"].bindings
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -348,7 +348,7 @@
         assert one.bindings[2].machine is spare and one.bindings[2].attempt == attempt
         assert one.bindings[1].machine is used[1], "its start was sent, so it may be running there"
         assert not one.failed and not used[2].bindings and used[2].allocated.cpus == 0.0
-        assert led.usage[one.team][0] == 24.0 and sum(led.bound_by_priority) == 3
+        assert led.allocated_by_team[one.team][0] == 24.0 and sum(led.bound_by_priority) == 3
         assert verbs(handle_heartbeat(led, heartbeat(spare.name, 4), 5.0)) == [("start", "req-1/2")]
 
     def test_a_member_stays_in_its_gangs_zone(self) -> None:
@@ -373,7 +373,7 @@
             handle_heartbeat(led, heartbeat("m1", 2), 0.1)
         placement.reschedule_unsent(led, random.Random(1), 4.0)
         assert len(one.bindings) == left
-        assert one.waiting() == 1 - left and led.usage[one.team][0] == 2.0 * left
+        assert one.waiting() == 1 - left and led.allocated_by_team[one.team][0] == 2.0 * left
 
     def test_room_made_on_a_machine_that_goes_silent_is_made_elsewhere(self) -> None:
         led = ready()
--- a/tests/wire_examples.py
+++ b/tests/wire_examples.py
@@ -198,7 +198,7 @@
     await controller.zone_lease_delegate._request_delegation()
     assert await ask_to_withhold_vote(controller.peers["n1"], "n0", 1.0)
     assert await ask_connectivity(controller.peers["n1"], leads=True) is not None
-    await controller.leader_calls.job_status("/peer/poll", "req-1", 1.0)
+    await controller.leader_calls.query_or_cancel_job("/peer/poll", "req-1", 1.0)
     await controller.state_store.renew_lease(LEASE, 1.0)
     await controller.state_store.list_prefix("job/")
     await controller.state_store.watch("job/", 3, 0.01)
