--- a/src/salthead/cluster/capacity_index.py
+++ b/src/salthead/cluster/capacity_index.py
@@ -9,7 +9,7 @@
 
 
 class CapacityIndex:
-    """Machines that are up by their free capacity, and machines reserved for a job."""
+    """Index of the machines that are up, by free capacity, and the reservations of machines."""
 
     def __init__(self) -> None:
         # Machines that are up, by kind and by their number of whole free CPUs. A pass scans only
--- a/src/salthead/cluster/estimates.py
+++ b/src/salthead/cluster/estimates.py
@@ -4,7 +4,7 @@
 
 
 class Estimates:
-    """Measured against estimated run times of completed tasks, by job class."""
+    """Measured and estimated run times of completed tasks, to correct estimates by job class."""
 
     PRIOR_S = 300.0  # weight of the prior that estimates are right, in seconds of run time
 
--- a/src/salthead/cluster/worker_leases.py
+++ b/src/salthead/cluster/worker_leases.py
@@ -39,10 +39,15 @@
         return certainly_expired_at(answered, self.workers.lease_s)
 
     def delegate_zone(self, area: str, until: float) -> bool:
-        """Count the leases of a zone from ``until`` or later; return whether they may be extended.
+        """Assume that another controller extends a zone's leases to ``until``; return if it may.
 
-        False if a task in the zone has to stop: a cancelled job's tasks have a time limit, and only
-        the expiry of the lease stops a task behind a network partition.
+        The leases then count as last extended at ``until`` or later. A later end that is already
+        assumed stays.
+
+        False if the zone is unknown, if the time limit of cancellations is less than two lease
+        durations, or if a task in the zone has to stop: a cancelled job's tasks have a time limit,
+        and only the expiry of the lease stops a task behind a network partition. In the first two
+        cases nothing is assumed.
         """
         zone = self.registry.zones.get(area)
         if zone is None:
--- a/src/salthead/controller/connectivity.py
+++ b/src/salthead/controller/connectivity.py
@@ -84,7 +84,8 @@
     def report(self, to_leader: bool = False) -> ConnectivityReport:
         """Return this controller's report on its links, for a peer.
 
-        ``to_leader``: with the latest heartbeats that were redirected, which the leader may lack.
+        With ``to_leader``, the report includes the latest redirected heartbeats, which the leader
+        may lack.
         """
         count = self.redirected_count()
         silence_s = self.context.now() - self.context.state_store.last_response_at
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -204,10 +204,10 @@
     # -- other controllers --------------------------------------------------------------
 
     async def _forward(self, job: Submission) -> SubmissionResult:
-        """Forward a job that this controller can't write to its peers, in turn.
+        """Forward a job to one peer after another, because this controller can't write it.
 
         The state service may refuse this controller alone. Writes are conditional on the job's id,
-        so that it is accepted only once even if several controllers try.
+        so that the job is accepted only once even if several controllers try.
         """
         if self.connectivity.refused_by_state_service():
             for peer in self.context.peers.values():
--- a/src/salthead/failure_detection/machine_sets.py
+++ b/src/salthead/failure_detection/machine_sets.py
@@ -86,7 +86,11 @@
         self.expired[zone].add(machine)
 
     def machine_terminated(self, zone: int, machine: int) -> None:
-        """Remove a terminated machine; an expired lease still counts until its window ends."""
+        """Remove a terminated machine from those present.
+
+        If its lease has expired, the machine remains among the known machines and the expired
+        leases of ``counts`` until the window of expired leases ends.
+        """
         self.present[zone].discard(machine)
 
     def counts(self, zone: int) -> MachineCounts:
--- a/src/salthead/failure_detection/preconditions.py
+++ b/src/salthead/failure_detection/preconditions.py
@@ -38,7 +38,7 @@
     TASK_NOWHERE = auto()
     # The outcome is written to the state service.
     OUTCOME_DURABLE = auto()
-    # No write of an outcome that the job depends on has an unknown result.
+    # The result is known of every write of an outcome on which the job's status depends.
     OUTCOMES_DETERMINATE = auto()
     # The reason for a decision still holds.
     REASON_HOLDS = auto()
--- a/src/salthead/failure_detection/shared_silence.py
+++ b/src/salthead/failure_detection/shared_silence.py
@@ -26,9 +26,9 @@
 # Window of the set of machines with recent heartbeats, in heartbeat intervals. A machine stays in
 # the set for one to two windows, so its silence is detected after two to four intervals.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
-# How long an expired lease counts towards a partition, in lease durations. The leases that one
-# partition ends all expire within one lease and a heartbeat interval, and the machines that are
-# terminated meanwhile have left the fleet.
+# How long an expired lease counts towards a partition, in lease durations. The leases that expire
+# because of one partition do so within one lease duration plus one heartbeat interval. Machines
+# that are terminated in that time have left the fleet and count only by their expired leases.
 EXPIRED_LEASES = 1.5
 FLEET = "fleet"
 
--- a/src/salthead/leader/machine_list.py
+++ b/src/salthead/leader/machine_list.py
@@ -52,7 +52,7 @@
         )
 
     async def read_list(self) -> int:
-        """Add all listed machines to the ledger, and return the number of calls that took."""
+        """Add all listed machines to the ledger; return the number of calls to read the list."""
         start = ""
         calls = 0
         while True:
--- a/src/salthead/leader/worker_calls.py
+++ b/src/salthead/leader/worker_calls.py
@@ -157,12 +157,12 @@
         return eligibility.FRESH_HEARTBEAT_INTERVALS * interval_s
 
     def _may_reconcile(self, machine: Machine) -> bool:
-        """Return whether an answered call may reconcile the machine.
+        """Return whether the leader may reconcile the machine by a direct call to its worker.
 
         A machine whose lease has expired gets work again only if its heartbeats arrive as well,
-        because start commands are sent in the answers to heartbeats. Without the call, a machine
-        that had received nothing for longer than a lease was never reconciled again; 98 such
-        machines were terminated in one run with one-way network failures.
+        because start commands are sent in the answers to heartbeats. Without direct calls, a
+        machine that had received nothing for longer than a lease was never reconciled again. In one
+        run with one-way network failures, 98 such machines were terminated.
         """
         if machine.reconciled:
             return False
--- a/src/salthead/scheduling/eligibility.py
+++ b/src/salthead/scheduling/eligibility.py
@@ -56,7 +56,8 @@
     """Return whether the job's specification lets it run on machines of this machine's kind.
 
     The conditions are those of ``allowed_kinds``, for one machine. Each heartbeat that frees
-    capacity checks the whole queue, and building a list for each job took 2% of its calls.
+    capacity checks the whole queue, and building a list for each job made up 2% of the function
+    calls for such a heartbeat.
     """
     return (
         (job.spec.spot or not machine.spot)
--- a/src/salthead/scheduling/queue_order.py
+++ b/src/salthead/scheduling/queue_order.py
@@ -71,7 +71,7 @@
 
 
 def reserves_quota_from_arrays(job: Job, now: float) -> bool:
-    """Return whether quota is reserved for a gang against arrays as well as other gangs.
+    """Return whether the quota reserved for a gang is withheld from arrays, not only from gangs.
 
     Arrays of small tasks use little quota, and many of them become late for each gang that begins
     sooner, so this is the last resort.
--- a/src/salthead/state_store/pages.py
+++ b/src/salthead/state_store/pages.py
@@ -58,7 +58,7 @@
 
     @staticmethod
     def _encoded_bytes(name: str, item: Any) -> int:
-        """Return the bytes that an item takes in the JSON text of its page.
+        """Return the number of bytes that an item takes in the JSON text of its page.
 
         Raises MalformedMessageError if the item can't be encoded.
         """
--- a/src/salthead/zones/evidence.py
+++ b/src/salthead/zones/evidence.py
@@ -12,10 +12,12 @@
 if TYPE_CHECKING:  # loads the library for networks only if the policy declares some
     from salthead.networks.silence import NetworkSilence, NetworkView
 
-# Generations of two heartbeat intervals: silence is detected after two to four intervals.
+# Window of the set of machines with recent heartbeats, in heartbeat intervals. A machine stays in
+# the set for one to two windows, so its silence is detected after two to four intervals.
 WINDOW_HEARTBEAT_INTERVALS = 2.0
-# How long an expired lease counts, in lease durations. The leases of a lost zone expire up to one
-# heartbeat interval apart, and a machine that is terminated at once has left the ledger by then.
+# How long an expired lease counts towards the loss of its zone, in lease durations. The leases of a
+# lost zone expire up to one heartbeat interval apart. A machine that is terminated as soon as its
+# lease expires has left the ledger before the last of them expires, but must still be counted.
 EXPIRED_LEASES = 3.0
 
 
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -69,7 +69,7 @@
         self.displaced_jobs.record_lost_tasks(bindings, now)
 
     def started(self, binding: Binding, now: float) -> None:
-        """Record that a heartbeat shows for the first time that a task has its image."""
+        """Record that a heartbeat shows for the first time that a task has fetched its image."""
         self.admission.task_started(binding, now)
 
     def failed(self, machine: Machine) -> None:
