--- a/src/salthead/autoscaling/fleet_supply.py
+++ b/src/salthead/autoscaling/fleet_supply.py
@@ -118,7 +118,7 @@
 def current_supply(ledger: Ledger, now: float, provisioning: dict[MachineKind, int]) -> Supply:
     """Return the capacity of machines that are up, booting or being provisioned."""
     supply = Supply()
-    soon_s = SOON_FREE_BOOTS * min_boot_s(ledger)
+    soon_free_within_s = SOON_FREE_BOOTS * min_boot_s(ledger)
     run_s_by_job = {job.job_id: ledger.run_s(job) for job in ledger.ready_jobs.values()}
     for machine in ledger.machines.values():
         if not _is_usable(ledger, machine, now):
@@ -126,7 +126,7 @@
         if machine.phase == BOOTING:
             supply.slots.append(Slot(machine.kind, list(machine.capacity), machine))
         elif machine.phase == UP:
-            room = _expected_free_capacity(machine, run_s_by_job, soon_s, supply, now)
+            room = _expected_free_capacity(machine, run_s_by_job, soon_free_within_s, supply, now)
             supply.slots.append(Slot(machine.kind, room, machine))
     for kind, count in provisioning.items():
         supply.slots += [
@@ -150,7 +150,11 @@
 
 
 def _expected_free_capacity(
-    machine: Machine, run_s_by_job: dict[str, float], soon_s: float, supply: Supply, now: float
+    machine: Machine,
+    run_s_by_job: dict[str, float],
+    soon_free_within_s: float,
+    supply: Supply,
+    now: float,
 ) -> list[float]:
     """Return the capacity of a machine that is or will soon be free, and add it to the totals."""
     room = machine.free()
@@ -164,7 +168,7 @@
             remaining_s = remaining_run_s(
                 run_s_by_job.get(job.job_id, math.inf), now - binding.started
             )
-        if remaining_s <= soon_s:
+        if remaining_s <= soon_free_within_s:
             supply.cpus += binding.request.cpus
             supply.wait_cpu_s += remaining_s * binding.request.cpus
             for n in range(3):
--- a/src/salthead/autoscaling/scale_in.py
+++ b/src/salthead/autoscaling/scale_in.py
@@ -26,7 +26,8 @@
 SILENCE_REASONS = frozenset({LOST_REASON, SILENT_REASON})
 # Other reasons for a termination.
 STALE_HEARTBEATS_REASON, UNRESPONSIVE_REASON = "only old reports", "unresponsive"
-NEVER_UP_REASON, RECLAIMED_REASON, SURPLUS_REASON = "never came up", "taken soon", "not needed"
+NEVER_UP_REASON, RECLAIM_ANNOUNCED_REASON = "never came up", "taken soon"
+SURPLUS_REASON = "not needed"
 NO_TERMINATION = ""  # the machine is not to be terminated
 # A machine is surplus once it was not needed for this multiple of its boot time. The shorter time
 # applies where all guaranteed work starts in time, since less spare capacity would do there.
@@ -262,7 +263,7 @@
     ):
         return UNRESPONSIVE_REASON
     if machine.reclaim_at is not None:
-        return RECLAIMED_REASON
+        return RECLAIM_ANNOUNCED_REASON
     if machine.name in needed or (machine.reserved_for and now < machine.reserved_until):
         return NO_TERMINATION
     return SURPLUS_REASON if machine.cordoned else NO_TERMINATION
--- a/src/salthead/cluster/failover.py
+++ b/src/salthead/cluster/failover.py
@@ -98,8 +98,8 @@
         type_known = machine.machine_type in self.registry.machine_types
         return machine.capacity if type_known else UNBOUNDED_RESOURCES
 
-    def could_run(self, job: Job) -> bool:
-        """Return whether an unreconciled machine may run a task of the job.
+    def may_be_running(self, job: Job) -> bool:
+        """Return whether an unreconciled machine may already be running a task of the job.
 
         Earlier leaders started tasks only on registered machines that their job allows and that
         they fit on.
--- a/src/salthead/cluster/ledger.py
+++ b/src/salthead/cluster/ledger.py
@@ -120,7 +120,7 @@
         self.bound_by_priority = allocations.bound_by_priority
         self.orphans = OrphanTasks(self.job_table, allocations)
         self.unknown_jobs = self.orphans.unknown_jobs
-        self.orphan_task_counts = self.orphans.count_by_job
+        self.orphan_task_counts = self.orphans.task_counts
         self.dependencies = JobDependencies(self.job_table, allocations, self.limits.objectives)
         self.dependency_graph = self.dependencies.graph
         self.pending_aborts = self.dependencies.pending_aborts
@@ -164,7 +164,7 @@
             return True
         return self.loaded and (
             job.accepted_this_term
-            or (self.shared_silence is not None and not self.failover.could_run(job))
+            or (self.shared_silence is not None and not self.failover.may_be_running(job))
         )
 
     def unreconciled_capacity(self) -> tuple[float, float]:
--- a/src/salthead/cluster/machine_health.py
+++ b/src/salthead/cluster/machine_health.py
@@ -14,6 +14,8 @@
 QUARANTINE_FAILED_JOBS = 2
 # A job that fails on this many machines without completing a task is considered faulty itself.
 FAULTY_JOB_MACHINES = 3
+# After a task error, a machine takes no work for the step times its number of failed jobs, at most
+# for the maximum.
 ERROR_PAUSE_STEP_S, MAX_ERROR_PAUSE_S = 5.0, 30.0
 
 
--- a/src/salthead/cluster/model.py
+++ b/src/salthead/cluster/model.py
@@ -59,8 +59,8 @@
     request: Resources
     team: int
     phase: str = ""  # empty until a heartbeat lists the task
-    since: float = 0.0
-    started: float = 0.0
+    since: float = 0.0  # when this leader placed the task, or adopted it; 0.0 for an orphan
+    started: float = 0.0  # when a heartbeat first listed it as running; 0.0: none has
     start_sends: int = 0  # answers that carried its start
     stop_grace_s: float | None = None  # grace period of the requested stop; None: no stop
     stop_sent: bool = False
@@ -108,6 +108,7 @@
     last_heartbeat_at: float = -math.inf
     acknowledged_at: float = -math.inf  # when a heartbeat was last answered
     first_acknowledged_at: float = math.inf  # first answer, while the token is not yet accepted
+    # Evidence on the link to the worker, by direction.
     links: WorkerLinks = field(default_factory=WorkerLinks)
     # Tasks of the last heartbeat, and whether no command was pending after it. If none was, the
     # next heartbeat with the same tasks changes nothing.
--- a/src/salthead/cluster/orphans.py
+++ b/src/salthead/cluster/orphans.py
@@ -30,7 +30,7 @@
         self.allocations = allocations
         # Jobs of orphan tasks whose records are still to be read, to learn their team.
         self.unknown_jobs: set[str] = set()
-        self.count_by_job: dict[str, int] = {}  # jobs with orphan tasks, of which none is started
+        self.task_counts: dict[str, int] = {}  # by job; no task of such a job is started
 
     def add(self, machine: Machine, key: OrphanKey) -> None:
         """Add an orphan task that a heartbeat lists, and count its usage."""
@@ -57,7 +57,7 @@
             fencing_token=self.allocations.fencing_token,
         )
         metrics.ORPHAN_TASKS.inc()
-        self.count_by_job[job_id] = self.count_by_job.get(job_id, 0) + 1
+        self.task_counts[job_id] = self.task_counts.get(job_id, 0) + 1
         machine.orphans[key] = Binding(job, index, attempt, machine, request, team, orphan=True)
         self.allocations.adjust_usage(machine, request, team, 1.0)
 
@@ -66,9 +66,9 @@
         orphan = machine.orphans.pop(key)
         event(log, "orphan_gone", task=f"{key[0]}/{key[1]}", attempt=key[2], machine=machine.name)
         self.allocations.adjust_usage(machine, orphan.request, orphan.team, -1.0)
-        remaining = self.count_by_job.pop(key[0], 1) - 1
+        remaining = self.task_counts.pop(key[0], 1) - 1
         if remaining > 0:
-            self.count_by_job[key[0]] = remaining
+            self.task_counts[key[0]] = remaining
         else:
             self.unknown_jobs.discard(key[0])
         self.job_table.events.changed()
--- a/src/salthead/leader/machine_registry_records.py
+++ b/src/salthead/leader/machine_registry_records.py
@@ -67,7 +67,7 @@
     async def loop(self) -> None:
         """Write new machines at once, since none is sent a start command before it is durable."""
         while True:
-            self._put_unregistered()
+            self._put_unstored_machines()
             if self._has_new_machines() or (
                 self.pages.dirty and self.context.now() >= self.removals_due_at
             ):
@@ -80,7 +80,7 @@
                     self.context.log_throttled("roster", error)
             await self.context.sleep_with_jitter(CHECK_INTERVAL_S)
 
-    def _put_unregistered(self) -> None:
+    def _put_unstored_machines(self) -> None:
         """Put unstored machines that are up or were seen in an earlier term on the pages."""
         ledger = self.ledger
         for machine in ledger.unstored_machines:
--- a/src/salthead/leader/term.py
+++ b/src/salthead/leader/term.py
@@ -153,7 +153,7 @@
             context, job_reader, controller.remember_outcome, self.worker_calls, self.save_loop
         )
         self.cancellations = Cancellations(context, job_reader, self.job_records, self.outcomes)
-        self.orphan_jobs = UnknownJobLookupLoop(context)
+        self.unknown_job_lookup_loop = UnknownJobLookupLoop(context)
         self.zone_lease_delegations = ZoneLeaseDelegations(
             context,
             _enabled_partial_cut_policy(controller) is not None,
@@ -274,7 +274,7 @@
             self.machine_registry.loop(),
             self.machine_list.loop(),
             self.autoscaler.loop(),
-            self.orphan_jobs.loop(),
+            self.unknown_job_lookup_loop.loop(),
             self.worker_calls.probe_unresponsive_loop(),
             self.zone_lease_delegations.loop(),
             self.zone_lease_delegations.delete_expired_loop(),
--- a/src/salthead/networks/directory.py
+++ b/src/salthead/networks/directory.py
@@ -22,7 +22,7 @@
         self.prefixes: list[netaddr.IPNetwork] = []
         for n, network in enumerate(declared):
             self.prefixes.append(self._parse_prefix(n, network))
-        self.index = {prefix: n for n, prefix in enumerate(self.prefixes)}
+        self.number_by_prefix = {prefix: n for n, prefix in enumerate(self.prefixes)}
         for n, network in enumerate(declared):
             self._check_within(n, network)
 
@@ -48,7 +48,7 @@
         own = self.prefixes[n]
         supernets = [prefix for prefix in self.prefixes if prefix != own and own in prefix]
         smallest = netaddr.smallest_matching_cidr(own.ip, supernets)
-        parent = None if smallest is None else self.names[self.index[smallest]]
+        parent = None if smallest is None else self.names[self.number_by_prefix[smallest]]
         if network.within == parent:
             return
         entry, name = f"networks[{n}].within", network.name
@@ -65,4 +65,4 @@
             prefix = netaddr.smallest_matching_cidr(netaddr.IPAddress(host), self.prefixes)
         except (netaddr.AddrFormatError, ValueError):
             return None
-        return None if prefix is None else self.index[prefix]
+        return None if prefix is None else self.number_by_prefix[prefix]
--- a/src/salthead/transport/http.py
+++ b/src/salthead/transport/http.py
@@ -145,7 +145,7 @@
     ).encode("latin1")
 
 
-def _close(stream: IOStream, sent: object) -> None:
+def _close(stream: IOStream, _write_future: object) -> None:
     stream.close()
 
 
--- a/src/salthead/zones/admission.py
+++ b/src/salthead/zones/admission.py
@@ -35,7 +35,8 @@
         self.evidence = evidence
         self.slow_starts: dict[int, SlowStart] = {}
         self.baseline_starts = StartTimes()
-        self.provision_limits: list[int | None] = []
+        # By zone index: how many machines of a type may be provisioned at a time; None: no limit.
+        self.max_provisions_by_zone: list[int | None] = []
 
     def task_started(self, binding: Binding, now: float) -> None:
         """Record how long after its placement a task has started.
@@ -136,7 +137,7 @@
 
     def update_provision_limits(self, now: float) -> None:
         """Update how many machines of a type may be provisioned at a time, for all zones."""
-        self.provision_limits = [
+        self.max_provisions_by_zone = [
             self._provision_limit(zone, now) for zone in range(len(self.states))
         ]
 
--- a/src/salthead/zones/recovery.py
+++ b/src/salthead/zones/recovery.py
@@ -101,7 +101,7 @@
 
     def max_provision(self, zone: int) -> int | None:
         """Return how many machines of a type a zone may provision at a time; None: no limit."""
-        limits = self.admission.provision_limits
+        limits = self.admission.max_provisions_by_zone
         return limits[zone] if zone < len(limits) else None
 
     # -- the phases of zones ------------------------------------------------------------
--- a/src/salthead/zones/slow_start.py
+++ b/src/salthead/zones/slow_start.py
@@ -22,7 +22,7 @@
     """Pending starts on the open machines of a zone: those that may get new work."""
 
     pending: int  # tasks that were placed on open machines and have not started yet
-    oldest_pending_s: float
+    oldest_pending_age_s: float
 
 
 class SlowStart:
@@ -84,8 +84,8 @@
             return f"slow starts of {', '.join(slow)}"
         if progress.pending and not self.started:
             return f"{progress.pending} tasks have not started yet"
-        if progress.oldest_pending_s > self.policy.slow_factor * self.policy.step_s:
-            return f"a task has waited {progress.oldest_pending_s:.0f} s for its start"
+        if progress.oldest_pending_age_s > self.policy.slow_factor * self.policy.step_s:
+            return f"a task has waited {progress.oldest_pending_age_s:.0f} s for its start"
         return ""
 
     def open_some(self, reporting: BitMap) -> None:
