--- a/tests/test_cut_loopback.py
+++ b/tests/test_cut_loopback.py
@@ -83,7 +83,7 @@
                 )
 
     async def endpoint_of(self, worker: Worker) -> str:
-        """The worker's own address, behind a proxy: its network tells the zone."""
+        """Return the worker's own address, behind a proxy: its network tells the zone."""
         if worker.name not in self.endpoints:
             self.endpoints[worker.name] = ""
             served, port = listen_for(self, worker.name)
@@ -188,7 +188,7 @@
 
 
 async def held_while_the_leader_is_paused(local: CutSetup, world: CutZones) -> None:
-    """What the north says to the leader, and it to its peers, arrives late; it stands still."""
+    """Pause the leader; hold what the north sends to it and what it sends to its peers."""
     paused = local.leader()
     ways = [world.heartbeats["north"][paused].to_target]
     ways += [local.peers[paused, other].to_target for other in range(3) if other != paused]
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -75,7 +75,7 @@
 
 
 def logged_events() -> Iterator[str]:
-    """The names of the events that the sources log; each is a constant."""
+    """Yield the names of the events that the sources log; each is a constant."""
     for path in sorted(SOURCES.rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Call) and ast.unparse(node.func).split(".")[-1] in LOGS:
@@ -85,7 +85,7 @@
 
 
 def documented_events() -> list[str]:
-    """The names in the first column of the table of events."""
+    """Return the names in the first column of the table of events."""
     lines = (ROOT / "docs" / "events.md").read_text().splitlines()
     start = next(n for n, line in enumerate(lines) if line.startswith("| event |"))
     names: list[str] = []
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -55,7 +55,7 @@
 
 
 def start(world: SoakWorld, task_id: str, zone: str = "north", spot: bool = False) -> None:
-    """A worker starts a task, and goes on to show it."""
+    """Start a task on a new worker, which goes on to show it."""
     worker = SimpleNamespace(
         name=f"host-{world.next_number()}", zone=zone, spot=spot, machine_type="small", up=True
     )
