--- a/src/salthead/controller/context.py
+++ b/src/salthead/controller/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one controller share: settings, clock, randomness and outgoing clients."""
+"""Settings, clock, randomness and clients that all components of one controller share."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 log = logging.getLogger(__name__)
 
-LOG_THROTTLE_S = 10.0  # between log lines about one kind of error
+LOG_THROTTLE_S = 10.0  # between log lines for one kind of error
 JITTER_RANGE = 0.8, 1.2
 
 
 class ControllerContext:
-    """Settings, clock, randomness and clients, for as long as the process lives."""
+    """Settings, clock, randomness and clients, for the lifetime of the process."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self.limits = settings.settings
         self.rng = rng
         self.now = now
-        # The limits of the state service that all requests keep to.
+        # The limits of the state service, which all requests have to keep.
         self.state_limits = self.limits.state.effective()
         self.state_store = state_store or StateStore(
             settings.endpoints.state,
@@ -49,16 +49,16 @@
             dial,
         )
         self.sockets = SocketBudget(self.limits.quota.max_connections, len(settings.seeds))
-        self.cloud = dial(settings.endpoints.cloud, SocketBudget.CLOUD)
+        self.cloud = dial(settings.endpoints.cloud, SocketBudget.CLOUD_SLOTS)
         self.peers = {
-            seed.member: dial(seed.endpoint, SocketBudget.PEER) for seed in settings.seeds
+            seed.member: dial(seed.endpoint, SocketBudget.PEER_SLOTS) for seed in settings.seeds
         }
-        self.workers = dial("", self.sockets.workers)
-        self.machine_types: dict[str, MachineType] = {}  # by name; empty until they are known
+        self.workers = dial("", self.sockets.worker_slots)
+        self.machine_types: dict[str, MachineType] = {}  # by name; empty until known
         self._last_logged_at: dict[str, float] = {}
 
     def log_throttled(self, kind: str, error: object) -> None:
-        """Count an error, and log one of each kind every ``LOG_THROTTLE_S`` seconds."""
+        """Count an error, and log at most one of its kind per ``LOG_THROTTLE_S`` seconds."""
         metrics.ERRORS.labels(kind).inc()
         now = self.now()
         if now - self._last_logged_at.get(kind, -1e9) > LOG_THROTTLE_S:
@@ -66,5 +66,5 @@
             event(log, "recoverable_error", logging.WARNING, kind=kind, error=error)
 
     async def sleep_with_jitter(self, seconds: float) -> None:
-        """Sleep for about ``seconds``, so that controllers do not ask in step."""
+        """Sleep for ``seconds`` with jitter, so that controllers do not send requests in step."""
         await asyncio.sleep(seconds * self.rng.uniform(*JITTER_RANGE))
--- a/src/salthead/controller/controller.py
+++ b/src/salthead/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller process: its parts, its loops, and the terms that it leads."""
+"""One controller process: its components, its loops, and the terms that it leads."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Controller:
-    """One controller process: builds its parts, and is the host of the terms that it leads."""
+    """Builds the components of one controller process, and hosts the terms that it leads."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.context = context = ControllerContext(
             settings, rng or random.Random(), now, dial, policy, state_store
         )
-        self._share_with_terms(context)
+        self._expose_to_terms(context)
         self.leader_view = LeaderView()
         self.job_cache = JobCache()
         self.terminal_outcomes = self.job_cache.terminal_outcomes
@@ -66,10 +66,10 @@
         self.heartbeats = HeartbeatResponder(
             settings.member, self.leader_view, self.connectivity, self.zone_lease_delegate
         )
-        self._answer_users(context)
+        self._create_job_services(context)
 
-    def _share_with_terms(self, context: ControllerContext) -> None:
-        """What the loops of a term use of the controller."""
+    def _expose_to_terms(self, context: ControllerContext) -> None:
+        """Set the attributes that terms use through ``ControllerInterface``."""
         self.settings = context.settings
         self.policy = context.policy
         self.limits = context.limits
@@ -85,8 +85,8 @@
         self.log_throttled = context.log_throttled
         self.sleep_with_jitter = context.sleep_with_jitter
 
-    def _answer_users(self, context: ControllerContext) -> None:
-        """The parts that answer what users ask about jobs."""
+    def _create_job_services(self, context: ControllerContext) -> None:
+        """Create the components that answer users' requests about jobs."""
         self.job_reader = JobReader(context, self.leader_view, self.job_cache)
         self.leader_calls = LeaderCalls(context, self.leader_view, self.job_cache)
         self.job_status = JobStatusService(
@@ -104,15 +104,15 @@
 
     @property
     def term(self) -> Term | None:
-        """The term of this controller, until its loops have ended."""
+        """This controller's term, until its loops have ended; None if it does not lead."""
         return self.leader_view.term
 
     def leading(self) -> Term | None:
-        """The term, while this controller is entitled to act as the leader."""
+        """Return the term while this controller is entitled to act as the leader, else None."""
         return self.leader_view.leading()
 
     async def run(self) -> None:
-        """Run all loops of the controller, until it is killed."""
+        """Run all loops of the controller until it is killed."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.election.loop())
             group.create_task(self.machine_types_loop.loop())
@@ -120,8 +120,8 @@
             group.create_task(self.connectivity.loop())
             group.create_task(self.zone_lease_delegate.loop())
 
-    def up(self) -> bool:
-        """Whether the load balancer may send users here."""
+    def ready(self) -> bool:
+        """Return whether the load balancer may send users to this controller."""
         return (
             bool(self.machine_types)
             and not self.connectivity.cut_off()
@@ -129,7 +129,7 @@
         )
 
     async def lead(self, elected: ElectedTerm) -> None:
-        """Lead until the lease has ended."""
+        """Lead the elected term until it ends."""
         event(
             log,
             "lead_taken",
@@ -158,7 +158,10 @@
             )
 
     async def overview(self) -> Overview | dict[str, Any]:
-        """Queue and fleet, from the leader wherever it is; UnavailableError if there is none."""
+        """Return the overview of queue and fleet, from this controller's term or from the leader.
+
+        Raises UnavailableError if there is no leader.
+        """
         term = self.leading()
         if term is not None:
             return term.views.overview()
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -1,6 +1,7 @@
 """The two HTTP interfaces of a controller: for users, workers and operators, and for its peers.
 
-All status codes are chosen here: the parts of the controller return typed answers or raise errors.
+This module alone chooses status codes: the rest of the controller returns typed answers or raises
+errors.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 log = logging.getLogger(__name__)
 
-# Errors that mean 503: the answer is not known now, and may be in a moment.
+# Errors answered with 503: the result is not known now, and a retry may succeed.
 UNDECIDED_ERRORS = (
     UnavailableError,
     RequestRefusedError,
@@ -44,26 +45,26 @@
     LeaseExpiredError,
     ConflictError,
 )
-MAX_ERROR_TEXT = 200  # characters
+MAX_ERROR_CHARS = 200
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
 
 StatusLookup = Callable[[str], Awaitable[JobStatus | None]]
 
 
-def _error(status: int, reason: object) -> Reply:
-    return Reply(status, ErrorAnswer(str(reason)[:MAX_ERROR_TEXT]))
+def _error_reply(status: int, reason: object) -> Reply:
+    return Reply(status, ErrorAnswer(str(reason)[:MAX_ERROR_CHARS]))
 
 
 async def _job_reply(job_id: str, lookup: StatusLookup) -> Reply:
-    """The answer on a job that exists, is unknown, or can't be told now."""
+    """Return the answer for one job: its status, 404 if it is unknown, or 503."""
     if not JOB_ID.match(job_id):
-        return _error(HTTPStatus.NOT_FOUND, "no such job")
+        return _error_reply(HTTPStatus.NOT_FOUND, "no such job")
     try:
         status = await lookup(job_id)
     except UNDECIDED_ERRORS as error:
-        return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
+        return _error_reply(HTTPStatus.SERVICE_UNAVAILABLE, error)
     if status is None:
-        return _error(HTTPStatus.NOT_FOUND, "no such job")
+        return _error_reply(HTTPStatus.NOT_FOUND, "no such job")
     return Reply(HTTPStatus.OK, status)
 
 
@@ -73,27 +74,27 @@
         status, created = await controller.submissions.submit(submission, forwarded)
     except MalformedMessageError as error:
         event(log, "submission_refused", error=error)
-        return _error(HTTPStatus.BAD_REQUEST, error)
+        return _error_reply(HTTPStatus.BAD_REQUEST, error)
     except InvalidJobError as error:
-        return _error(HTTPStatus.UNPROCESSABLE_ENTITY, error)
+        return _error_reply(HTTPStatus.UNPROCESSABLE_ENTITY, error)
     except UNDECIDED_ERRORS as error:
-        return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
+        return _error_reply(HTTPStatus.SERVICE_UNAVAILABLE, error)
     return Reply(HTTPStatus.CREATED if created else HTTPStatus.OK, status)
 
 
 class ClientHandlers:
-    """Requests of users, workers, operators and the load balancer."""
+    """Handlers of requests from users, workers, operators and the load balancer."""
 
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
 
     def router(self) -> Router:
-        """The routes of the address that the platform names ``client_listen``."""
+        """Return the router for the address ``client_listen``."""
         return Router(
             self.controller.now,
             {
                 wire_names.HEARTBEAT_PATH: Route("POST", "report", self.heartbeat),
-                wire_names.READY_PATH: Route("GET", "up", self.up),
+                wire_names.READY_PATH: Route("GET", "up", self.ready),
                 wire_names.JOBS_PATH: Route("POST", "submit", self.submit),
                 wire_names.OVERVIEW_PATH: Route("GET", "overview", self.overview),
                 wire_names.METRICS_PATH: Route("GET", "metrics", self.metrics),
@@ -108,12 +109,12 @@
         )
 
     def heartbeat(self, request: Request) -> Reply:
-        """POST /hello: a worker's heartbeat, answered with commands."""
+        """Handle POST /hello: a worker's heartbeat, answered with commands."""
         try:
             heartbeat = decode_heartbeat(request.body)
         except MalformedMessageError as error:
             self.controller.log_throttled("report", error)
-            return _error(HTTPStatus.BAD_REQUEST, error)
+            return _error_reply(HTTPStatus.BAD_REQUEST, error)
         if request.connections is not None and request.stream is not None:
             request.connections.heartbeat_received(
                 heartbeat.worker, (heartbeat.incarnation, heartbeat.sequence), request.stream
@@ -121,52 +122,52 @@
         try:
             answer = self.controller.heartbeats.handle(heartbeat, request.remote_ip)
         except UnavailableError as error:
-            return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
+            return _error_reply(HTTPStatus.SERVICE_UNAVAILABLE, error)
         if isinstance(answer, LeaderRedirect):
             return Reply(HTTPStatus.MISDIRECTED_REQUEST, answer)
         return Reply(HTTPStatus.OK, answer)
 
-    def up(self, request: Request) -> Reply:
-        """GET /up: whether this controller can take requests."""
-        if self.controller.up():
+    def ready(self, request: Request) -> Reply:
+        """Handle GET /up: whether this controller can take requests of users."""
+        if self.controller.ready():
             return Reply(HTTPStatus.OK, ReadyAnswer(up=True))
-        return _error(HTTPStatus.SERVICE_UNAVAILABLE, "machine types not known, or cut off")
+        return _error_reply(HTTPStatus.SERVICE_UNAVAILABLE, "machine types not known, or cut off")
 
     async def submit(self, request: Request) -> Reply:
-        """POST /work: a new job, or a repeated submission of one."""
+        """Handle POST /work: a new job, or a repeated submission of one."""
         return await _submit_reply(self.controller, request, forwarded=False)
 
     def poll(self, request: Request) -> Reply | Awaitable[Reply]:
-        """GET /work/ID: a job's status, from memory where that is certain."""
+        """Handle GET /work/ID: a job's status, from memory where that is certain."""
         status = self.controller.job_status.in_memory(request.parameter)
         if status is not None:
             return Reply(HTTPStatus.OK, status)
         return _job_reply(request.parameter, self.controller.job_status.poll)
 
     async def cancel(self, request: Request) -> Reply:
-        """POST /work/ID/cancel."""
+        """Handle POST /work/ID/cancel."""
         return await _job_reply(request.parameter, self.controller.job_status.cancel)
 
     async def overview(self, request: Request) -> Reply:
-        """GET /overview: queue and fleet, for operators."""
+        """Handle GET /overview: queue and fleet, for operators."""
         try:
             return Reply(HTTPStatus.OK, await self.controller.overview())
         except UNDECIDED_ERRORS as error:
-            return _error(HTTPStatus.SERVICE_UNAVAILABLE, error)
+            return _error_reply(HTTPStatus.SERVICE_UNAVAILABLE, error)
 
     def metrics(self, request: Request) -> Reply:
-        """GET /metrics, in the Prometheus text format."""
+        """Handle GET /metrics: the metrics in the Prometheus text format."""
         return Reply(HTTPStatus.OK, metrics.exposition(), METRICS_CONTENT_TYPE)
 
 
 class PeerHandlers:
-    """Requests of the other controllers."""
+    """Handlers of requests from the other controllers."""
 
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
 
     def router(self) -> Router:
-        """The routes of the address that the platform names ``cluster_listen``."""
+        """Return the router for the address ``cluster_listen``."""
         return Router(
             self.controller.now,
             {
@@ -177,23 +178,23 @@
                     "POST", "peer promise", self.withhold_vote
                 ),
                 wire_names.PEER_CONNECTIVITY_PATH: Route(
-                    "POST", "peer redirected", self.redirected
+                    "POST", "peer redirected", self.connectivity
                 ),
                 wire_names.PEER_OVERVIEW_PATH: Route("POST", "peer overview", self.overview),
             },
         )
 
     async def submit(self, request: Request) -> Reply:
-        """A submission that another controller can't write to the state service."""
+        """Handle a submission that another controller can't write to the state service."""
         return await _submit_reply(self.controller, request, forwarded=True)
 
     def poll(self, request: Request) -> Reply | Awaitable[Reply]:
-        """A poll that another controller forwards to the leader."""
-        return self._as_leader(request, self._poll)
+        """Handle a poll that another controller forwards to the leader."""
+        return self._reply_as_leader(request, self._poll)
 
     def cancel(self, request: Request) -> Reply | Awaitable[Reply]:
-        """A cancellation that another controller forwards to the leader."""
-        return self._as_leader(request, self._cancel)
+        """Handle a cancellation that another controller forwards to the leader."""
+        return self._reply_as_leader(request, self._cancel)
 
     def _poll(self, term: Term, job_id: str) -> Reply | Awaitable[Reply]:
         status = self.controller.job_status.in_term(term, job_id)
@@ -205,39 +206,42 @@
     def _cancel(term: Term, job_id: str) -> Awaitable[Reply]:
         return _job_reply(job_id, term.cancel)
 
-    def _as_leader(
-        self, request: Request, act: Callable[[Term, str], Reply | Awaitable[Reply]]
+    def _reply_as_leader(
+        self, request: Request, reply: Callable[[Term, str], Reply | Awaitable[Reply]]
     ) -> Reply | Awaitable[Reply]:
         try:
             job_id = decode_job_query(request.body)
         except MalformedMessageError as error:
-            return _error(HTTPStatus.BAD_REQUEST, error)
+            return _error_reply(HTTPStatus.BAD_REQUEST, error)
         term = self.controller.leading()
         if term is None:
-            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "not the leader")
-        return act(term, job_id)
+            return _error_reply(HTTPStatus.SERVICE_UNAVAILABLE, "not the leader")
+        return reply(term, job_id)
 
     async def withhold_vote(self, request: Request) -> Reply:
-        """A leader lost the state service: whether this controller does not campaign."""
+        """Handle the request of a leader that lost the state service to withhold this vote.
+
+        Answered with 409 if this controller may campaign.
+        """
         try:
             member = decode_withhold_vote(request.body)
         except MalformedMessageError as error:
-            return _error(HTTPStatus.BAD_REQUEST, error)
+            return _error_reply(HTTPStatus.BAD_REQUEST, error)
         withheld = await self.controller.election.withhold_vote(member)
         status = HTTPStatus.OK if withheld else HTTPStatus.CONFLICT
         return Reply(status, WithholdVoteAnswer(withheld))
 
-    def redirected(self, request: Request) -> Reply:
-        """What this controller reaches, and which workers it redirected."""
+    def connectivity(self, request: Request) -> Reply:
+        """Handle a request for the report on this controller's links and redirected workers."""
         try:
             to_leader = decode_connectivity_query(request.body)
         except MalformedMessageError as error:
-            return _error(HTTPStatus.BAD_REQUEST, error)
+            return _error_reply(HTTPStatus.BAD_REQUEST, error)
         return Reply(HTTPStatus.OK, self.controller.connectivity.report(to_leader))
 
     def overview(self, request: Request) -> Reply:
-        """The operators' view, forwarded to the leader."""
+        """Handle a request for the overview that another controller forwards to the leader."""
         term = self.controller.leading()
         if term is None:
-            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "not the leader")
+            return _error_reply(HTTPStatus.SERVICE_UNAVAILABLE, "not the leader")
         return Reply(HTTPStatus.OK, term.views.overview())
--- a/src/salthead/controller/heartbeats.py
+++ b/src/salthead/controller/heartbeats.py
@@ -1,4 +1,4 @@
-"""What a controller answers to the heartbeats of workers."""
+"""Answers of a controller to the heartbeats of workers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HeartbeatResponder:
-    """Answers as the leader, in the name of one that the worker can't reach, or by a redirect."""
+    """Answers as the leader, under a delegation of the leader, or with a redirect to it."""
 
     def __init__(
         self,
@@ -25,24 +25,25 @@
         self.zone_lease_delegate = zone_lease_delegate
 
     def handle(self, heartbeat: Heartbeat, source: str = "") -> HeartbeatAnswer | LeaderRedirect:
-        """The answer to a heartbeat that came from the address ``source``.
+        """Return the answer to a heartbeat from the address ``source``.
 
-        UnavailableError where it must not be acknowledged and no other leader is known.
+        Raises UnavailableError if it must not be acknowledged and no other leader is known.
         """
         term = self.leader_view.leading()
         if term is None:
-            return self._follow(heartbeat, source or heartbeat.worker)
+            return self._handle_as_follower(heartbeat, source or heartbeat.worker)
         commands = term.handle_heartbeat(heartbeat)
         if commands is None:
             raise UnavailableError("not for this report")
         if not term.valid():
-            # The lease ran out while this was worked out, on a machine with little processor time:
-            # an acknowledgement now would be given by a controller that is not entitled to. The
-            # tasks that were to be started stay bound.
+            # On a slow machine the right to lead can end while the answer is computed, and then the
+            # heartbeat must not be acknowledged. The tasks to be started stay bound.
             return self.redirect(source or heartbeat.worker)
         return HeartbeatAnswer(term.fencing_token, commands)
 
-    def _follow(self, heartbeat: Heartbeat, source: str) -> HeartbeatAnswer | LeaderRedirect:
+    def _handle_as_follower(
+        self, heartbeat: Heartbeat, source: str
+    ) -> HeartbeatAnswer | LeaderRedirect:
         if self.zone_lease_delegate.may_acknowledge(heartbeat):
             self.connectivity.record_redirected_worker(source)
             return HeartbeatAnswer(self.leader_view.fencing_token)
@@ -50,7 +51,10 @@
         return self.redirect(source)
 
     def redirect(self, source: str) -> LeaderRedirect:
-        """Name the leader; UnavailableError where none is known, or what is known is old."""
+        """Record the worker and return a redirect to the leader.
+
+        Raises UnavailableError if no other leader is known, or what is known of it is stale.
+        """
         self.connectivity.record_redirected_worker(source)
         leader = self.leader_view.member
         if leader is None or leader == self.own_member or self.connectivity.cut_off():
--- a/src/salthead/controller/leader_calls.py
+++ b/src/salthead/controller/leader_calls.py
@@ -1,4 +1,4 @@
-"""What a controller that does not lead asks the leader on behalf of users and operators."""
+"""Calls to the leader by a controller that does not lead, for users and operators."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LeaderCalls:
-    """Calls to the controller that leads, as far as this one knows."""
+    """Calls to the leader that this controller knows."""
 
     def __init__(
         self, context: ControllerContext, leader_view: LeaderView, job_cache: JobCache
@@ -27,13 +27,13 @@
         self.job_cache = job_cache
 
     async def job_status(self, path: str, job_id: str, timeout: float) -> JobStatus | None:
-        """Ask the leader about a job, or to cancel it; None if it does not answer usefully."""
+        """Poll or cancel a job at the leader, by ``path``; None without a usable answer."""
         peer = self.context.peers.get(self.leader_view.member or "")
         if peer is None:
             return None
         try:
             answer = await peer.call("POST", path, JobQuery(job_id), timeout=timeout)
-            status = self._status_in(answer)
+            status = self._decode_status(answer)
         except (UnansweredError, MalformedMessageError) as error:
             self.context.log_throttled("leader", error)
             return None
@@ -44,11 +44,14 @@
         return status
 
     @staticmethod
-    def _status_in(answer: Answer) -> JobStatus | None:
+    def _decode_status(answer: Answer) -> JobStatus | None:
         return shape(answer.body, JobStatus) if answer.status == 200 else None
 
     async def overview(self) -> dict[str, Any]:
-        """The leader's view of queue and fleet; UnavailableError if it gives none."""
+        """Return the leader's overview of queue and fleet.
+
+        Raises UnavailableError if no leader is known or it refuses, and UnansweredError.
+        """
         peer = self.context.peers.get(self.leader_view.member or "")
         if peer is None:
             raise UnavailableError("no leader")
--- a/src/salthead/controller/leader_record.py
+++ b/src/salthead/controller/leader_record.py
@@ -1,4 +1,4 @@
-"""The record of the leader in the state service, and that of the last fencing token."""
+"""Records of the leader and of the last fencing token in the state service."""
 
 from __future__ import annotations
 
@@ -13,22 +13,25 @@
     """The value of the leader's key."""
 
     member: str | None = None
-    run_id: str | None = msgspec.field(name="run", default=None)  # of the process that leads
+    run_id: str | None = msgspec.field(name="run", default=None)  # of the leading process
     fencing_token: int = msgspec.field(name="token", default=0)
-    nonce: str | None = None  # of the request that made it the leader
+    nonce: str | None = None  # of the campaign that won
 
 
 class FencingTokenRecord(msgspec.Struct, frozen=True):
-    """The value of the key of the fencing token."""
+    """The value of the fencing token's key."""
 
     fencing_token: int = msgspec.field(name="n")
 
 
 def decode_leader(value: Any) -> LeaderRecord:
-    """A leader's record; MalformedMessageError if it is none."""
+    """Decode the leader's record. Raises MalformedMessageError."""
     return shape(value, LeaderRecord)
 
 
 def next_fencing_token(value: Any | None) -> int:
-    """The fencing token after the last one; ``value`` is None if there was no leader before."""
+    """Return the next fencing token.
+
+    ``value``: the record of the last one, None if there has been no leader.
+    """
     return 1 if value is None else shape(value, FencingTokenRecord).fencing_token + 1
--- a/src/salthead/controller/load.py
+++ b/src/salthead/controller/load.py
@@ -1,4 +1,4 @@
-"""How busy a controller is, and when it sheds submissions."""
+"""Load of a controller, and when it sheds submissions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LoadMonitor:
-    """Measures how late the process's own timers are, and counts submissions in progress."""
+    """Measures the lag of the event loop, and counts submissions in progress."""
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
@@ -26,10 +26,10 @@
             self.lag_s = self.context.now() - due
 
     def overloaded(self) -> bool:
-        """Whether submissions are shed, so that heartbeats and decisions keep their turn.
+        """Return whether to shed submissions, so that heartbeats and scheduling are not delayed.
 
-        More submissions in progress than the state service takes writes in a second can't be
-        answered in time anyway.
+        More submissions in progress than the state service's writes per second can't be answered
+        in time anyway.
         """
         return self.lag_s > MAX_LAG_S or self.submissions_in_progress >= max(
             MIN_CONCURRENT_SUBMISSIONS, self.context.state_limits.write_rps
--- a/src/salthead/controller/machine_types.py
+++ b/src/salthead/controller/machine_types.py
@@ -1,5 +1,4 @@
-"""The machine types that a controller knows: from the cloud, or as an earlier leader stored
-them."""
+"""Refresh of the machine types, from the cloud or from the records of an earlier leader."""
 
 from __future__ import annotations
 
@@ -10,35 +9,38 @@
 from salthead.state_store import records
 from salthead.state_store.client import RETRYABLE_ERRORS, ConflictError, RequestRefusedError
 
-REFRESH_INTERVAL_S, RETRY_S = 60.0, 2.0  # after a reading that succeeded, and one that did not
+REFRESH_INTERVAL_S, RETRY_S = 60.0, 2.0  # after a successful and a failed read
 CLOUD_TIMEOUT_S = 3.0
 
 
 class MachineTypesLoop:
-    """Reads machine types until there are some, and again now and then."""
+    """Reads the machine types at regular intervals."""
 
     def __init__(self, context: ControllerContext, leader_view: LeaderView) -> None:
         self.context = context
         self.leader_view = leader_view
 
     async def loop(self) -> None:
-        """Read machine types until the process ends."""
+        """Read machine types until the process ends.
+
+        Stored ones are read only while no machine types are known.
+        """
         while True:
             try:
-                self.take(await self._from_cloud())
+                self._set_machine_types(await self._read_from_cloud())
                 await self.context.sleep_with_jitter(REFRESH_INTERVAL_S)
                 continue
             except (ConflictError, *RETRYABLE_ERRORS) as error:
                 self.context.log_throttled("cloud flavors", error)
             if not self.context.machine_types:
                 try:
-                    if stored := await self._as_stored():
-                        self.take(stored)
+                    if stored := await self._read_stored():
+                        self._set_machine_types(stored)
                 except (ConflictError, *RETRYABLE_ERRORS) as error:
                     self.context.log_throttled("stored flavors", error)
             await self.context.sleep_with_jitter(RETRY_S)
 
-    async def _from_cloud(self) -> list[MachineType]:
+    async def _read_from_cloud(self) -> list[MachineType]:
         answer = await self.context.cloud.call(
             "GET", wire_names.MACHINE_TYPES_PATH, timeout=CLOUD_TIMEOUT_S
         )
@@ -46,7 +48,7 @@
             raise RequestRefusedError(answer.status, "flavors")
         return shape(answer.body, MachineTypes).machine_types
 
-    async def _as_stored(self) -> list[MachineType]:
+    async def _read_stored(self) -> list[MachineType]:
         rows, _ = await self.context.state_store.list_prefix(records.MACHINE_TYPE_PARTS)
         stored = records.machine_types_from({key: row.value for key, row in rows.items()})
         if stored is None:
@@ -54,8 +56,8 @@
             stored = None if row is None else row.value
         return [] if stored is None else shape(stored, MachineTypes).machine_types
 
-    def take(self, machine_types: list[MachineType]) -> None:
-        """Take machine types in, for checks of submissions and for the term."""
+    def _set_machine_types(self, machine_types: list[MachineType]) -> None:
+        """Replace the machine types that submissions are checked against and the term uses."""
         self.context.machine_types.clear()
         self.context.machine_types.update(
             {machine_type.name: machine_type for machine_type in machine_types}
--- a/src/salthead/controller/server.py
+++ b/src/salthead/controller/server.py
@@ -1,4 +1,4 @@
-"""The listening sockets of a controller, with a limit on the connections that each may hold."""
+"""Listening sockets of a controller, each with a limit on its connections."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from salthead.transport.http import Router
 
 ABANDONED_CHECK_INTERVAL_S = 30.0
-DEFAULT_BACKLOG = 512  # where the platform names no number of sockets
+DEFAULT_BACKLOG = 512  # where the platform sets no limit on sockets
 
 
 class LimitedServer(HTTPServer):
-    """A server that holds no more connections than its share of the process's sockets."""
+    """An HTTP server that limits its connections to its share of the process's sockets."""
 
     connections: Connections
 
     def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
-        """Tornado's hook: a connection was accepted."""
+        """Handle a new connection, or close it at the limit (Tornado hook)."""
         if self.connections.admit(stream):
             super().handle_stream(stream, address)
         else:
@@ -33,7 +33,7 @@
             stream.close()
 
     def on_close(self, server_conn: object) -> None:
-        """Tornado's hook: a connection has ended."""
+        """Forget a connection that has ended (Tornado hook)."""
         super().on_close(server_conn)
         self.connections.forget(server_conn.stream)  # type: ignore[attr-defined]
 
@@ -41,13 +41,13 @@
 def listen(
     controller: Controller, router: Router, endpoint: str, max_connections: int = 0
 ) -> LimitedServer:
-    """Serve a router's paths on an address; ``max_connections`` 0: no limit."""
+    """Serve a router on an address; ``max_connections`` 0 means no limit."""
     host, port = split_endpoint(endpoint)
-    # A body and what follows it: all connections that the sockets allow, with their buffers full,
-    # still fit into the memory that the platform gives for that many.
+    # The buffer holds a body and what follows it. With all buffers full, as many connections as the
+    # platform allows still fit into the memory that it gives.
     server = LimitedServer(router, max_body_size=MAX_BODY, max_buffer_size=2 * MAX_BODY)
-    # Tornado's own time-outs set and drop two timers for each request; a check of all connections
-    # every now and then does as well.
+    # Tornado's own time-outs start and cancel two timers per request; a periodic check of all
+    # connections does as well.
     server.conn_params.header_timeout = None
     server.connections = Connections(
         max_connections,
@@ -58,14 +58,24 @@
         server.connections.close_abandoned, ABANDONED_CHECK_INTERVAL_S * 1000.0
     ).start()
     router.connections = server.connections
-    # A fleet that returns at once sends its heartbeats within a second: the socket's queue has to
-    # hold all who may connect, or the rest is refused and connects again later still.
+    # A fleet that reconnects at once sends its heartbeats within a second. The backlog has to hold
+    # all connections allowed: those beyond it are refused and have to connect again.
     server.listen(port, host, backlog=max_connections or DEFAULT_BACKLOG)
     return server
 
 
 def listen_on_all(controller: Controller) -> None:
-    """Open both addresses that the settings name."""
+    """Serve both addresses in the settings, for clients and for peers."""
     settings, sockets = controller.settings, controller.sockets
-    listen(controller, ClientHandlers(controller).router(), settings.client_listen, sockets.clients)
-    listen(controller, PeerHandlers(controller).router(), settings.cluster_listen, sockets.peers_in)
+    listen(
+        controller,
+        ClientHandlers(controller).router(),
+        settings.client_listen,
+        sockets.max_client_connections,
+    )
+    listen(
+        controller,
+        PeerHandlers(controller).router(),
+        settings.cluster_listen,
+        sockets.max_peer_connections,
+    )
