--- a/src/salthead/controller/connectivity.py
+++ b/src/salthead/controller/connectivity.py
@@ -1,4 +1,4 @@
-"""Evidence on a controller's own links, and on the workers that it redirects to the leader."""
+"""Evidence on a controller's own links, and on workers that contact it while another leads."""
 
 from __future__ import annotations
 
@@ -44,9 +44,10 @@
         self.last_peer_answer_at = context.now()
         # When a peer last reported that the state service answers it.
         self.peers_served_at = DISTANT_PAST_S
-        # When each worker was last redirected, by its address; the latest entry is last.
-        self.redirected_at: OrderedDict[str, float] = OrderedDict()
-        # The latest heartbeat of each redirected worker; the latest entry is last.
+        # When each worker last contacted this controller, which did not lead, by the worker's
+        # address; the latest entry is last.
+        self.last_contact_at: OrderedDict[str, float] = OrderedDict()
+        # The latest redirected heartbeat of each worker; the latest entry is last.
         self.heartbeats: OrderedDict[str, ReceivedHeartbeat] = OrderedDict()
 
     async def loop(self) -> None:
@@ -118,9 +119,9 @@
         )
 
     def record_redirected_worker(self, source: str) -> None:
-        """Record that a worker was redirected, by its address."""
-        self.redirected_at[source] = self.context.now()
-        self.redirected_at.move_to_end(source)
+        """Record that the worker at an address contacted this controller, which does not lead."""
+        self.last_contact_at[source] = self.context.now()
+        self.last_contact_at.move_to_end(source)
 
     def record_redirected_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Record a heartbeat that was redirected, for reports to the leader."""
@@ -142,12 +143,12 @@
             self.heartbeats.popitem(last=False)
 
     def redirected_count(self) -> int:
-        """Return how many workers were redirected within the last ``REDIRECT_WINDOW_S`` seconds.
+        """Return how many workers contacted this controller lately although it did not lead.
 
-        Called at each heartbeat, so it visits only the entries that have expired since the last
+        Called at each heartbeat, so it looks only at the entries that have expired since the last
         call.
         """
         since = self.context.now() - REDIRECT_WINDOW_S
-        while self.redirected_at and next(iter(self.redirected_at.values())) < since:
-            self.redirected_at.popitem(last=False)
-        return len(self.redirected_at)
+        while self.last_contact_at and next(iter(self.last_contact_at.values())) < since:
+            self.last_contact_at.popitem(last=False)
+        return len(self.last_contact_at)
--- a/src/salthead/controller/election.py
+++ b/src/salthead/controller/election.py
@@ -1,6 +1,6 @@
 """Leader election: compare-and-swap on the leader's key in the state service.
 
-A controller that withholds its vote from an election does not campaign.
+A controller that withholds its vote for the present leader does not campaign.
 """
 
 from __future__ import annotations
@@ -149,10 +149,7 @@
         await self.context.state_store.watch(records.LEADER, row.revision, LEADER_WATCH_S)
 
     async def _campaign(self, row: VersionedValue | None, record: LeaderRecord | None) -> None:
-        """Try to become the leader.
-
-        There is none, or the leader's key names an ended process of this member.
-        """
+        """Try to become the leader; ``record`` is None or names an ended process of this member."""
         state_store = self.context.state_store
         self.leader_view.member = None
         own_key = record is not None and record.member == self.member
--- a/src/salthead/controller/handlers.py
+++ b/src/salthead/controller/handlers.py
@@ -139,7 +139,7 @@
 
     def poll(self, request: Request) -> Reply | Awaitable[Reply]:
         """Handle GET /work/ID: a job's status, from memory where that is certain."""
-        status = self.controller.job_status.in_memory(request.parameter)
+        status = self.controller.job_status.from_memory(request.parameter)
         if status is not None:
             return Reply(HTTPStatus.OK, status)
         return _job_reply(request.parameter, self.controller.job_status.poll)
@@ -197,7 +197,7 @@
         return self._reply_as_leader(request, self._cancel)
 
     def _poll(self, term: Term, job_id: str) -> Reply | Awaitable[Reply]:
-        status = self.controller.job_status.in_term(term, job_id)
+        status = self.controller.job_status.from_term(term, job_id)
         if status is not None:
             return Reply(HTTPStatus.OK, status)
         return _job_reply(job_id, self.controller.job_reader.read)
--- a/src/salthead/controller/job_reader.py
+++ b/src/salthead/controller/job_reader.py
@@ -56,18 +56,18 @@
     async def depends_on_cancelled(
         self,
         depends_on: list[str],
-        end: float = math.inf,
-        every: bool = False,
+        deadline: float = math.inf,
+        check_all: bool = False,
     ) -> bool:
         """Return whether one of these jobs, or any job that they depend on, was cancelled.
 
-        ``every``: check that each of these jobs was accepted, even after a cancelled one is found.
-        Without it, a job could be accepted that depends on a cancelled job and on one that was
-        never submitted.
+        ``check_all``: check that each of these jobs was accepted, even after a cancelled one is
+        found. Without it, a job could be accepted that depends on a cancelled job and on one that
+        was never submitted.
 
         The durable outcome of the cancelled job decides, so no leader is needed. The dependencies
         of a job with an outcome are not looked up. Raises InvalidJobError if one of the jobs was
-        never accepted, and UnavailableError if the walk has not ended by ``end``.
+        never accepted, and UnavailableError if the walk has not ended by ``deadline``.
         """
         direct, visited, pending = set(depends_on), set(depends_on), deque(depends_on)
         reads = _WalkReads()
@@ -76,11 +76,11 @@
             job_id = pending.popleft()
             if cancelled and job_id not in direct:
                 break  # direct dependencies come first in the queue
-            if self.context.now() > end:
+            if self.context.now() > deadline:
                 raise UnavailableError("still looking up the jobs that it awaits")
             phase = await self._dependency_phase(job_id, reads)
             if phase == wire_names.ABORTED:
-                if not every:
+                if not check_all:
                     return True
                 cancelled = True
             if phase is None:
--- a/src/salthead/controller/job_status.py
+++ b/src/salthead/controller/job_status.py
@@ -41,7 +41,7 @@
             depends_on=ledger.dependencies.unfinished(job_id, MAX_LISTED_DEPENDENCIES),
         )
 
-    def in_term(self, term: Term, job_id: str) -> JobStatus | None:
+    def from_term(self, term: Term, job_id: str) -> JobStatus | None:
         """Return a job's status from the term's ledger; None if only a read can be certain."""
         job = term.ledger.jobs.get(job_id)
         if job is None:
@@ -59,21 +59,21 @@
             else None
         )
 
-    def in_memory(self, job_id: str) -> JobStatus | None:
+    def from_memory(self, job_id: str) -> JobStatus | None:
         """Return a job's status from the cache or the own term; None if neither is certain."""
         outcome = self.job_cache.terminal_outcomes.get(job_id)
         if outcome is not None:
             return outcome.status(job_id)
         term = self.leader_view.leading()
-        return None if term is None else self.in_term(term, job_id)
+        return None if term is None else self.from_term(term, job_id)
 
     async def as_leader(self, term: Term, job_id: str) -> JobStatus | None:
         """Return a job's status at the leader; None if the job was never accepted."""
-        return self.in_term(term, job_id) or await self.job_reader.read(job_id)
+        return self.from_term(term, job_id) or await self.job_reader.read(job_id)
 
     async def poll(self, job_id: str) -> JobStatus | None:
         """Return a job's status; None if the job was never accepted."""
-        status = self.in_memory(job_id)
+        status = self.from_memory(job_id)
         if status is None and self.leader_view.leading() is None:
             status = await self.leader_calls.job_status(
                 wire_names.PEER_STATUS_PATH, job_id, STATUS_TIMEOUT_S
--- a/src/salthead/controller/submissions.py
+++ b/src/salthead/controller/submissions.py
@@ -122,7 +122,7 @@
 
     # -- checks -------------------------------------------------------------------------
 
-    def _check(self, job: Submission) -> None:
+    def _check_team_and_machine_types(self, job: Submission) -> None:
         """Check a job against the team's limit and the machine types.
 
         Raises InvalidJobError, or UnavailableError while the machine types are not known. Drops
@@ -162,7 +162,7 @@
             if job_id == job.job_id or not JOB_ID.match(job_id):
                 raise InvalidJobError(f"awaits: {job_id[:60]!r} is no job that was accepted")
         return await self.job_reader.depends_on_cancelled(
-            depends_on, self.context.now() + MAX_LOOKUP_S, every=True
+            depends_on, self.context.now() + MAX_LOOKUP_S, check_all=True
         )
 
     # -- records ------------------------------------------------------------------------
@@ -174,7 +174,7 @@
 
         Raises InvalidJobError if the job can never run or is too large to be stored.
         """
-        self._check(job)
+        self._check_team_and_machine_types(job)
         dependency_cancelled = bool(job.depends_on) and await self._check_dependencies(job)
         # Set before the records are built, since their size includes it.
         job.at = time.time()
--- a/src/salthead/leases/redirects.py
+++ b/src/salthead/leases/redirects.py
@@ -9,7 +9,7 @@
 
 
 class RedirectHistory:
-    """When each worker was last redirected by this controller."""
+    """When each worker last sent a heartbeat to a controller that does not lead."""
 
     # A worker that comes back within this long after it was redirected can't reach the leader.
     RETURN_WINDOW_S = 15.0
@@ -19,7 +19,7 @@
         self.max_remembered = MIN_REMEMBERED_REDIRECTS
 
     def record(self, worker: str, now: float) -> bool:
-        """Record a worker's request; return whether it had been redirected shortly before."""
+        """Record a heartbeat; return whether the worker's last one here was shortly before."""
         previous = self.redirected_at.get(worker, -math.inf)
         if len(self.redirected_at) > self.max_remembered:
             self.redirected_at = {
