--- a/tools/measure_zones.py
+++ b/tools/measure_zones.py
@@ -44,7 +44,7 @@
     world = ZoneDay(seed, policy=policy)
     world.fetch_s = lambda worker: COLD_S if worker.zone == "south" and back else 0.5
     back = False
-    world.most_in_zone["north"] = 0
+    world.max_machines_in_zone["north"] = 0
     await asyncio.sleep(2.0)
     small = {"machine_types": ["small"]}
     for job in (
@@ -57,7 +57,7 @@
     await asyncio.sleep(10.0)
     lost_at, lost_tasks = world.now(), len(world.on_machines())
     await world.lose("south", dead=True)
-    world.most_in_zone["north"] = 5
+    world.max_machines_in_zone["north"] = 5
     await asyncio.sleep(LOST_S)
     back = True
     back_at = world.now()
